--- a/lynxchute/bench/budget_kept.py
+++ b/lynxchute/bench/budget_kept.py
@@ -5,8 +5,8 @@
 from lynxchute.bench.budget_scene import FRONTS, Arrival, Deployment
 from lynxchute.bench.budget_schemes import Escrow
 from lynxchute.budgets import DemandLinePolicy, DemandPolicy, GrantPolicy, Ledger
-from lynxchute.budgets.standing import StandingRule, StandingView
-from lynxchute.spending.standing import Arrivals
+from lynxchute.budgets.standing import LocalReservePolicy, LocalReserveView
+from lynxchute.spending.standing import CallerDemand
 
 
 class KeptEscrow(Escrow):
@@ -15,9 +15,9 @@
     name = "escrow_kept"
 
     def __init__(self, deployment: Deployment) -> None:
-        self._rule = StandingRule()
+        self._rule = LocalReservePolicy()
         self._keepers: dict[tuple[str, int], Ledger] = {}
-        self._arrivals: dict[tuple[str, int, str], Arrivals] = {}
+        self._arrivals: dict[tuple[str, int, str], CallerDemand] = {}
         super().__init__(deployment)
 
     def policy(self) -> GrantPolicy:
@@ -32,7 +32,7 @@
         if not front:
             return super().reserve(arrival)
         key = (place, front, arrival.account)
-        arrivals = self._arrivals.setdefault(key, Arrivals())
+        arrivals = self._arrivals.setdefault(key, CallerDemand())
         arrivals.demand.add(arrival.reserved, arrival.at)
         arrivals.requests.add(1, arrival.at)
         if self._try(self._keepers[place, front], arrival):
@@ -44,7 +44,7 @@
         """Settle where it was reserved."""
         keeper = self._keepers.get((arrival.data_centre, arrival.front))
         name = str(arrival.number)
-        if keeper is not None and name in keeper.open_by_request:
+        if keeper is not None and name in keeper.reservations_by_id:
             keeper.settle(name, arrival.used)
             return
         super().settle(arrival, now)
@@ -59,38 +59,38 @@
                 self._balance(place, front, account, arrivals, now)
 
     def _balance(
-        self, place: str, front: int, account: str, arrivals: Arrivals, now: float
+        self, place: str, front: int, account: str, arrivals: CallerDemand, now: float
     ) -> None:
         keeper, home = self._keepers[place, front], self._homes[place]
         now_ms = int(now * 1000)
-        view = StandingView(
+        view = LocalReserveView(
             arrivals.demand.rate(now),
             arrivals.requests.rate(now),
             keeper.available(account, now_ms),
             self.deployment.budgets[account],
         )
-        missing = self._rule.missing(view)
-        if missing:
+        shortfall = self._rule.shortfall(view)
+        if shortfall:
             self._loans += 1
             self.tally.messages += 1
             lent = home.lend(
                 f"kept-{self._loans}",
                 account,
                 needed=0,
-                wanted=missing,
+                wanted=shortfall,
                 now_ms=now_ms,
                 now=now,
-                to_keep=True,
+                for_reserve=True,
             )
             keeper.borrow(account, lent)
             return
         if account not in keeper.shares_by_account:
             return
-        kept = self._rule.kept(view)
-        tokens = keeper.leftover(account, now_ms, kept=kept)
+        retained = self._rule.retained(view)
+        tokens = keeper.leftover(account, now_ms, retained=retained)
         if tokens:
             self.tally.messages += 1
-            keeper.give(account, tokens)
+            keeper.transfer_out(account, tokens)
             home.borrow(account, tokens)
 
     def _start(self, place: str, now: float) -> None:
--- a/lynxchute/bench/budget_schemes.py
+++ b/lynxchute/bench/budget_schemes.py
@@ -196,7 +196,7 @@
         """Settle at the home, if it is still the one that reserved."""
         name = str(arrival.number)
         home = self._homes.get(arrival.data_centre)
-        if home is not None and name in home.open_by_request:
+        if home is not None and name in home.reservations_by_id:
             home.settle(name, arrival.used)
 
     def tick(self, now: float) -> None:
@@ -258,12 +258,12 @@
 
     def _look(self, home: Ledger) -> None:
         rows = [self.rows.get(totals_id(name)) for name in self.deployment.budgets]
-        home.learn_totals(row for row in rows if row is not None)
+        home.update_totals(row for row in rows if row is not None)
 
     def _write(self, home: Ledger, now: float) -> None:
         self.tally.store_calls += 1
         plan = home.plan(now_ms=int(now * 1000), now=now)
-        home.learn(self.rows.write(plan.write))
+        home.apply_outcome(self.rows.write(plan.write))
 
     def _gather(self, home: Ledger, arrival: Arrival) -> float:
         """Have the other homes give tokens back; return the milliseconds."""
@@ -302,7 +302,7 @@
         """Return no growth."""
         return 0
 
-    def late_rate(self, view: ShareView) -> int:
+    def outage_rate(self, view: ShareView) -> int:
         """Return no growth."""
         return 0
 
--- a/lynxchute/bench/emulator/play.py
+++ b/lynxchute/bench/emulator/play.py
@@ -14,7 +14,7 @@
 from lynxchute.bench.emulator.engine import EmulatedEngine, EngineRun
 from lynxchute.bench.emulator.policies import PlacementPolicy
 from lynxchute.bench.emulator.scenario import Arrival, Scenario, Trouble, make_trace
-from lynxchute.scheduling.newcomer import Newcomer
+from lynxchute.scheduling.newcomer import PendingRequest
 from lynxchute.standins.arrivals import Arrivals
 from lynxchute.upstreams.aims import Aims
 
@@ -164,7 +164,7 @@
             return
         kind = request.arrival.kind
         request.run_id = f"{request.run_id.partition('.')[0]}.{request.tries}"
-        newcomer = Newcomer(
+        newcomer = PendingRequest(
             request.run_id,
             request.arrival.generation,
             Aims((request.objective_at - now) * 1000.0, kind.max_pause_ms),
--- a/lynxchute/bench/emulator/policies.py
+++ b/lynxchute/bench/emulator/policies.py
@@ -10,20 +10,20 @@
 from lynxchute.bench.emulator.scenario import Scenario
 from lynxchute.rendezvous import ranked
 from lynxchute.scheduling.board import Candidate, EngineBoard
-from lynxchute.scheduling.cold_placements import ColdPlacements
+from lynxchute.scheduling.cold_placements import ColdPlacementLimiter
 from lynxchute.scheduling.crowding import (
-    Crowding,
-    LateCallersUnlessStrained,
-    PauseWeights,
+    LoadAdaptiveCost,
+    PlacementCost,
+    StreamPauseCost,
 )
-from lynxchute.scheduling.newcomer import Newcomer
+from lynxchute.scheduling.newcomer import PendingRequest
 from lynxchute.upstreams.cold_admission import (
     TAKE_OVER_SECONDS,
     ColdAdmission,
     ColdLimits,
     FirstRegistered,
+    RankWatch,
     SharesByRank,
-    StandingWatch,
     WarmOnly,
 )
 from lynxchute.upstreams.entry import Entry
@@ -80,7 +80,7 @@
 
     @abstractmethod
     def choose(
-        self, newcomer: Newcomer, engines: list[int], now: float
+        self, newcomer: PendingRequest, engines: list[int], now: float
     ) -> Choice | None:
         """Return the engine for a request, of those that answer; None for none."""
 
@@ -108,7 +108,9 @@
         super().__init__(scenario, rng)
         self._turn = 0
 
-    def choose(self, newcomer: Newcomer, engines: list[int], now: float) -> Choice:
+    def choose(
+        self, newcomer: PendingRequest, engines: list[int], now: float
+    ) -> Choice:
         """Return the next engine."""
         self._turn += 1
         return Choice(engines[self._turn % len(engines)])
@@ -119,7 +121,9 @@
 
     name = "least_open"
 
-    def choose(self, newcomer: Newcomer, engines: list[int], now: float) -> Choice:
+    def choose(
+        self, newcomer: PendingRequest, engines: list[int], now: float
+    ) -> Choice:
         """Return the engine with the least to do."""
         least = min(self.open[engine] for engine in engines)
         return Choice(self.random.choice([e for e in engines if self.open[e] == least]))
@@ -130,7 +134,9 @@
 
     name = "part_affinity"
 
-    def choose(self, newcomer: Newcomer, engines: list[int], now: float) -> Choice:
+    def choose(
+        self, newcomer: PendingRequest, engines: list[int], now: float
+    ) -> Choice:
         """Return the part's engine, or the next one that is not loaded."""
         bound = (sum(self.open) + 1) / len(engines) * LOAD_BOUND
         parts = newcomer.generation.shared_parts
@@ -146,27 +152,29 @@
 
     name = "board"
     may_fetch = True
-    tells_apart = False
+    tracks_transients = False
     admission: ColdAdmission = FirstRegistered()
 
     def __init__(self, scenario: Scenario, rng: random.Random) -> None:
         super().__init__(scenario, rng)
-        self.board = EngineBoard(self.make_crowding(), tells_apart=self.tells_apart)
+        self.board = EngineBoard(
+            self.make_placement_cost(), tracks_transients=self.tracks_transients
+        )
         limits = ColdLimits(per_second=scenario.cold_per_second)
-        watch = StandingWatch(lambda service: 0)
-        watch.look([SERVICE], -TAKE_OVER_SECONDS)
-        self.cold = ColdPlacements(self.admission, watch, lambda service: limits)
+        watch = RankWatch(lambda service: 0)
+        watch.refresh([SERVICE], -TAKE_OVER_SECONDS)
+        self.cold = ColdPlacementLimiter(self.admission, watch, lambda service: limits)
         self._entries = [
             Entry(Upstream(str(number), SERVICE, "127.0.0.1:1", "a"))
             for number in range(scenario.engines)
         ]
 
-    def make_crowding(self) -> Crowding:
+    def make_placement_cost(self) -> PlacementCost:
         """Return what weighs who is harmed."""
-        return LateCallersUnlessStrained()
+        return LoadAdaptiveCost()
 
     def choose(
-        self, newcomer: Newcomer, engines: list[int], now: float
+        self, newcomer: PendingRequest, engines: list[int], now: float
     ) -> Choice | None:
         """Return the engine that costs callers and operators least."""
         shape = self.scenario.shape
@@ -174,8 +182,10 @@
         key = parts[-1].id if parts else newcomer.run_id
         for engine in engines:
             self._entries[engine].cold_until = self.cold_until[engine]
-        admitting = self.cold.admitting((self._entries[n] for n in engines), now)
-        names = ranked(key, [entry.upstream.id for entry in admitting])
+        admissible_entries = self.cold.admissible_entries(
+            (self._entries[n] for n in engines), now
+        )
+        names = ranked(key, [entry.upstream.id for entry in admissible_entries])
         candidates = [
             Candidate(name, shape.slots, shape.memory_tokens, is_far=False)
             for name in names
@@ -186,7 +196,7 @@
         )
         if not place.upstream_id:
             return None
-        self.cold.note_placed(self._entries[int(place.upstream_id)], now)
+        self.cold.record_placement(self._entries[int(place.upstream_id)], now)
         source = int(place.fetch_from) if place.fetch_from else None
         return Choice(int(place.upstream_id), source, place.expected_ms)
 
@@ -214,16 +224,16 @@
 
     name = "board_with_weights"
 
-    def make_crowding(self) -> Crowding:
+    def make_placement_cost(self) -> PlacementCost:
         """Return what weighs who is harmed."""
-        return PauseWeights()
+        return StreamPauseCost()
 
 
 class LearningBoard(Board):
     """The board that tells slow moments from lasting speeds."""
 
     name = "board_learning"
-    tells_apart = True
+    tracks_transients = True
 
 
 class BoardWithoutFetch(Board):
@@ -253,7 +263,7 @@
     name = "board_unbound"
 
     def choose(
-        self, newcomer: Newcomer, engines: list[int], now: float
+        self, newcomer: PendingRequest, engines: list[int], now: float
     ) -> Choice | None:
         """Return the engine that costs callers and operators least."""
         self.cold_until = [0.0] * len(self.cold_until)
--- a/lynxchute/bench/limits.py
+++ b/lynxchute/bench/limits.py
@@ -13,10 +13,10 @@
 
 import attrs
 
-from lynxchute.upstreams.cold_admission import TAKE_OVER_SECONDS, Standing
+from lynxchute.upstreams.cold_admission import TAKE_OVER_SECONDS, HeldRank
 from lynxchute.upstreams.entry import Entry
 from lynxchute.upstreams.rate_limits import RateLimits
-from lynxchute.upstreams.rate_sharing import SHARINGS_BY_NAME, Seat
+from lynxchute.upstreams.rate_sharing import SHARINGS_BY_NAME, TurnPosition
 from lynxchute.upstreams.statement import Statement
 from lynxchute.upstreams.upstream import Upstream
 
@@ -80,7 +80,7 @@
     """Play a fleet with a way of sharing; return what came of it."""
     rng = random.Random(seed)
     entry = Entry(Upstream("e", "pool", "127.0.0.1:1", "a"))
-    entry.backpressure.note_answer(
+    entry.backpressure.record_answer(
         Statement(fleet.limit), asked_at=0.0, now=0.0, clock_ms=0
     )
     routers = [_limits(fleet, way, rank) for rank in range(fleet.routers)]
@@ -90,7 +90,7 @@
         now += rng.expovariate(fleet.demand)
         router = rng.choice(routers)
         counting = router if fleet.is_cut else routers[0]
-        if not (router.take_turn(entry, now) or counting.take_count(entry, now)):
+        if not (router.take_turn(entry, now) or counting.admit(entry, now)):
             continue
         sent += 1
         recent.append(now)
@@ -106,8 +106,8 @@
 def _limits(fleet: Fleet, way: str, rank: int) -> RateLimits:
     return RateLimits(
         SHARINGS_BY_NAME[way](),
-        lambda service, now: Standing(rank, now),
-        lambda service: Seat(rank, fleet.routers),
+        lambda service, now: HeldRank(rank, now),
+        lambda service: TurnPosition(rank, fleet.routers),
         lambda now: CLOCK_MS + int(now * 1000.0),
         lambda now: 1e9 if fleet.is_cut else 0.0,
     )
--- a/lynxchute/bench/shares.py
+++ b/lynxchute/bench/shares.py
@@ -14,9 +14,9 @@
 
 import attrs
 
-from lynxchute.overload.drain import Drain
+from lynxchute.overload.drain import DrainRate
 from lynxchute.overload.fair_shares import SHARES_BY_NAME
-from lynxchute.overload.returns import Returns
+from lynxchute.overload.returns import ExpectedRetries
 from lynxchute.overload.shares import AccountShares
 from lynxchute.overload.ticket import Ticket
 from lynxchute.overload.ticket_queue import FairTicketQueue
@@ -106,7 +106,7 @@
 class NoShares(AccountShares):
     """Weigh nobody."""
 
-    def note_use(self, account: str, cost: float, now: float) -> None:
+    def record_use(self, account: str, cost: float, now: float) -> None:
         """Count nothing."""
 
     def excess(self, account: str, now: float) -> float:
@@ -159,9 +159,9 @@
         self._shares = shares
         self._rng = random.Random(seed)
         work = PLACES / WORK_SECONDS
-        self.queue = FairTicketQueue(shares, Drain(work))
+        self.queue = FairTicketQueue(shares, DrainRate(work))
         self._drain = self.queue.drain
-        self._returns = Returns()
+        self._returns = ExpectedRetries()
         self._free = PLACES
         self._rate = USUAL_USE * work / scene.usual
         self._asked_by_run: dict[str, Asked] = {}
@@ -181,7 +181,7 @@
                 self._count(self.outcome.asked, asked, now)
             if what == "end":
                 self._free += 1
-                self._drain.note_freed(now)
+                self._drain.record_freed(now)
             else:
                 self._ask(asked, now)
             self._serve(now)
@@ -203,9 +203,9 @@
         source = asked.source
         asked.attempts += 1
         content = str(asked.number)
-        is_return = self._returns.take(source.account, content, now)
-        if not is_return:
-            self._shares.note_use(source.account, asked.work, now)
+        is_timely_retry = self._returns.consume(source.account, content, now)
+        if not is_timely_retry:
+            self._shares.record_use(source.account, asked.work, now)
         run_id = f"{asked.number}.{asked.attempts}"
         ticket = Ticket(
             run_id=run_id,
@@ -214,8 +214,8 @@
             rank=source.rank,
             cost=asked.work,
             arrived_at=now,
-            leaves_at=asked.first_at + PATIENCE,
-            is_return=is_return,
+            expires_at=asked.first_at + PATIENCE,
+            is_timely_retry=is_timely_retry,
             due_at=asked.first_at + DUE,
         )
         after = self.queue.put(ticket, now)
@@ -226,17 +226,17 @@
             self.outcome.refused_again += 1
         if asked.attempts > source.repeats:
             return
-        self._returns.note_told(source.account, content, after, now)
+        self._returns.record_refusal(source.account, content, after, now)
         wait = max(after, 0.05) if source.as_told else 0.005
         self._plan(now + wait, "again", asked)
 
     def _serve(self, now: float) -> None:
         while self._free:
-            ticket = self.queue.take(now)
+            ticket = self.queue.consume(now)
             if ticket is None:
                 return
             asked = self._asked_by_run.pop(ticket.run_id)
-            if ticket.leaves_at <= now:
+            if ticket.expires_at <= now:
                 continue
             self._free -= 1
             self._count(self.outcome.served, asked, now)
@@ -259,14 +259,14 @@
     names = [f"account-{rng.randrange(accounts)}" for _ in range(50_000)]
     started = time.process_time()
     for number, name in enumerate(names):
-        shares.note_use(name, 100.0, number * 0.0005)
+        shares.record_use(name, 100.0, number * 0.0005)
         shares.excess(name, number * 0.0005)
     return (time.process_time() - started) / len(names) * 1e6
 
 
 def ticket_us(waiting: int) -> float:
     """Return the microseconds that a ticket takes that is put, asked for and served."""
-    queue = FairTicketQueue(SHARES_BY_NAME["equal"](), Drain(1e6))
+    queue = FairTicketQueue(SHARES_BY_NAME["equal"](), DrainRate(1e6))
     rng = random.Random(1)
     count = 20_000
     for number in range(waiting):
@@ -275,8 +275,8 @@
     for number in range(waiting, waiting + count):
         now = number * 0.001
         queue.put(_ticket(number, rng), now)
-        queue.ahead_of(f"r{number}", now)
-        queue.take(now)
+        queue.position_of(f"r{number}", now)
+        queue.consume(now)
     return (time.process_time() - started) / count * 1e6
 
 
--- a/lynxchute/bench/slopes.py
+++ b/lynxchute/bench/slopes.py
@@ -50,7 +50,7 @@
 )
 from lynxchute.http import HttpServer, LinkMeter, Request, Responder
 from lynxchute.scheduling.board import Candidate, EngineBoard
-from lynxchute.scheduling.newcomer import Newcomer
+from lynxchute.scheduling.newcomer import PendingRequest
 from lynxchute.standins.link import Link
 from lynxchute.upstreams.generation import Generation, PromptPart
 
@@ -186,7 +186,7 @@
         ledger.share(f"account-{number}").is_home = True
     for _ in range(count // 40 + 2):
         plan = ledger.plan(now_ms=1000, now=1.0)
-        ledger.learn(rows.write(plan.write))
+        ledger.apply_outcome(rows.write(plan.write))
     return ledger
 
 
@@ -196,7 +196,7 @@
     begun = time.process_time()
     for _ in range(10):
         ledger.plan(now_ms=2000, now=2.0)
-        ledger.lost()
+        ledger.record_write_failed()
     return (time.process_time() - begun) / 10 * 1e6
 
 
@@ -218,7 +218,7 @@
     for number in range(PLACEMENTS):
         own = PromptPart(f"own-{number}", 3_700)
         asked = attrs.evolve(generation, parts=(generation.parts[0], own))
-        board.place(Newcomer(str(number), asked), candidates, number * 0.001)
+        board.place(PendingRequest(str(number), asked), candidates, number * 0.001)
     return (time.process_time() - begun) / PLACEMENTS * 1e6
 
 
--- a/lynxchute/budgets/ledger.py
+++ b/lynxchute/budgets/ledger.py
@@ -13,7 +13,7 @@
 from lynxchute.budgets.recent import Recent
 from lynxchute.budgets.rows import (
     HolderRow,
-    RowUnreadable,
+    RowDecodeError,
     Totals,
     holder_id,
     totals_id,
@@ -107,7 +107,7 @@
         self.is_closing = False
         self.fenced = False
         self.shares_by_account: dict[str, Share] = {}
-        self.open_by_request: dict[str, OpenReservation] = {}
+        self.reservations_by_id: dict[str, OpenReservation] = {}
         self.totals_by_account: dict[str, KnownTotals] = {}
         self.prepaid_by_account: dict[str, int] = {}
         self.slack_by_account: dict[str, int] = {}
@@ -176,7 +176,7 @@
                 share.settled = min(share.settled, used)
                 share.terms = Terms(share.terms.granted, Line.flat(share.settled))
 
-    def learn_totals(self, rows: Iterable[Row]) -> None:
+    def update_totals(self, rows: Iterable[Row]) -> None:
         """Take divisions of budgets as they stand in the store.
 
         One that cannot be read changes nothing: no grant of its budget can change
@@ -188,7 +188,7 @@
                 continue
             try:
                 totals = Totals() if row.deleted else Totals.decode(row.value)
-            except RowUnreadable:
+            except RowDecodeError:
                 self.unreadable_accounts.add(row.id.key)
                 continue
             self.unreadable_accounts.discard(row.id.key)
@@ -207,7 +207,7 @@
         self, request_id: str, account: str, tokens: int, *, now_ms: int
     ) -> ReserveProblem | None:
         """Set tokens aside for a request, once however often it is asked."""
-        if request_id in self.open_by_request:
+        if request_id in self.reservations_by_id:
             return None
         if self.fenced or self.is_closing or not self.is_open:
             return ReserveProblem.CLOSED
@@ -217,7 +217,7 @@
         if tokens > share.available(now_ms):
             return ReserveProblem.SHORT
         share.reserved += tokens
-        self.open_by_request[request_id] = OpenReservation(account, tokens)
+        self.reservations_by_id[request_id] = OpenReservation(account, tokens)
         return None
 
     def ms_until(
@@ -238,7 +238,7 @@
     def settle(self, request_id: str, used: int) -> None:
         """Take what a request has used; the rest can be reserved again."""
         self._ended_by_request.add(request_id, used)
-        reservation = self.open_by_request.pop(request_id, None)
+        reservation = self.reservations_by_id.pop(request_id, None)
         if reservation is None:
             return
         share = self.share(reservation.account)
@@ -254,7 +254,7 @@
         wanted: int,
         now_ms: int,
         now: float,
-        to_keep: bool = False,
+        for_reserve: bool = False,
     ) -> int:
         """Give tokens to another router; return how many.
 
@@ -269,14 +269,14 @@
         if share is None or not self._may_give:
             return 0
         available = max(share.available(now_ms) - share.releasing, 0)
-        if to_keep:
+        if for_reserve:
             spare = share.headroom - int(share.demand.rate(now) * KEEP_SECONDS)
             tokens = min(lent_to_keep(wanted, spare), available)
         else:
             tokens = self._spare(share, available, needed, wanted, now)
         if tokens <= 0:
             return 0
-        if to_keep:
+        if for_reserve:
             # Requests that the borrower serves do not ask here.
             share.demand.add(tokens, now)
             share.kept_elsewhere.add(tokens, now)
@@ -340,7 +340,7 @@
         """Return what the own demand leaves over of what is not used."""
         return max(unused - int(share.demand.rate(now) * KEPT_SECONDS), 0)
 
-    def leftover(self, account: str, now_ms: int, *, kept: int = 0) -> int:
+    def leftover(self, account: str, now_ms: int, *, retained: int = 0) -> int:
         """Return the borrowed tokens that are at hand and not asked for here.
 
         Parameters
@@ -351,10 +351,10 @@
         share = self.shares_by_account[account]
         if share.is_home or share.waiting:
             return 0
-        unused = share.borrowed - share.used - kept
+        unused = share.borrowed - share.used - retained
         return max(min(unused, share.available(now_ms)), 0)
 
-    def give(self, account: str, tokens: int) -> None:
+    def transfer_out(self, account: str, tokens: int) -> None:
         """Count tokens as used that go to another router."""
         self.share(account).settled += tokens
 
@@ -445,7 +445,7 @@
             self.shares_by_account[account].uncertain.append(terms)
         return self.pending
 
-    def learn(self, outcome: Outcome) -> bool:
+    def apply_outcome(self, outcome: Outcome) -> bool:
         """Take the outcome of the pending write; return whether it is in force."""
         plan = self.pending
         assert plan is not None
@@ -460,7 +460,7 @@
         self._learn_conflict(plan, outcome)
         return False
 
-    def lost(self) -> None:
+    def record_write_failed(self) -> None:
         """Note that the pending write had no effect and never will."""
         plan = self.pending
         assert plan is not None
@@ -497,7 +497,7 @@
         line = Line(
             base=share.own_use + self._policy.burst(view),
             rate=self._policy.rate(view),
-            late_rate=self._policy.late_rate(view),
+            outage_rate=self._policy.outage_rate(view),
             start_ms=now_ms,
         )
         return Terms(granted, line)
@@ -547,7 +547,7 @@
                 self._forget_totals(row_id)
             else:
                 totals.append(row)
-        self.learn_totals(totals)
+        self.update_totals(totals)
 
     def _learn_own(self, plan: Plan, row: Row | None) -> None:
         if row is None or row.version == self._row_version:
--- a/lynxchute/budgets/line.py
+++ b/lynxchute/budgets/line.py
@@ -33,21 +33,21 @@
 
     Examples
     --------
-    >>> line = Line(base=100, rate=10, late_rate=100, start_ms=1000)
+    >>> line = Line(base=100, rate=10, outage_rate=100, start_ms=1000)
     >>> line.at(500), line.at(3000), line.at(4500), line.at(60_000)
     (100, 120, 252, 1402)
     """
 
     base: int
     rate: int
-    late_rate: int
+    outage_rate: int
     start_ms: int
 
     def at(self, now_ms: int) -> int:
         """Return the bound at a moment."""
         age_ms = min(max(now_ms - self.start_ms, 0), HORIZON_MS)
         slow_ms = min(age_ms, SLOW_MS)
-        grown = self.rate * slow_ms + self.late_rate * (age_ms - slow_ms)
+        grown = self.rate * slow_ms + self.outage_rate * (age_ms - slow_ms)
         return self.base + grown // 1000
 
     @classmethod
--- a/lynxchute/budgets/policy.py
+++ b/lynxchute/budgets/policy.py
@@ -61,7 +61,7 @@
         """Return by how many tokens a second the line grows at first."""
 
     @abstractmethod
-    def late_rate(self, view: ShareView) -> int:
+    def outage_rate(self, view: ShareView) -> int:
         """Return by how many tokens a second it grows in an outage."""
 
 
@@ -143,7 +143,7 @@
             return 1.0
         return headroom / (view.demand * self.ample_seconds)
 
-    def late_rate(self, view: ShareView) -> int:
+    def outage_rate(self, view: ShareView) -> int:
         """Return by how many tokens a second it grows in an outage."""
         headroom = max(view.granted - view.used, 0)
         rate = max(view.demand * self.late_demand, headroom * self.late_share)
--- a/lynxchute/budgets/rows.py
+++ b/lynxchute/budgets/rows.py
@@ -15,7 +15,7 @@
 HOLDERS_TABLE = "budget-holders"
 
 
-class RowUnreadable(Exception):
+class RowDecodeError(Exception):
     """Report a row that does not hold what its table holds."""
 
 
@@ -58,7 +58,7 @@
             found = RowValue.decode(value).fields
             return cls({vm: whole(tokens, vm) for vm, tokens in found.items()})
         except ValueUnreadable as error:
-            raise RowUnreadable(f"no totals: {error}") from error
+            raise RowDecodeError(f"no totals: {error}") from error
 
 
 @attrs.frozen
@@ -87,7 +87,7 @@
                 terms.granted,
                 line.base,
                 line.rate,
-                line.late_rate,
+                line.outage_rate,
                 line.start_ms,
             ]
         row = {
@@ -114,7 +114,7 @@
                 terms_by_account[account] = Terms(granted, Line(*line))
             return cls(row.text("incarnation"), row.count("sequence"), terms_by_account)
         except (ValueError, TypeError) as error:
-            raise RowUnreadable(f"no holder: {error!r}") from error
+            raise RowDecodeError(f"no holder: {error!r}") from error
 
 
 def totals_id(account: str) -> RowId:
--- a/lynxchute/budgets/standing.py
+++ b/lynxchute/budgets/standing.py
@@ -19,7 +19,7 @@
 
 
 @attrs.frozen
-class StandingView:
+class LocalReserveView:
     """What the decision goes by; amounts in tokens.
 
     Attributes
@@ -40,7 +40,7 @@
     prepaid: int
 
 
-class StandingRule:
+class LocalReservePolicy:
     """Keep tokens where an account's callers arrive.
 
     The load that it answers: routers that cannot reach an account's home for some
@@ -48,20 +48,20 @@
     caller needs is its answer now; the tokens were paid for and lie elsewhere.
     """
 
-    def full(self, view: StandingView) -> int:
+    def full(self, view: LocalReserveView) -> int:
         """Return the tokens that the router keeps at most."""
         if view.requests < LEAST_REQUESTS:
             return 0
         return min(int(view.demand * FULL_SECONDS), view.prepaid // PREPAID_PART)
 
-    def missing(self, view: StandingView) -> int:
+    def shortfall(self, view: LocalReserveView) -> int:
         """Return the tokens to ask for; 0 while enough is at hand."""
         full = self.full(view)
         if view.at_hand >= full * LOW_SECONDS / FULL_SECONDS:
             return 0
         return full - view.at_hand
 
-    def kept(self, view: StandingView) -> int:
+    def retained(self, view: LocalReserveView) -> int:
         """Return what is not given back.
 
         Twice what is asked for: demand that comes and goes moves nothing.
--- a/lynxchute/callers/dialect.py
+++ b/lynxchute/callers/dialect.py
@@ -10,12 +10,12 @@
 import h11
 
 from lynxchute.callers import names
-from lynxchute.callers.question import Question, parse_question
+from lynxchute.callers.question import Question, parse_chat_request
 from lynxchute.config.document import hash_key
 from lynxchute.config.from_document import CHAT_PATH
 from lynxchute.http import BadRequest, Headers, Request
 from lynxchute.relay.call import Call
-from lynxchute.relay.dialect import Dialect, Dispatch, Verdict, names_request
+from lynxchute.relay.dialect import Dialect, Dispatch, ResponseKind, is_for_request
 from lynxchute.relay.events import SEPARATOR
 from lynxchute.relay.refusal import Reason, Refusal
 from lynxchute.upstreams.statement import Statement
@@ -79,7 +79,7 @@
     def _read_chat(self, request: Request, request_id: str, key: str) -> Call:
         if request.method != "POST":
             raise BadRequest(405, "Chat completions are asked for with POST.")
-        parsed = parse_question(request)
+        parsed = parse_chat_request(request)
         if parsed.is_error():
             raise Refusal(Reason.MALFORMED, " ".join(parsed.error))
         question: Question = parsed.ok
@@ -92,7 +92,7 @@
             request_id=request_id,
             host=question.model,
             key=key,
-            resumes_after=request.headers.get(names.LAST_EVENT.lower(), ""),
+            last_event_id=request.headers.get(names.LAST_EVENT.lower(), ""),
             generation=question.generation(request_id, max_tokens),
             wants_usage=question.wants_usage,
         )
@@ -112,24 +112,24 @@
             own.append((names.ACCOUNT, dispatch.account))
         if call.generation is not None:
             own.append((names.PRIORITY, str(dispatch.priority)))
-        if dispatch.resumes_after:
-            own.append((names.LAST_EVENT, dispatch.resumes_after))
+        if dispatch.last_event_id:
+            own.append((names.LAST_EVENT, dispatch.last_event_id))
         headers.extend((name.encode(), value.encode("latin-1")) for name, value in own)
         return headers
 
     def is_answer(self, call: Call, head: h11.Response) -> bool:
         """Return whether an answer is one to this call."""
-        return names_request(head, names.REQUEST_ID, call.request_id)
+        return is_for_request(head, names.REQUEST_ID, call.request_id)
 
-    def verdict(self, status: int, headers: Headers) -> Verdict:
+    def response_kind(self, status: int, headers: Headers) -> ResponseKind:
         """Return what the head of an answer says."""
         if status == 421:
-            return Verdict.MOVED
+            return ResponseKind.MOVED
         if headers.get(names.RUN.lower()) == names.NOT_RUN:
-            return Verdict.NOT_RUN
+            return ResponseKind.NOT_RUN
         if names.REQUEST_ID.lower() not in headers or "content-encoding" in headers:
-            return Verdict.INVALID
-        return Verdict.ANSWERED
+            return ResponseKind.INVALID
+        return ResponseKind.ANSWERED
 
     def statement(self, status: int, headers: Headers) -> Statement:
         """Return what the head of an answer states of its upstream."""
--- a/lynxchute/callers/question.py
+++ b/lynxchute/callers/question.py
@@ -64,7 +64,7 @@
         return json.dumps(body, separators=(",", ":")).encode()
 
 
-def parse_question(request: Request) -> Result[Question, tuple[str, ...]]:
+def parse_chat_request(request: Request) -> Result[Question, tuple[str, ...]]:
     """Return the question, or all that is wrong with it."""
     try:
         body = request.json()
--- a/lynxchute/config/document.py
+++ b/lynxchute/config/document.py
@@ -17,9 +17,9 @@
 from lynxchute.address import Address
 from lynxchute.config.role import Role
 from lynxchute.overload.weights import (
-    LEAST_WEIGHT,
-    MOST_WEIGHT,
-    USUAL_WEIGHT,
+    DEFAULT_WEIGHT,
+    MAX_WEIGHT,
+    MIN_WEIGHT,
     usable_weight,
 )
 
@@ -50,9 +50,9 @@
     )
     paid: int = option(default=0, low=0, doc="Tokens paid for so far.")
     weight: float = option(
-        default=USUAL_WEIGHT,
-        low=LEAST_WEIGHT,
-        high=MOST_WEIGHT,
+        default=DEFAULT_WEIGHT,
+        low=MIN_WEIGHT,
+        high=MAX_WEIGHT,
         doc="Its share where callers compete, as a multiple of that of the others.",
     )
 
--- a/lynxchute/containment/containment.py
+++ b/lynxchute/containment/containment.py
@@ -19,8 +19,8 @@
     BrokenRun,
     Progress,
     Quarantine,
-    Quarantined,
-    Record,
+    QuarantineEntry,
+    QuarantineRecord,
     ServedContents,
 )
 from lynxchute.store import Row, Store
@@ -110,21 +110,21 @@
         server.answers_by_class[RunEvidence] = self._serve_evidence
         server.answers_by_class[QuarantineNews] = self._serve_news
 
-    def follow(self, registry: Registry) -> None:
+    def watch_registry(self, registry: Registry) -> None:
         """Take what stands in the store, and notice who judges."""
         registry.takers_by_key[ROW_KEY] = self._take_row
         registry.listeners.append(self._note_members)
 
-    def seconds_left(self, content: str) -> float | None:
+    def quarantine_seconds_left(self, content: str) -> float | None:
         """Return how long a request is still kept away; None where it is not."""
         now_ms = self.judge.now_ms()
         found = self.quarantine.find(content, now_ms)
         return None if found is None else (found.until_ms - now_ms) / 1000.0
 
-    def note_broken(self, upstream: Upstream, send: OpenSend) -> None:
+    def record_broken(self, upstream: Upstream, send: OpenSend) -> None:
         """Note a run that broke off because its upstream ended, or seems to have."""
         self._metrics.broken_runs.inc(send.progress.value)
-        if send.is_left or send.has_outlived(self._clock()):
+        if send.is_cancelled or send.is_past_crash_window(self._clock()):
             return
         if self._served.since(send.content, self.judge.now_ms() - SPEAKS_FOR_MS):
             return
@@ -138,9 +138,9 @@
             self._reported.popitem(last=False)
         self._loop.wake()
 
-    def note_ended(self, send: OpenSend, *, is_whole: bool) -> None:
+    def record_end(self, send: OpenSend, *, is_whole: bool) -> None:
         """Note a run that has ended, with a whole answer or otherwise."""
-        if not is_whole and not send.has_outlived(self._clock()):
+        if not is_whole and not send.is_past_crash_window(self._clock()):
             return
         self._served.note(send.content, self.judge.now_ms())
         if send.content in self._reported or send.content in self._suspects:
@@ -161,11 +161,11 @@
 
     def _take_row(self, row: Row) -> None:
         """Take what the fleet knows; a row that is gone says that it is nothing."""
-        record = Record()
+        record = QuarantineRecord()
         if not row.deleted:
-            result = Record.decode(row.value)
+            result = QuarantineRecord.decode(row.value)
             if result.is_error():
-                log_event("quarantine not understood", problem=result.error)
+                log_event("quarantine row unreadable", problem=result.error)
                 return
             record = result.ok
         self.judge.adopt(record, row.version)
@@ -187,7 +187,7 @@
         """Give evidence to the fleet's judge, all that counts yet to a new one."""
         for _ in range(HOME_TRIES):
             judge = self._current_judge()
-            quarantined: tuple[Quarantined, ...] = ()
+            quarantined: tuple[QuarantineEntry, ...] = ()
             if judge.incarnation != self._judged_by:
                 broken, quarantined = self._kept_runs(), self.quarantine.told()
             evidence = RunEvidence(broken, survived, quarantined)
@@ -196,7 +196,9 @@
             try:
                 await self._peers.ask(judge.vm, evidence)
             except PeerUnreachable as error:
-                log_event("evidence not taken", peer=judge.vm, reason=str(error))
+                log_event(
+                    "crash evidence not delivered", peer=judge.vm, reason=str(error)
+                )
                 continue
             self._judged_by = judge.incarnation
             return
--- a/lynxchute/containment/judge.py
+++ b/lynxchute/containment/judge.py
@@ -10,7 +10,7 @@
 from lynxchute.fleet.members import Members
 from lynxchute.fleet.quarantine_messages import RunEvidence
 from lynxchute.fleet.registry import TABLE
-from lynxchute.quarantine import Finding, Record, Suspicion, Verdict
+from lynxchute.quarantine import Finding, QuarantineRecord, Suspicion, Verdict
 from lynxchute.store import (
     Committed,
     Expected,
@@ -27,7 +27,7 @@
 # The row stands in a table that every router follows anyway, so that it needs no feed
 # of its own.
 ROW_KEY = "quarantine"
-ROW_ID = RowId(TABLE, ROW_KEY)
+QUARANTINE_ROW_ID = RowId(TABLE, ROW_KEY)
 HOME_KEY = "quarantine"
 # Seconds between two looks while ends are judged. A copy of the request is on its way
 # to the next upstream meanwhile; the routers' reports themselves take half as long.
@@ -118,13 +118,13 @@
                 self._news.tell(cleared=(content,))
         self._loop.wake()
 
-    def adopt(self, record: Record, version: int) -> None:
+    def adopt(self, record: QuarantineRecord, version: int) -> None:
         """Take what stands in the store."""
         if version > self._version:
             self._version = version
             self._adopt(record)
 
-    def _adopt(self, record: Record) -> None:
+    def _adopt(self, record: QuarantineRecord) -> None:
         self.suspicion.adopt(record)
         # Nobody is told any more of what was taken back.
         self._news.keep_only(self.suspicion.quarantined_by_content.keys())
@@ -160,7 +160,7 @@
         self._metrics.upstream_ends_blamed.inc(finding.verdict.value)
         quarantined = self.suspicion.quarantined_by_content.get(finding.content)
         log_event(
-            "end of an upstream judged",
+            "upstream crash attributed",
             content=finding.content,
             process=finding.process,
             verdict=finding.verdict.value,
@@ -186,17 +186,17 @@
         finally:
             self._is_writing = False
 
-    async def _put_row(self, record: Record) -> bool:
+    async def _put_row(self, record: QuarantineRecord) -> bool:
         """Write the row; return whether no other try is worth it now."""
-        expected = Expected(ROW_ID, self._version)
-        write = Write((expected,), (Put(ROW_ID, record.encode()),))
+        expected = Expected(QUARANTINE_ROW_ID, self._version)
+        write = Write((expected,), (Put(QUARANTINE_ROW_ID, record.encode()),))
         try:
             outcome = await self._store.write(write)
         except (StoreUnavailable, OutcomeUnknown) as error:
             self.suspicion.is_changed = True
             self._write_at = self._clock() + REWRITE_SECONDS
             if not self._is_unwritten:
-                log_event("quarantine not written", reason=str(error))
+                log_event("quarantine row write failed", reason=str(error))
             self._is_unwritten = True
             return True
         if isinstance(outcome, Committed):
@@ -204,19 +204,19 @@
             return True
         # Another router has judged as well; both findings count.
         self.suspicion.is_changed = True
-        row = outcome.rows_by_id.get(ROW_ID)
+        row = outcome.rows_by_id.get(QUARANTINE_ROW_ID)
         self._version = row.version if row is not None else ABSENT
-        found = Record.decode(row.value) if row is not None else None
+        found = QuarantineRecord.decode(row.value) if row is not None else None
         if found is not None and found.is_ok():
             self._adopt(found.ok)
         return False
 
-    def _note_written(self, record: Record, version: int) -> None:
+    def _note_written(self, record: QuarantineRecord, version: int) -> None:
         self._version = version
         self.suspicion.note_written(record)
         self._is_unwritten = False
         log_event(
-            "quarantine written",
+            "quarantine row written",
             quarantined=len(record.quarantined),
             suspects=len(record.suspects),
             version=version,
--- a/lynxchute/containment/news.py
+++ b/lynxchute/containment/news.py
@@ -10,7 +10,7 @@
 from lynxchute.fleet.client import Peers, PeerUnreachable
 from lynxchute.fleet.members import Members
 from lynxchute.fleet.quarantine_messages import QuarantineNews
-from lynxchute.quarantine import Quarantined
+from lynxchute.quarantine import QuarantineEntry
 from lynxchute.telemetry import log_event
 
 # Seconds for which a router that has not taken news is told again; by then it has the
@@ -70,7 +70,7 @@
     def tell(
         self,
         *,
-        quarantined: tuple[Quarantined, ...] = (),
+        quarantined: tuple[QuarantineEntry, ...] = (),
         cleared: tuple[str, ...] = (),
     ) -> None:
         """Have something told, here at once."""
@@ -117,6 +117,8 @@
                 try:
                     await self._peers.ask(vm, news.message)
                 except PeerUnreachable as error:
-                    log_event("quarantine not told", peer=vm, reason=str(error))
+                    log_event(
+                        "quarantine update not delivered", peer=vm, reason=str(error)
+                    )
                     return
                 news.told.add(incarnation)
--- a/lynxchute/demo.py
+++ b/lynxchute/demo.py
@@ -19,7 +19,7 @@
 from lynxchute.config.from_document import CHAT_PATH
 from lynxchute.event_loop import run as run_loop
 from lynxchute.http import ExchangeFailed, HttpClient
-from lynxchute.relay.refusal import Run
+from lynxchute.relay.refusal import RunStatus
 from lynxchute.standins.backpressure_scene import press_throttled
 from lynxchute.standins.callers import Callers, Sent
 from lynxchute.standins.counts import (
@@ -69,7 +69,7 @@
     not_run_but_ran = 0
     for item in sent:
         for attempt in item.attempts:
-            said = attempt.run == Run.NOT_RUN.value
+            said = attempt.run == RunStatus.NOT_RUN.value
             not_run_but_ran += said and attempt.request_id in ran
     return {
         "requests": len(sent),
@@ -238,7 +238,7 @@
     end = time.monotonic() + seconds
     while time.monotonic() < end:
         routers = deployment.routers_by_vm.values()
-        if not any(router.keeper.ledger.open_by_request for router in routers):
+        if not any(router.keeper.ledger.reservations_by_id for router in routers):
             return
         await asyncio.sleep(0.1)
     _say("some reservations are not settled yet")
--- a/lynxchute/edge/application.py
+++ b/lynxchute/edge/application.py
@@ -42,25 +42,25 @@
     ServerLimits,
     not_found,
 )
-from lynxchute.overload import Cut, MemoryGuard
-from lynxchute.overload.weights import USUAL_WEIGHT
+from lynxchute.overload import CutAnswer, MemoryGuard
+from lynxchute.overload.weights import DEFAULT_WEIGHT
 from lynxchute.reachability import Reachability
 from lynxchute.relay.admission import Admission
 from lynxchute.relay.chooser import Chooser
 from lynxchute.relay.relay import Relay
 from lynxchute.relay.sender import UPSTREAM_TIMEOUTS, Sender
 from lynxchute.relay.statement_reader import StatementReader
-from lynxchute.scheduling.cold_watch import ColdWatch
+from lynxchute.scheduling.cold_watch import ColdProber
 from lynxchute.scheduling.rate_permits import RatePermits
 from lynxchute.scheduling.scheduler import Scheduler
-from lynxchute.scheduling.turns import Turns
-from lynxchute.spending.balance import Balance
-from lynxchute.spending.final_use import FinalUses
-from lynxchute.spending.keeper import Keeper
+from lynxchute.scheduling.turns import AdmissionQueue
+from lynxchute.spending.balance import Rebalancer
+from lynxchute.spending.final_use import FinalUseExchange
+from lynxchute.spending.keeper import LedgerSync
 from lynxchute.spending.lenders import Lenders
 from lynxchute.spending.reservations import FleetBudgets
-from lynxchute.spending.settlements import Settlements
-from lynxchute.spending.standing import Standing
+from lynxchute.spending.settlements import SettlementSender
+from lynxchute.spending.standing import LocalReserve
 from lynxchute.store import TableFeed
 from lynxchute.store.counted import CountedStore
 from lynxchute.telemetry import Metrics, log_event
@@ -170,22 +170,22 @@
             # router their lines do not queue behind one another.
             store_part=settings.vm if settings.store_spans_parts else "",
         )
-        self.final_uses = FinalUses(ledger, self.members, self.peers)
+        self.final_uses = FinalUseExchange(ledger, self.members, self.peers)
         self.final_uses.serve(self.peer_server)
-        self.keeper = Keeper(
+        self.keeper = LedgerSync(
             ledger,
             platform.store,
             self.members.homes,
             settled=self.registry.settled,
             started_at=steady_seconds() if started_at is None else started_at,
-            before_first_write=self.final_uses.recall,
+            before_first_write=self.final_uses.fetch_predecessor_use,
         )
         self.configurations.listeners.append(self.keeper.configure)
-        self.settlements = Settlements(ledger, self.members, self.peers)
+        self.settlements = SettlementSender(ledger, self.members, self.peers)
         lenders = Lenders(self.keeper, self.members, self.peers, self.settlements)
         standing = None
         if settings.features.demand_lines:
-            standing = Standing(self.keeper, lenders, self.members)
+            standing = LocalReserve(self.keeper, lenders, self.members)
         standing_loops = [standing.loop] if standing is not None else []
         budgets = FleetBudgets(
             self.keeper,
@@ -197,7 +197,9 @@
             standing,
         )
         budgets.serve(self.peer_server)
-        self.balance = Balance(self.keeper, lenders, self.members, self.peers, standing)
+        self.balance = Rebalancer(
+            self.keeper, lenders, self.members, self.peers, standing
+        )
         rng = random.Random()
         self.admission = Admission(self.configurations, rng, self.load)
         permits = RatePermits(
@@ -209,7 +211,7 @@
         )
         engines = platform.make_engines(self.clients)
         may_wait = settings.features.fair_shares
-        self.turns = Turns(self._weight_of, self.metrics) if may_wait else None
+        self.turns = AdmissionQueue(self._weight_of, self.metrics) if may_wait else None
         scheduler = Scheduler(
             self.members,
             self.peers,
@@ -222,25 +224,25 @@
             steady_seconds,
             turns=self.turns,
         )
-        scheduler.board.tells_apart = settings.features.learned_speeds
+        scheduler.board.tracks_transients = settings.features.learned_speeds
         silence = SilenceWatch(self.directory, engines, reachability, steady_seconds)
         backpressure = BackpressureWatch(
             self.directory, engines, rules.rates, rules.rank, steady_seconds
         )
-        cold = ColdWatch(
+        cold = ColdProber(
             self.directory,
             engines,
             rules.cold_limits,
-            scheduler.schedules,
+            scheduler.is_scheduler_for,
             self.upstreams_silent_for,
             steady_seconds,
         )
         scheduler.serve(self.peer_server)
-        self.directory.listeners.append(scheduler.look)
-        self.directory.start_listeners.append(scheduler.forget)
-        self.directory.start_listeners.append(self._drop_connections)
-        self.registry.listeners.append(scheduler.look)
-        self.configurations.listeners.append(lambda _: scheduler.look())
+        self.directory.listeners.append(scheduler.refresh)
+        self.directory.restart_listeners.append(scheduler.discard_upstream)
+        self.directory.restart_listeners.append(self._drop_connections)
+        self.registry.listeners.append(scheduler.refresh)
+        self.configurations.listeners.append(lambda _: scheduler.refresh())
         self.containment = Containment(
             self.members,
             self.peers,
@@ -250,7 +252,7 @@
             steady_seconds,
         )
         self.containment.serve(self.peer_server)
-        self.containment.follow(self.registry)
+        self.containment.watch_registry(self.registry)
         chooser = Chooser(
             self.directory,
             scheduler.neighbourhood,
@@ -295,7 +297,7 @@
             check_head=self._check_head,
             meter=meter,
             guard=self.memory_guard,
-            takes_connections=self.load.takes_connection,
+            takes_connections=self.load.may_accept,
         )
         self.readiness = HttpServer(self._answer_readiness)
         self.exposition = HttpServer(Exposition(self, log_lines_dropped).answer)
@@ -368,7 +370,7 @@
         if not await self.keeper.close(started + CLOSE_SECONDS):
             # The others may be out of reach by the end.
             await self.final_uses.announce()
-        await self.balance.hand_over()
+        await self.balance.transfer_borrowed()
         serve_until = started + STILL_SERVING_SECONDS
         end = started + self.settings.bounds.stop - STOP_MARGIN_SECONDS
         while steady_seconds() < end:
@@ -392,7 +394,7 @@
 
     async def _tell_last(self) -> None:
         """Tell what was used and lent, and give back what was not used."""
-        await asyncio.gather(self.settlements.flush(), self.balance.hand_over())
+        await asyncio.gather(self.settlements.flush(), self.balance.transfer_borrowed())
         if not await self.keeper.close(steady_seconds() + CLOSE_SECONDS):
             await self.final_uses.announce()
 
@@ -432,7 +434,7 @@
 
     def _note_members(self) -> None:
         self.retries.routers = self.members.count
-        self.keeper.want()
+        self.keeper.request_write()
 
     def _traits_of(self, service: str) -> EngineTraits | None:
         """Return what the engines of a service can do, where it is known."""
@@ -444,9 +446,9 @@
         """Return the weight of a client account where callers compete."""
         current = self.configurations.current
         found = current.accounts_by_name.get(account) if current else None
-        return found.weight if found is not None else USUAL_WEIGHT
+        return found.weight if found is not None else DEFAULT_WEIGHT
 
-    def _note_cut(self, cut: Cut) -> None:
+    def _note_cut(self, cut: CutAnswer) -> None:
         """Tell of an answer that was broken off for want of memory."""
         self.metrics.answers_cut.inc()
         log_event(
--- a/lynxchute/edge/configurations.py
+++ b/lynxchute/edge/configurations.py
@@ -79,11 +79,11 @@
         """Return the newest known version; None where there is none yet."""
         return self._current
 
-    def unconfirmed_for(self) -> float:
+    def unconfirmed_seconds(self) -> float:
         """Return the seconds since the store last confirmed the version."""
         return self.feed.silent_for(steady_seconds())
 
-    async def arrival(self) -> None:
+    async def wait_loaded(self) -> None:
         """Wait for the first version, no longer than a start takes."""
         left = self._started_at + ARRIVAL_SECONDS - steady_seconds()
         try:
@@ -126,7 +126,7 @@
         """
         data_centre = row.id.key.removeprefix(self._evacuation_prefix)
         if row.deleted:
-            is_news = self._evacuations.take_back(data_centre, row.version)
+            is_news = self._evacuations.revoke(data_centre, row.version)
         else:
             now = steady_seconds()
             is_news = self._evacuations.order(data_centre, row.version, now)
--- a/lynxchute/edge/entrance.py
+++ b/lynxchute/edge/entrance.py
@@ -35,7 +35,7 @@
 
     def _is_due_now(self) -> bool:
         """Take note of the load; return whether the way in is to change."""
-        self._load.look()
+        self._load.poll()
         return self._load.is_full == self._server.is_accepting
 
     async def _look(self) -> None:
--- a/lynxchute/edge/exposition.py
+++ b/lynxchute/edge/exposition.py
@@ -8,7 +8,7 @@
 from lynxchute.clock import steady_seconds
 from lynxchute.edge.state import state_of
 from lynxchute.http import Request, Responder, not_found
-from lynxchute.overload import IDLE
+from lynxchute.overload import IDLE_LOAD
 
 if TYPE_CHECKING:
     from lynxchute.edge.application import EdgeApplication
@@ -62,7 +62,7 @@
         slowest = router.plain_calls.slowest_by_service(steady_seconds())
         metrics.slowness.replace(slowest)
         metrics.limits.set(router.directory.count_limits())
-        processor = router.load.loads().get("processor", IDLE)
+        processor = router.load.loads().get("processor", IDLE_LOAD)
         metrics.processor_use.set(processor.use)
         metrics.processor_delay.set(processor.delay)
         metrics.log_lines_dropped.set(self._log_lines_dropped())
--- a/lynxchute/edge/limits.py
+++ b/lynxchute/edge/limits.py
@@ -4,7 +4,7 @@
 
 from lynxchute.config import Configuration
 from lynxchute.http import ServerLimits
-from lynxchute.overload.memory_guard import HeldBounds
+from lynxchute.overload.memory_guard import BufferBounds
 
 # The part of the process's memory that bodies of requests may take.
 BODY_SHARE = 0.15
@@ -16,7 +16,7 @@
 FIRST_IDLE_TIMEOUT = 15.0
 
 
-def held_bounds(memory_mb: float) -> HeldBounds:
+def held_bounds(memory_mb: float) -> BufferBounds:
     """Return what may wait for callers who read slowly.
 
     Parameters
@@ -24,7 +24,7 @@
     memory_mb
         Memory of the process, in MB.
     """
-    return HeldBounds.of_total(int(memory_mb * 1e6 * HELD_SHARE))
+    return BufferBounds.of_total(int(memory_mb * 1e6 * HELD_SHARE))
 
 
 def caller_limits(
--- a/lynxchute/edge/own_load.py
+++ b/lynxchute/edge/own_load.py
@@ -14,17 +14,17 @@
 from lynxchute.event_loop import SteadyEventLoop
 from lynxchute.http import BadRequest, HttpServer, LinkMeter, RequestHead
 from lynxchute.overload import (
-    LINK,
-    MEMORY,
-    PROCESSOR,
-    Guard,
+    LINK_LIMITS,
+    MEMORY_LIMITS,
+    PROCESSOR_LIMITS,
+    CallbackLoadSource,
     LocalShares,
-    MeasuredSource,
+    OverloadGuard,
     ProcessorMeter,
     Resource,
-    share_of,
+    utilization,
 )
-from lynxchute.relay.admission import RETRY_ELSEWHERE
+from lynxchute.relay.admission import RETRY_AFTER_OVERLOAD
 from lynxchute.relay.guarded_load import GuardedLoad
 from lynxchute.relay.load import RouterLoad
 from lynxchute.relay.own_delay import OwnDelayMeter
@@ -55,7 +55,7 @@
         """Measure the running event loop from now on."""
         loop = asyncio.get_running_loop()
         if self.processor is not None and isinstance(loop, SteadyEventLoop):
-            loop.sleep_observers.append(self.processor.note_sleep)
+            loop.sleep_observers.append(self.processor.record_sleep)
 
     def check_head(self, head: RequestHead, current: Configuration | None) -> None:
         """Refuse a request before its body is read where anybody's would be.
@@ -73,11 +73,11 @@
             return
         service = current.services_by_name.get(route.targets[0].service)
         is_brief = service is None or service.engine is None
-        full = self.load.refuses_all(route.latency_objective, is_brief=is_brief)
+        full = self.load.shed_reason_for_all(route.latency_objective, is_brief=is_brief)
         if full:
             self.metrics.refusals.inc(Reason.OVERLOADED.value)
             reason = f"This router's {full} is full. Send the request to another one."
-            raise BadRequest(503, reason, retry_after=RETRY_ELSEWHERE)
+            raise BadRequest(503, reason, retry_after=RETRY_AFTER_OVERLOAD)
 
 
 def make_own_load(
@@ -95,19 +95,19 @@
         return OwnLoad(meter, RouterLoad(meter, steady_seconds), metrics)
     processor = ProcessorMeter(steady_seconds)
     own = OwnDelayMeter(settings.link_mbps, processor, steady_seconds)
-    link = MeasuredSource("link", own.use, own.link_delay)
-    memory = MeasuredSource(
+    link = CallbackLoadSource("link", own.use, own.link_delay)
+    memory = CallbackLoadSource(
         "memory",
-        lambda: share_of(
+        lambda: utilization(
             callers().buffered_bytes, callers().limits().max_buffered_bytes
         ),
     )
     resources = (
-        Resource(processor, PROCESSOR),
-        Resource(link, LINK),
-        Resource(memory, MEMORY),
+        Resource(processor, PROCESSOR_LIMITS),
+        Resource(link, LINK_LIMITS),
+        Resource(memory, MEMORY_LIMITS),
     )
-    shares = LocalShares(lambda: guard.kept_share())
-    guard = Guard(resources, steady_seconds, random.Random(), shares)
+    shares = LocalShares(lambda: guard.sustainable_share())
+    guard = OverloadGuard(resources, steady_seconds, random.Random(), shares)
     load = GuardedLoad(guard, own, steady_seconds, metrics)
     return OwnLoad(own, load, metrics, processor)
--- a/lynxchute/edge/plain_calls.py
+++ b/lynxchute/edge/plain_calls.py
@@ -12,7 +12,7 @@
 from lynxchute.upstreams.directory import Directory
 from lynxchute.upstreams.entry import Entry
 from lynxchute.upstreams.expected_finish import ExpectedFinish
-from lynxchute.upstreams.learned_speed import TwoMemories
+from lynxchute.upstreams.learned_speed import TwoTimescaleSpeeds
 from lynxchute.upstreams.permits import Permits
 from lynxchute.upstreams.placement import LeastOpen, Placement
 from lynxchute.upstreams.retry_budget import RetryBudget
@@ -66,7 +66,7 @@
         self._is_hedging = features.hedging
         if not features.learned_speeds and not features.hedging:
             return
-        times = ServiceTimes(TwoMemories())
+        times = ServiceTimes(TwoTimescaleSpeeds())
         self.times = times
         self._finish = ExpectedFinish(
             settings.data_centre, gate, permits, times.speeds, rng, clock
@@ -74,7 +74,7 @@
         if features.learned_speeds:
             self.placement = self._finish
         directory.listeners.append(self._forget_gone)
-        directory.start_listeners.append(self._forget_start)
+        directory.restart_listeners.append(self._forget_start)
 
     def hedger(
         self, chooser: Chooser, retries: RetryBudget, metrics: Metrics
@@ -104,7 +104,7 @@
         if self.times is None:
             return found
         for entry in self._directory.entries_by_id.values():
-            if not self.times.knows(entry.upstream.id):
+            if not self.times.has_samples(entry.upstream.id):
                 continue
             service = entry.upstream.service
             found[service] = max(found.get(service, 1.0), self.slowness(entry, now))
@@ -116,4 +116,4 @@
 
     def _forget_start(self, before: Upstream) -> None:
         if self.times is not None:
-            self.times.forget(before.id)
+            self.times.discard_upstream(before.id)
--- a/lynxchute/edge/platform.py
+++ b/lynxchute/edge/platform.py
@@ -11,7 +11,7 @@
 from lynxchute.http import ClientPool
 from lynxchute.relay.dialect import Dialect
 from lynxchute.store import Row, Store
-from lynxchute.upstreams.engines import Engines
+from lynxchute.upstreams.engines import EngineClient
 from lynxchute.upstreams.upstream import Upstream
 
 
@@ -41,4 +41,4 @@
     upstream_table: str
     decode_upstream: Callable[[Row], Result[Upstream, str]]
     readiness_path: str
-    make_engines: Callable[[ClientPool], Engines]
+    make_engines: Callable[[ClientPool], EngineClient]
--- a/lynxchute/edge/state.py
+++ b/lynxchute/edge/state.py
@@ -23,7 +23,7 @@
         "load": _load(router),
         "configuration": {
             "version": current.version if current is not None else None,
-            "age": _age(router.configurations.unconfirmed_for()),
+            "age": _age(router.configurations.unconfirmed_seconds()),
         },
         "store_answers": router.keeper.store_answers,
         "evacuated": _evacuated(router, now),
--- a/lynxchute/edge/upstream_rules.py
+++ b/lynxchute/edge/upstream_rules.py
@@ -8,17 +8,17 @@
 from lynxchute.config import Configuration
 from lynxchute.edge.settings import EdgeSettings
 from lynxchute.fleet.members import Members
-from lynxchute.scheduling.cold_placements import ColdPlacements
+from lynxchute.scheduling.cold_placements import ColdPlacementLimiter
 from lynxchute.scheduling.place_requests import scheduling_key
 from lynxchute.upstreams.cold_admission import (
     ADMISSIONS_BY_NAME,
     ColdLimits,
-    StandingWatch,
+    RankWatch,
 )
 from lynxchute.upstreams.directory import Directory
 from lynxchute.upstreams.evacuations import Evacuations
 from lynxchute.upstreams.rate_limits import RateLimits
-from lynxchute.upstreams.rate_sharing import SHARINGS_BY_NAME, Seat
+from lynxchute.upstreams.rate_sharing import SHARINGS_BY_NAME, TurnPosition
 from lynxchute.upstreams.send_gate import SendGate
 
 # Services that no configuration names bear any number of requests.
@@ -69,13 +69,13 @@
     ) -> None:
         self.evacuations = Evacuations()
         admission = ADMISSIONS_BY_NAME[settings().cold_admission]()
-        watch = StandingWatch(self.rank)
+        watch = RankWatch(self.rank)
         sharing = SHARINGS_BY_NAME[settings().rate_sharing]()
         self.rates = RateLimits(
-            sharing, watch.standing, self._seat, store_ms, members_silent_for
+            sharing, watch.held_rank, self._seat, store_ms, members_silent_for
         )
         self.gate = SendGate(self.evacuations, self.cold_limits, self.rates)
-        self.cold = ColdPlacements(admission, watch, self.cold_limits)
+        self.cold = ColdPlacementLimiter(admission, watch, self.cold_limits)
         self._settings = settings
         self._configuration = configuration
         self._directory = directory
@@ -105,13 +105,13 @@
             return None
         return self._members.own_rank(scheduling_key(service))
 
-    def _seat(self, service: str) -> Seat | None:
+    def _seat(self, service: str) -> TurnPosition | None:
         """Return this router's place in the order of turns, where known."""
         rank = self.rank(service)
-        return None if rank is None else Seat(rank, self._members.count)
+        return None if rank is None else TurnPosition(rank, self._members.count)
 
     def _note_evacuation(self, data_centre: str) -> None:
         """Let the load go elsewhere at once, or come back as cold upstreams bear it."""
         if not self.evacuations.is_evacuated(data_centre):
-            self._directory.note_cold_in(data_centre, steady_seconds())
+            self._directory.mark_data_centre_cold(data_centre, steady_seconds())
         self._directory.changed()
--- a/lynxchute/edge/upstreams.py
+++ b/lynxchute/edge/upstreams.py
@@ -75,7 +75,7 @@
         now = steady_seconds()
         if not self.feed.synced.is_set():
             log_event("upstreams listed", count=self._directory.count())
-        for upstream in self._directory.forget(now - FORGET_AFTER):
+        for upstream in self._directory.prune(now - FORGET_AFTER):
             self._clients.drop(upstream.address)
         if self._is_changed:
             self._is_changed = False
@@ -85,14 +85,14 @@
         """Take an entry; return whether it is news."""
         if row.deleted:
             # A feed that never lost the store has regained_at at zero.
-            lapses_at = self.feed.regained_at + LAPSE_SECONDS
-            return self._remove(row, now, lapses_at=lapses_at)
+            expires_at = self.feed.regained_at + LAPSE_SECONDS
+            return self._remove(row, now, expires_at=expires_at)
         result = self._decode(row)
         if result.is_error():
             # It names no upstream to use, whatever it named before; what runs there
             # goes on.
             log_event("upstream not understood", problem=result.error)
-            return self._remove(row, now, lapses_at=0.0)
+            return self._remove(row, now, expires_at=0.0)
         upstream = result.ok
         entry = self._directory.entries_by_id.get(upstream.id)
         was_leaving = entry is not None and entry.upstream.is_leaving
@@ -113,13 +113,13 @@
             )
         return is_news
 
-    def _remove(self, row: Row, now: float, *, lapses_at: float) -> bool:
-        removed = self._directory.remove(row.id.key, now, lapses_at=lapses_at)
+    def _remove(self, row: Row, now: float, *, expires_at: float) -> bool:
+        removed = self._directory.remove(row.id.key, now, expires_at=expires_at)
         if removed:
             log_event(
                 "upstream gone",
                 upstream=row.id.key,
                 version=row.version,
-                may_be_back_s=round(max(lapses_at - now, 0.0), 2),
+                may_be_back_s=round(max(expires_at - now, 0.0), 2),
             )
         return removed
--- a/lynxchute/fleet/quarantine_messages.py
+++ b/lynxchute/fleet/quarantine_messages.py
@@ -5,7 +5,7 @@
 import attrs
 
 from lynxchute.fleet.message import Done, Message
-from lynxchute.quarantine import BrokenRun, Quarantined
+from lynxchute.quarantine import BrokenRun, QuarantineEntry
 
 
 @attrs.frozen
@@ -27,7 +27,7 @@
 
     broken: tuple[BrokenRun, ...] = ()
     survived: tuple[str, ...] = ()
-    quarantined: tuple[Quarantined, ...] = ()
+    quarantined: tuple[QuarantineEntry, ...] = ()
 
 
 @attrs.frozen
@@ -37,5 +37,5 @@
     NAME = "quarantine"
     REPLY = Done
 
-    quarantined: tuple[Quarantined, ...] = ()
+    quarantined: tuple[QuarantineEntry, ...] = ()
     cleared: tuple[str, ...] = ()
--- a/lynxchute/http/held_answer.py
+++ b/lynxchute/http/held_answer.py
@@ -5,10 +5,10 @@
 import asyncio
 from collections.abc import Callable
 
-from lynxchute.overload.memory_guard import Holder, MemoryGuard
+from lynxchute.overload.memory_guard import AnswerBuffer, MemoryGuard
 
 
-class HeldAnswer(Holder):
+class HeldAnswer(AnswerBuffer):
     """The unread part of a connection's answers, as its transport holds it.
 
     Parameters
@@ -62,7 +62,7 @@
     def note_written(self, size: int) -> None:
         """Note that bytes were written for the caller."""
         self._written += size
-        self._guard.note(self, self._clock())
+        self._guard.update(self, self._clock())
 
     def end(self) -> None:
         """Note that the connection is gone."""
--- a/lynxchute/operators/changes.py
+++ b/lynxchute/operators/changes.py
@@ -24,7 +24,7 @@
     SetWeight,
     TopUpStatement,
 )
-from lynxchute.overload.weights import LEAST_WEIGHT, MOST_WEIGHT, usable_weight
+from lynxchute.overload.weights import MAX_WEIGHT, MIN_WEIGHT, usable_weight
 
 Changed = Result[FleetDocument, str]
 
@@ -106,7 +106,7 @@
 
 def _set_weight(before: FleetDocument, name: str, weight: int) -> Changed:
     if usable_weight(weight) != weight:
-        return Error(f"A weight is from {LEAST_WEIGHT:g} to {MOST_WEIGHT:g}.")
+        return Error(f"A weight is from {MIN_WEIGHT:g} to {MAX_WEIGHT:g}.")
     accounts = []
     for account in before.accounts:
         if account.name == name:
--- a/lynxchute/operators/quarantine_row.py
+++ b/lynxchute/operators/quarantine_row.py
@@ -8,8 +8,8 @@
 from expression import Error, Ok, Result
 
 from lynxchute.clock import steady_seconds
-from lynxchute.containment.judge import ROW_ID
-from lynxchute.quarantine import Record
+from lynxchute.containment.judge import QUARANTINE_ROW_ID
+from lynxchute.quarantine import QuarantineRecord
 from lynxchute.store import (
     Committed,
     Expected,
@@ -62,30 +62,32 @@
                 without = _without(record, content)
                 if without == record:
                     return Ok(f"No request {content!r} is in quarantine.")
-                expected = Expected(ROW_ID, version)
-                write = Write((expected,), (Put(ROW_ID, without.encode()),))
+                expected = Expected(QUARANTINE_ROW_ID, version)
+                write = Write((expected,), (Put(QUARANTINE_ROW_ID, without.encode()),))
                 if isinstance(await self._store.write(write), Committed):
                     return Ok("It is sent to upstreams again.")
         except (StoreUnavailable, OutcomeUnknown):
             return Error(OUT_OF_REACH)
         return Error("The row changes all the time. Try again.")
 
-    async def _read(self) -> tuple[Record, int]:
-        snapshot = await self._store.scan(ROW_ID.table)
+    async def _read(self) -> tuple[QuarantineRecord, int]:
+        snapshot = await self._store.scan(QUARANTINE_ROW_ID.table)
         row = _row_of(snapshot.rows)
         if row is None:
-            return Record(), ABSENT
-        return Record.decode(row.value).default_value(Record()), row.version
+            return QuarantineRecord(), ABSENT
+        return QuarantineRecord.decode(row.value).default_value(
+            QuarantineRecord()
+        ), row.version
 
 
 def _row_of(rows: tuple[Row, ...]) -> Row | None:
     for row in rows:
-        if row.id.key == ROW_ID.key:
+        if row.id.key == QUARANTINE_ROW_ID.key:
             return row
     return None
 
 
-def _without(record: Record, content: str) -> Record:
+def _without(record: QuarantineRecord, content: str) -> QuarantineRecord:
     return attrs.evolve(
         record,
         quarantined=tuple(q for q in record.quarantined if q.content != content),
--- a/lynxchute/overload/__init__.py
+++ b/lynxchute/overload/__init__.py
@@ -1,42 +1,47 @@
 """Decisions under load, without I/O: what is full, who waits, whose share is used."""
 
 from lynxchute.overload.guard import (
-    LINK,
-    MEMORY,
-    PROCESSOR,
-    Guard,
+    LINK_LIMITS,
+    MEMORY_LIMITS,
+    PROCESSOR_LIMITS,
     Limits,
+    OverloadGuard,
     Resource,
 )
-from lynxchute.overload.load import IDLE, Load, LoadSource
+from lynxchute.overload.load import IDLE_LOAD, Load, LoadSource
 from lynxchute.overload.local_shares import LocalShares
-from lynxchute.overload.memory_guard import Cut, HeldBounds, Holder, MemoryGuard
+from lynxchute.overload.memory_guard import (
+    AnswerBuffer,
+    BufferBounds,
+    CutAnswer,
+    MemoryGuard,
+)
 from lynxchute.overload.processor import ProcessorMeter
 from lynxchute.overload.shares import AccountShares
-from lynxchute.overload.sources import MeasuredSource, share_of
+from lynxchute.overload.sources import CallbackLoadSource, utilization
 from lynxchute.overload.ticket import Ticket, TicketQueue
 from lynxchute.overload.upstream_memory import UpstreamMemory
 
 __all__ = [
-    "IDLE",
-    "LINK",
-    "MEMORY",
-    "PROCESSOR",
+    "IDLE_LOAD",
+    "LINK_LIMITS",
+    "MEMORY_LIMITS",
+    "PROCESSOR_LIMITS",
     "AccountShares",
-    "Cut",
-    "Guard",
-    "HeldBounds",
-    "Holder",
+    "CutAnswer",
+    "OverloadGuard",
+    "BufferBounds",
+    "AnswerBuffer",
     "Limits",
     "Load",
     "LoadSource",
     "LocalShares",
-    "MeasuredSource",
+    "CallbackLoadSource",
     "MemoryGuard",
     "ProcessorMeter",
     "Resource",
     "Ticket",
     "TicketQueue",
     "UpstreamMemory",
-    "share_of",
+    "utilization",
 ]
--- a/lynxchute/overload/claim.py
+++ b/lynxchute/overload/claim.py
@@ -13,7 +13,7 @@
 MOST_NAME = 256
 
 
-class BadClaim(ValueError):
+class InvalidClaim(ValueError):
     """Report a claim that no router makes."""
 
 
@@ -82,18 +82,24 @@
             Where something is not.
         """
         if not 0.0 <= self.waited <= MOST_SECONDS:
-            raise BadClaim("time waited")
+            raise InvalidClaim("time waited")
         if not 0.0 <= self.left <= MOST_SECONDS:
-            raise BadClaim("time left")
+            raise InvalidClaim("time left")
         if not abs(self.due_in) <= MOST_SECONDS:
-            raise BadClaim("time due")
+            raise InvalidClaim("time due")
         if not 0 <= self.rank <= MOST_RANK:
-            raise BadClaim("rank")
+            raise InvalidClaim("rank")
         if len(self.account) > MOST_NAME or len(self.content) > MOST_NAME:
-            raise BadClaim("name")
+            raise InvalidClaim("name")
 
     def ticket(
-        self, run_id: str, router: str, cost: float, now: float, *, is_return: bool
+        self,
+        run_id: str,
+        router: str,
+        cost: float,
+        now: float,
+        *,
+        is_timely_retry: bool,
     ) -> Ticket:
         """Return the ticket for a claim that is made now."""
         return Ticket(
@@ -103,13 +109,13 @@
             rank=self.rank,
             cost=cost,
             arrived_at=now - self.waited,
-            leaves_at=now + self.left,
-            is_return=is_return,
+            expires_at=now + self.left,
+            is_timely_retry=is_timely_retry,
             due_at=now + self.due_in,
         )
 
 
-class NotYet(Exception):
+class AdmissionPending(Exception):
     """Tell a request to ask again for a place.
 
     Parameters
@@ -126,7 +132,7 @@
         self.ahead = ahead
 
 
-class NoTurn(Exception):
+class AdmissionRefused(Exception):
     """Refuse a request whose turn for a place comes too late.
 
     Parameters
--- a/lynxchute/overload/drain.py
+++ b/lynxchute/overload/drain.py
@@ -9,7 +9,7 @@
 FADE_SECONDS = 2.0
 
 
-class Drain:
+class DrainRate:
     """Learn the places a second that become free from when they do.
 
     Parameters
@@ -24,7 +24,7 @@
         self._at = 0.0
         self._begun_at: float | None = None
 
-    def note_freed(self, now: float) -> None:
+    def record_freed(self, now: float) -> None:
         """Note a place that has become free."""
         if self._begun_at is None:
             self._begun_at = now
--- a/lynxchute/overload/fair_shares.py
+++ b/lynxchute/overload/fair_shares.py
@@ -14,7 +14,7 @@
 import attrs
 
 from lynxchute.overload.shares import AccountShares
-from lynxchute.overload.weights import USUAL_WEIGHT, usable_weight
+from lynxchute.overload.weights import DEFAULT_WEIGHT, usable_weight
 
 # Time constant in seconds by which use is forgotten: callers wait a few seconds, so who
 # has asked for too much of late competes with those who wait now, not with the next.
@@ -64,7 +64,7 @@
 
     def __init__(
         self,
-        weight_of: Callable[[str], float] = lambda account: USUAL_WEIGHT,
+        weight_of: Callable[[str], float] = lambda account: DEFAULT_WEIGHT,
         *,
         most: int = MOST_ACCOUNTS,
     ) -> None:
@@ -78,7 +78,7 @@
     def __len__(self) -> int:
         return len(self._use_by_account)
 
-    def note_use(self, account: str, cost: float, now: float) -> None:
+    def record_use(self, account: str, cost: float, now: float) -> None:
         """Count what a request of an account costs; what is no cost counts nothing."""
         if not (math.isfinite(cost) and cost > 0.0):
             return
@@ -171,7 +171,7 @@
 
     def __init__(
         self,
-        weight_of: Callable[[str], float] = lambda account: USUAL_WEIGHT,
+        weight_of: Callable[[str], float] = lambda account: DEFAULT_WEIGHT,
         *,
         most: int = MOST_ACCOUNTS,
     ) -> None:
--- a/lynxchute/overload/guard.py
+++ b/lynxchute/overload/guard.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from lynxchute.overload.load import IDLE, Load, LoadSource
+from lynxchute.overload.load import IDLE_LOAD, Load, LoadSource
 from lynxchute.overload.shares import AccountShares
 
 # Seconds for which a VM is not ready at least: the balancer notices after two, and the
@@ -52,7 +52,7 @@
         none at half of it, each at one and a half.
     """
 
-    passes: float
+    waits_per_request: float
     brief_passes: float
     slow_share: float
     least_use: float
@@ -63,8 +63,8 @@
     full_delay: float
 
 
-LINK = Limits(
-    passes=1.0,
+LINK_LIMITS = Limits(
+    waits_per_request=1.0,
     brief_passes=1.0,
     slow_share=0.3,
     least_use=0.0,
@@ -74,8 +74,8 @@
     full_use=math.inf,
     full_delay=0.15,
 )
-PROCESSOR = Limits(
-    passes=6.0,
+PROCESSOR_LIMITS = Limits(
+    waits_per_request=6.0,
     brief_passes=2.0,
     slow_share=3.0,
     least_use=0.6,
@@ -85,8 +85,8 @@
     full_use=math.inf,
     full_delay=0.02,
 )
-MEMORY = Limits(
-    passes=1.0,
+MEMORY_LIMITS = Limits(
+    waits_per_request=1.0,
     brief_passes=1.0,
     slow_share=0.3,
     least_use=0.0,
@@ -125,11 +125,13 @@
     def is_too_slow(self, objective: float, *, is_brief: bool) -> bool:
         """Return whether a request would wait too long for it, by its objective."""
         limits = self.limits
-        passes = limits.brief_passes if is_brief else limits.passes
-        return passes * self.load().delay > limits.slow_share * objective
+        waits_per_request = (
+            limits.brief_passes if is_brief else limits.waits_per_request
+        )
+        return waits_per_request * self.load().delay > limits.slow_share * objective
 
 
-class Guard:
+class OverloadGuard:
     """Decide what a router serves, by the load of its resources.
 
     The load that it answers is one VM that gets more than it carries while others
@@ -174,13 +176,13 @@
         """Return whether the balancer should give new connections to this VM."""
         return self._spell_began is None
 
-    def note_request(self, account: str) -> None:
+    def record_request(self, account: str) -> None:
         """Count a request that is served."""
         self._asked_at = self._clock()
         if self._shares is not None:
-            self._shares.note_use(account, 1.0, self._asked_at)
+            self._shares.record_use(account, 1.0, self._asked_at)
 
-    def look(self) -> str:
+    def poll(self) -> str:
         """Look at all resources; return the one for which a spell begins.
 
         In a spell the VM is not ready; an empty text where none begins.
@@ -189,7 +191,7 @@
         now = self._clock()
         if self._spell_began is not None:
             passed = now - self._spell_began
-            if passed < SPELL_SECONDS or self.kept_share() < 1.0:
+            if passed < SPELL_SECONDS or self.sustainable_share() < 1.0:
                 if passed < LONGEST_SPELL:
                     return ""
                 self._rests_until = now + REST_SECONDS
@@ -226,7 +228,7 @@
             share = max(share, _ramp(load.delay, limits.full_delay))
         return self._random.random() < share
 
-    def kept_share(self) -> float:
+    def sustainable_share(self) -> float:
         """Return the share of the present work that the VM can go on with."""
         kept = 1.0
         for resource in self._resources:
@@ -244,7 +246,7 @@
             return False
         return self._goes_elsewhere(account)
 
-    def refuses(
+    def shed_reason(
         self, objective: float, account: str = "", *, is_brief: bool = False
     ) -> str:
         """Return the resource for which a request is refused, or an empty text.
@@ -256,7 +258,7 @@
         is_brief
             Whether it needs no place at an engine and no tokens.
         """
-        found = self.refuses_all(objective, is_brief=is_brief)
+        found = self.shed_reason_for_all(objective, is_brief=is_brief)
         if found:
             return found
         for resource in self._resources:
@@ -266,7 +268,7 @@
                 return resource.name
         return ""
 
-    def refuses_all(self, objective: float, *, is_brief: bool = False) -> str:
+    def shed_reason_for_all(self, objective: float, *, is_brief: bool = False) -> str:
         """Return the resource for which a request is refused whoever sends it.
 
         That may be asked before the body is read.
@@ -283,11 +285,11 @@
 
     def load_of(self, name: str) -> Load:
         """Return the load of one resource."""
-        return self.loads().get(name, IDLE)
+        return self.loads().get(name, IDLE_LOAD)
 
     def _goes_elsewhere(self, account: str) -> bool:
         """Return whether this one is of the share that is too much."""
-        kept = self.kept_share()
+        kept = self.sustainable_share()
         if kept >= 1.0:
             return False
         if self._shares is not None and account:
--- a/lynxchute/overload/load.py
+++ b/lynxchute/overload/load.py
@@ -34,7 +34,7 @@
         return Load(max(self.use, other.use), max(self.delay, other.delay))
 
 
-IDLE = Load()
+IDLE_LOAD = Load()
 
 
 class LoadSource(ABC):
--- a/lynxchute/overload/local_shares.py
+++ b/lynxchute/overload/local_shares.py
@@ -32,7 +32,7 @@
         self._use_by_account: dict[str, float] = {}
         self._at = 0.0
 
-    def note_use(self, account: str, cost: float, now: float) -> None:
+    def record_use(self, account: str, cost: float, now: float) -> None:
         """Count what a request of an account costs."""
         if not (math.isfinite(cost) and cost > 0.0):
             return
--- a/lynxchute/overload/memory_guard.py
+++ b/lynxchute/overload/memory_guard.py
@@ -22,7 +22,7 @@
 SETTLED_SECONDS = 2.0
 
 
-class Holder(ABC):
+class AnswerBuffer(ABC):
     """One caller's connection, for which answers may wait in memory.
 
     Attributes
@@ -49,7 +49,7 @@
 
 
 @attrs.frozen
-class HeldBounds:
+class BufferBounds:
     """What may wait in memory, in bytes."""
 
     total: int
@@ -57,13 +57,13 @@
     by_connection: int
 
     @classmethod
-    def of_total(cls, total: int) -> HeldBounds:
+    def of_total(cls, total: int) -> BufferBounds:
         """Return the bounds that go with a total.
 
         Examples
         --------
-        >>> HeldBounds.of_total(32_000_000)
-        HeldBounds(total=32000000, by_account=10666666, by_connection=1000000)
+        >>> BufferBounds.of_total(32_000_000)
+        BufferBounds(total=32000000, by_account=10666666, by_connection=1000000)
         """
         by_connection = max(total // CONNECTION_PART, LEAST_BY_CONNECTION)
         return cls(total, total // ACCOUNT_PART, by_connection)
@@ -81,7 +81,7 @@
         What the caller had taken by then.
     """
 
-    holder: Holder
+    holder: AnswerBuffer
     account: str
     since: float
     read_before: int
@@ -98,7 +98,7 @@
 
 
 @attrs.frozen
-class Cut:
+class CutAnswer:
     """An answer that was broken off.
 
     Attributes
@@ -136,15 +136,17 @@
     """
 
     def __init__(
-        self, bounds: HeldBounds, on_cut: Callable[[Cut], None] = lambda cut: None
+        self,
+        bounds: BufferBounds,
+        on_cut: Callable[[CutAnswer], None] = lambda cut: None,
     ) -> None:
         self.bounds = bounds
         self.held = 0
         self._on_cut = on_cut
-        self._held_by_holder: dict[Holder, _Held] = {}
+        self._held_by_holder: dict[AnswerBuffer, _Held] = {}
         self._total_by_account: dict[str, int] = {}
 
-    def note(self, holder: Holder, now: float) -> None:
+    def update(self, holder: AnswerBuffer, now: float) -> None:
         """Take what waits for a caller now; cut answers where a bound is passed.
 
         Parameters
@@ -168,13 +170,13 @@
         if self.held > self.bounds.total:
             self._relieve_all(now)
 
-    def drop(self, holder: Holder) -> None:
+    def drop(self, holder: AnswerBuffer) -> None:
         """Forget a caller, who has read all or left."""
         held = self._held_by_holder.pop(holder, None)
         if held is not None:
             self._resize(held, 0)
 
-    def has_room(self, holder: Holder) -> bool:
+    def has_room(self, holder: AnswerBuffer) -> bool:
         """Return whether a connection may hold more than it does."""
         return holder.held_bytes < self.bounds.by_connection
 
@@ -201,7 +203,7 @@
         large = [held for held in candidates if held.size >= mean * LARGE_SHARE]
         settled = [held for held in large if held.is_settled(now)] or large
         slowest = min(settled, key=lambda held: (held.speed(now), -held.size))
-        cut = Cut(account, slowest.size, slowest.speed(now))
+        cut = CutAnswer(account, slowest.size, slowest.speed(now))
         self.drop(slowest.holder)
         slowest.holder.cut()
         self._on_cut(cut)
--- a/lynxchute/overload/processor.py
+++ b/lynxchute/overload/processor.py
@@ -39,7 +39,7 @@
     --------
     >>> meter = ProcessorMeter(lambda: 1.0)
     >>> for turn in range(10):
-    ...     meter.note_sleep(turn * 0.1 + 0.08, turn * 0.1 + 0.1, 0.05)
+    ...     meter.record_sleep(turn * 0.1 + 0.08, turn * 0.1 + 0.1, 0.05)
     >>> meter.load().use > 0.6
     True
     """
@@ -56,7 +56,7 @@
         """Return the resource in one word."""
         return "processor"
 
-    def note_sleep(self, began: float, ended: float, asked: float) -> None:
+    def record_sleep(self, began: float, ended: float, asked: float) -> None:
         """Take one sleep of the loop between two turns.
 
         Parameters
--- a/lynxchute/overload/returns.py
+++ b/lynxchute/overload/returns.py
@@ -28,7 +28,7 @@
     back_at: float
 
 
-class Returns:
+class ExpectedRetries:
     """Remember whom a refusal told to come back, and when.
 
     Parameters
@@ -44,7 +44,9 @@
     def __len__(self) -> int:
         return len(self._told_by_caller)
 
-    def note_told(self, account: str, content: str, after: float, now: float) -> None:
+    def record_refusal(
+        self, account: str, content: str, after: float, now: float
+    ) -> None:
         """Remember a refusal.
 
         Parameters
@@ -63,7 +65,7 @@
             self._told_by_caller.popitem(last=False)
         self._told_by_caller[caller] = _Told(now + max(after, 0.0))
 
-    def take(self, account: str, content: str, now: float) -> bool:
+    def consume(self, account: str, content: str, now: float) -> bool:
         """Return whether a caller comes back as told, and forget that it was.
 
         One that comes early is no return, and has to wait to be told again.
--- a/lynxchute/overload/shares.py
+++ b/lynxchute/overload/shares.py
@@ -13,7 +13,7 @@
     """
 
     @abstractmethod
-    def note_use(self, account: str, cost: float, now: float) -> None:
+    def record_use(self, account: str, cost: float, now: float) -> None:
         """Count what a request of an account costs.
 
         Parameters
--- a/lynxchute/overload/sources.py
+++ b/lynxchute/overload/sources.py
@@ -7,7 +7,7 @@
 from lynxchute.overload.load import Load, LoadSource
 
 
-class MeasuredSource(LoadSource):
+class CallbackLoadSource(LoadSource):
     """Return what functions measure.
 
     Parameters
@@ -40,12 +40,12 @@
         return Load(self._use(), self._delay())
 
 
-def share_of(used: float, limit: float) -> float:
+def utilization(used: float, limit: float) -> float:
     """Return which share of a limit is used; 0 where there is no limit.
 
     Examples
     --------
-    >>> share_of(3.0, 4.0), share_of(3.0, 0.0)
+    >>> utilization(3.0, 4.0), utilization(3.0, 0.0)
     (0.75, 0.0)
     """
     return used / limit if limit > 0.0 else 0.0
--- a/lynxchute/overload/ticket.py
+++ b/lynxchute/overload/ticket.py
@@ -40,8 +40,8 @@
     rank: int
     cost: float
     arrived_at: float
-    leaves_at: float
-    is_return: bool = False
+    expires_at: float
+    is_timely_retry: bool = False
     due_at: float = math.inf
 
 
@@ -60,7 +60,7 @@
         """
 
     @abstractmethod
-    def take(self, now: float) -> Ticket | None:
+    def consume(self, now: float) -> Ticket | None:
         """Remove and return the ticket that is next; None where none waits."""
 
     @abstractmethod
--- a/lynxchute/overload/ticket_queue.py
+++ b/lynxchute/overload/ticket_queue.py
@@ -13,7 +13,7 @@
 
 import attrs
 
-from lynxchute.overload.drain import Drain
+from lynxchute.overload.drain import DrainRate
 from lynxchute.overload.kinds_served import KindsServed
 from lynxchute.overload.shares import AccountShares
 from lynxchute.overload.ticket import Ticket, TicketQueue
@@ -72,7 +72,7 @@
     """
 
     def __init__(
-        self, shares: AccountShares, drain: Drain, *, most: int = MOST_TICKETS
+        self, shares: AccountShares, drain: DrainRate, *, most: int = MOST_TICKETS
     ) -> None:
         self._shares = shares
         self.drain = drain
@@ -103,7 +103,7 @@
     def put(self, ticket: Ticket, now: float) -> float | None:
         """Take a ticket, or refuse what would wait longer than its caller does."""
         if ticket.run_id in self._waiting_by_run:
-            return self.refusal(ticket.run_id, now)
+            return self.reject_if_late(ticket.run_id, now)
         self._kinds.note_asked(ticket.rank, now)
         self._put_in_order(now)
         self._numbers += 1
@@ -120,14 +120,14 @@
         if ticket.rank in self._hardly_served:
             # At the end of the order it would be refused before its kind's turn comes.
             self._ordered_at = -math.inf
-        return self.refusal(ticket.run_id, now)
+        return self.reject_if_late(ticket.run_id, now)
 
-    def take(self, now: float) -> Ticket | None:
+    def consume(self, now: float) -> Ticket | None:
         """Remove and return the ticket that is next; its request is served."""
         self._put_in_order(now)
         if not self._order:
             return None
-        return self.serve(self._order[0][1], now)
+        return self.admit(self._order[0][1], now)
 
     def drop(self, run_id: str) -> None:
         """Forget a ticket whose caller has left."""
@@ -136,19 +136,19 @@
             index = bisect_left(self._order, (waiting.key, run_id))
             del self._order[index]
 
-    def serve(self, run_id: str, now: float) -> Ticket:
+    def admit(self, run_id: str, now: float) -> Ticket:
         """Remove and return a ticket whose request has got a place."""
         ticket = self._waiting_by_run[run_id].ticket
         self.drop(run_id)
         self._kinds.note_served(ticket.rank, now)
         return ticket
 
-    def note_passed(self, rank: int, now: float) -> None:
+    def record_unqueued(self, rank: int, now: float) -> None:
         """Count a request that got a place without waiting."""
         self._kinds.note_asked(rank, now)
         self._kinds.note_served(rank, now)
 
-    def ahead_of(self, run_id: str, now: float) -> int:
+    def position_of(self, run_id: str, now: float) -> int:
         """Return how many tickets come before one that waits."""
         self._put_in_order(now)
         waiting = self._waiting_by_run[run_id]
@@ -156,9 +156,9 @@
 
     def expected_wait(self, run_id: str, now: float) -> float:
         """Return the seconds until a ticket's turn."""
-        return self._wait(self.ahead_of(run_id, now), now)
+        return self._wait(self.position_of(run_id, now), now)
 
-    def refusal(self, run_id: str, now: float) -> float | None:
+    def reject_if_late(self, run_id: str, now: float) -> float | None:
         """Refuse a ticket whose turn comes too late, and forget it.
 
         Returns
@@ -167,11 +167,11 @@
             Seconds after which its caller should come back; None where it waits on.
         """
         ticket = self._waiting_by_run[run_id].ticket
-        if ticket.leaves_at <= now:
+        if ticket.expires_at <= now:
             self.drop(run_id)
             return 0.0
-        ahead = self.ahead_of(run_id, now)
-        if self._wait(ahead, now) * SURE <= ticket.leaves_at - now:
+        ahead = self.position_of(run_id, now)
+        if self._wait(ahead, now) * SURE <= ticket.expires_at - now:
             return None
         self.drop(run_id)
         return self.retry_after(ticket, ahead, now)
@@ -182,7 +182,7 @@
         By then so many of those ahead of it are served that its turn would come while
         it waits. No two in a row are told the same.
         """
-        left = max(ticket.leaves_at - now, 0.0)
+        left = max(ticket.expires_at - now, 0.0)
         wait = self._wait(ahead, now)
         after = min(max(wait - left / SURE, LEAST_RETRY_SHARE * left), wait)
         self._numbers += 1
@@ -200,10 +200,10 @@
         if excess > SHARE_SLACK:
             # A doubling apart, so that small changes do not change the order.
             band = 1 + int(math.log2(excess / SHARE_SLACK))
-        if ticket.is_return and band:
+        if ticket.is_timely_retry and band:
             band -= 1
         at = ticket.arrived_at + (LATE_SECONDS if now > ticket.due_at else 0.0)
-        return (ticket.rank, band, int(not ticket.is_return), at, number)
+        return (ticket.rank, band, int(not ticket.is_timely_retry), at, number)
 
     def _put_in_order(self, now: float) -> None:
         """Give tickets their keys anew, after a while, without those who have left."""
@@ -212,7 +212,7 @@
         self._ordered_at = now
         self._hardly_served = self._kinds.below(LEAST_SERVED, now)
         for run_id, waiting in list(self._waiting_by_run.items()):
-            if waiting.ticket.leaves_at <= now:
+            if waiting.ticket.expires_at <= now:
                 del self._waiting_by_run[run_id]
                 continue
             waiting.key = self._key(waiting.ticket, waiting.number, now)
--- a/lynxchute/overload/upstream_memory.py
+++ b/lynxchute/overload/upstream_memory.py
@@ -67,7 +67,7 @@
         """Note that an upstream holds a request."""
         self._upstream(upstream_id).held += size
 
-    def note_ended(self, upstream_id: str, size: int) -> None:
+    def record_end(self, upstream_id: str, size: int) -> None:
         """Note that an upstream is done with a request."""
         upstream = self._upstream(upstream_id)
         upstream.held = max(upstream.held - size, 0)
--- a/lynxchute/overload/weights.py
+++ b/lynxchute/overload/weights.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 # Weights beyond these are mistakes, and would leave the others next to nothing.
-LEAST_WEIGHT = 0.01
-MOST_WEIGHT = 100.0
-USUAL_WEIGHT = 1.0
+MIN_WEIGHT = 0.01
+MAX_WEIGHT = 100.0
+DEFAULT_WEIGHT = 1.0
 
 
 def usable_weight(value: object) -> float:
@@ -17,7 +17,7 @@
     [3.0, 1.0, 1.0, 1.0]
     """
     if isinstance(value, bool) or not isinstance(value, int | float):
-        return USUAL_WEIGHT
-    if not LEAST_WEIGHT <= value <= MOST_WEIGHT:
-        return USUAL_WEIGHT
+        return DEFAULT_WEIGHT
+    if not MIN_WEIGHT <= value <= MAX_WEIGHT:
+        return DEFAULT_WEIGHT
     return float(value)
--- a/lynxchute/platform/dialect.py
+++ b/lynxchute/platform/dialect.py
@@ -10,7 +10,7 @@
 from lynxchute.platform import names
 from lynxchute.platform.statements import STATEMENT_HEADERS
 from lynxchute.relay.call import Call
-from lynxchute.relay.dialect import Dialect, Dispatch, Verdict, names_request
+from lynxchute.relay.dialect import Dialect, Dispatch, ResponseKind, is_for_request
 from lynxchute.upstreams.generation import Generation, PromptPart
 from lynxchute.upstreams.statement import Statement
 
@@ -52,8 +52,8 @@
             request_id=request_id,
             host=_host_name(headers.get("host", "")),
             key=headers.get(names.KEY.lower(), ""),
-            patience=_patience(headers),
-            resumes_after=headers.get(names.LAST_EVENT.lower(), ""),
+            caller_timeout=_patience(headers),
+            last_event_id=headers.get(names.LAST_EVENT.lower(), ""),
             generation=_generation(headers),
         )
 
@@ -62,7 +62,7 @@
     ) -> list[tuple[bytes, bytes]]:
         """Return the headers of a send, without the body's length."""
         dropped = NOT_FORWARDED
-        if dispatch.resumes_after:
+        if dispatch.last_event_id:
             dropped = dropped | {names.LAST_EVENT.lower()}
         headers = call.request.headers.end_to_end(dropped)
         left_ms = max(int(dispatch.time_left * 1000), 1)
@@ -76,26 +76,26 @@
             own.append((names.PRIORITY, str(min(dispatch.priority, MAX_PRIORITY))))
         if dispatch.fetch_from is not None:
             own.append((names.FETCH_CACHE, dispatch.fetch_from.address))
-        if dispatch.resumes_after:
-            own.append((names.LAST_EVENT, dispatch.resumes_after))
+        if dispatch.last_event_id:
+            own.append((names.LAST_EVENT, dispatch.last_event_id))
         headers.extend((name.encode(), value.encode("latin-1")) for name, value in own)
         return headers
 
     def is_answer(self, call: Call, head: h11.Response) -> bool:
         """Return whether an answer is one to this call."""
-        return names_request(head, names.REQUEST_ID, call.request_id)
+        return is_for_request(head, names.REQUEST_ID, call.request_id)
 
-    def verdict(self, status: int, headers: Headers) -> Verdict:
+    def response_kind(self, status: int, headers: Headers) -> ResponseKind:
         """Return what the head of an answer says."""
         if status == 421:
-            return Verdict.MOVED
+            return ResponseKind.MOVED
         if names.NOT_RUN.lower() in headers:
-            return Verdict.NOT_RUN
+            return ResponseKind.NOT_RUN
         if names.SIGNATURE.lower() not in headers:
-            return Verdict.INVALID
+            return ResponseKind.INVALID
         if "content-encoding" in headers:
-            return Verdict.INVALID
-        return Verdict.ANSWERED
+            return ResponseKind.INVALID
+        return ResponseKind.ANSWERED
 
     def statement(self, status: int, headers: Headers) -> Statement:
         """Return what the head of an answer states of its upstream."""
--- a/lynxchute/platform/engines.py
+++ b/lynxchute/platform/engines.py
@@ -20,14 +20,14 @@
 from lynxchute.store.row_value import RowValue, ValueUnreadable
 from lynxchute.upstreams.engines import Probe
 from lynxchute.upstreams.generation import PromptPart
-from lynxchute.upstreams.http_engines import HttpEngines, no_answer
+from lynxchute.upstreams.http_engines import HttpEngineClient, no_answer
 from lynxchute.upstreams.upstream import Upstream
 
 # A report is answered at once, whatever the upstream is doing.
 PROBE_TIMEOUTS = Timeouts(connect=0.15, first_byte=0.25, between_bytes=0.25)
 
 
-class PlatformEngines(HttpEngines):
+class PlatformEngines(HttpEngineClient):
     """Ask the platform's engines."""
 
     LIST_PATH = CACHE_LIST
@@ -60,7 +60,7 @@
     except ValueUnreadable:
         return Probe(cold_seconds=cold_ms / 1000.0)
     cold_seconds = max(cold_ms, told_ms) / 1000.0
-    return Probe(started_ms, cold_seconds, in_work=_in_work(value))
+    return Probe(started_ms, cold_seconds, active_requests=_in_work(value))
 
 
 def _in_work(report: RowValue) -> int | None:
--- a/lynxchute/platform/settings.py
+++ b/lynxchute/platform/settings.py
@@ -12,7 +12,7 @@
 from lynxchute.address import Address
 from lynxchute.edge.settings import USUAL_LINK_MBPS, Bounds, EdgeSettings, Features
 from lynxchute.upstreams.cold_admission import ADMISSIONS_BY_NAME, FirstRegistered
-from lynxchute.upstreams.rate_sharing import SHARINGS_BY_NAME, MostlyCounted
+from lynxchute.upstreams.rate_sharing import SHARINGS_BY_NAME, MostlyCentral
 
 SETTINGS_VARIABLE = "LYNXCHUTE_SETTINGS"
 # The port for metrics stands in the deploy file only, which hands it on here.
@@ -80,7 +80,7 @@
             reader, environment, COLD_VARIABLE, ADMISSIONS_BY_NAME, FirstRegistered.NAME
         ),
         rate_sharing=_way(
-            reader, environment, RATE_VARIABLE, SHARINGS_BY_NAME, MostlyCounted.NAME
+            reader, environment, RATE_VARIABLE, SHARINGS_BY_NAME, MostlyCentral.NAME
         ),
         store_spans_parts=reader.flag("platform", "across"),
         peers_reached_at=_peers_reached_at(reader, environment),
--- a/lynxchute/quarantine/__init__.py
+++ b/lynxchute/quarantine/__init__.py
@@ -4,7 +4,7 @@
 from lynxchute.quarantine.evidence import BrokenRun, Finding, Verdict
 from lynxchute.quarantine.progress import Progress
 from lynxchute.quarantine.quarantine import Quarantine
-from lynxchute.quarantine.record import Quarantined, Record, Suspect
+from lynxchute.quarantine.record import QuarantineEntry, QuarantineRecord, Suspect
 from lynxchute.quarantine.served import ServedContents
 from lynxchute.quarantine.suspicion import Suspicion
 
@@ -13,8 +13,8 @@
     "Finding",
     "Progress",
     "Quarantine",
-    "Quarantined",
-    "Record",
+    "QuarantineEntry",
+    "QuarantineRecord",
     "ServedContents",
     "Suspect",
     "Suspicion",
--- a/lynxchute/quarantine/quarantine.py
+++ b/lynxchute/quarantine/quarantine.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from lynxchute.quarantine.record import MAX_QUARANTINED, Quarantined
+from lynxchute.quarantine.record import MAX_QUARANTINED, QuarantineEntry
 
 # Milliseconds for which what a router told counts beside a newer row of the store that
 # does not have it: the router that judged writes it within some ms, or takes it back.
@@ -26,18 +26,18 @@
     Examples
     --------
     >>> quarantine = Quarantine()
-    >>> quarantine.add([Quarantined("q", since_ms=0, until_ms=10)], 0)
+    >>> quarantine.add([QuarantineEntry("q", since_ms=0, until_ms=10)], 0)
     ['q']
     >>> quarantine.find("q", 9).until_ms, quarantine.find("q", 10)
     (10, None)
     """
 
     def __init__(self) -> None:
-        self.by_content: dict[str, Quarantined] = {}
+        self.by_content: dict[str, QuarantineEntry] = {}
         self.dropped = 0
         self._told_at_ms_by_content: dict[str, int] = {}
 
-    def find(self, content: str, now_ms: int) -> Quarantined | None:
+    def find(self, content: str, now_ms: int) -> QuarantineEntry | None:
         """Return the quarantine that a request is in, if any."""
         found = self.by_content.get(content)
         if found is None:
@@ -47,7 +47,7 @@
             return None
         return found
 
-    def replace(self, quarantined: Iterable[Quarantined], now_ms: int) -> list[str]:
+    def replace(self, quarantined: Iterable[QuarantineEntry], now_ms: int) -> list[str]:
         """Take what stands in the store; return the contents that are new."""
         standing = {item.content: item for item in quarantined}
         for content in list(self.by_content):
@@ -58,7 +58,7 @@
             self._told_at_ms_by_content.pop(content, None)
         return self._put(standing.values())
 
-    def add(self, quarantined: Iterable[Quarantined], now_ms: int) -> list[str]:
+    def add(self, quarantined: Iterable[QuarantineEntry], now_ms: int) -> list[str]:
         """Take what a router tells; return the contents that are new."""
         items = list(quarantined)
         for item in items:
@@ -67,7 +67,7 @@
                 self._told_at_ms_by_content[item.content] = now_ms
         return self._put(items)
 
-    def told(self) -> tuple[Quarantined, ...]:
+    def told(self) -> tuple[QuarantineEntry, ...]:
         """Return what was told and does not stand in the store yet."""
         return tuple(
             self.by_content[content] for content in self._told_at_ms_by_content
@@ -78,7 +78,7 @@
         for content in contents:
             self._drop(content)
 
-    def _put(self, items: Iterable[Quarantined]) -> list[str]:
+    def _put(self, items: Iterable[QuarantineEntry]) -> list[str]:
         new = []
         for item in items:
             if item.content not in self.by_content:
--- a/lynxchute/quarantine/record.py
+++ b/lynxchute/quarantine/record.py
@@ -43,7 +43,7 @@
 
 
 @attrs.frozen
-class Quarantined:
+class QuarantineEntry:
     """A request that is sent to no upstream for a while.
 
     Attributes
@@ -63,10 +63,10 @@
 
 
 @attrs.frozen
-class Record:
+class QuarantineRecord:
     """The fleet's knowledge, as it stands in a row of the store."""
 
-    quarantined: tuple[Quarantined, ...] = ()
+    quarantined: tuple[QuarantineEntry, ...] = ()
     suspects: tuple[Suspect, ...] = ()
 
     @property
@@ -81,7 +81,7 @@
         return json.dumps(fields, separators=(",", ":")).encode()
 
     @classmethod
-    def decode(cls, value: bytes) -> Result[Record, str]:
+    def decode(cls, value: bytes) -> Result[QuarantineRecord, str]:
         """Return the record of a row, or what is wrong with the row."""
         try:
             row = RowValue.decode(value)
@@ -104,8 +104,8 @@
     return items
 
 
-def _quarantined(row: RowValue) -> Quarantined:
-    return Quarantined(
+def _quarantined(row: RowValue) -> QuarantineEntry:
+    return QuarantineEntry(
         content=row.text("content"),
         since_ms=row.count("since_ms"),
         until_ms=row.count("until_ms"),
--- a/lynxchute/quarantine/suspicion.py
+++ b/lynxchute/quarantine/suspicion.py
@@ -9,8 +9,8 @@
 from lynxchute.quarantine.record import (
     MAX_QUARANTINED,
     MAX_SUSPECTS_KEPT,
-    Quarantined,
-    Record,
+    QuarantineEntry,
+    QuarantineRecord,
     Suspect,
 )
 
@@ -94,7 +94,7 @@
 
     def __init__(self) -> None:
         self.suspects_by_content: dict[str, Suspect] = {}
-        self.quarantined_by_content: dict[str, Quarantined] = {}
+        self.quarantined_by_content: dict[str, QuarantineEntry] = {}
         self.is_changed = False
         self._stood: frozenset[str] = frozenset()
         self._ends_by_process: dict[str, _End] = {}
@@ -138,7 +138,7 @@
             self.is_changed = True
         return suspect is not None or quarantined is not None
 
-    def take_over(self, quarantined: Quarantined) -> bool:
+    def take_over(self, quarantined: QuarantineEntry) -> bool:
         """Take what another judge had found; return whether that is news."""
         if quarantined.content in self.quarantined_by_content:
             return False
@@ -147,7 +147,7 @@
         self.is_changed = True
         return True
 
-    def adopt(self, record: Record) -> None:
+    def adopt(self, record: QuarantineRecord) -> None:
         """Take what stands in the store, beside what never stood there.
 
         What stood there and does not any more was taken back by someone else.
@@ -184,15 +184,15 @@
                 del self._ends_by_process[process]
         return lapsed
 
-    def note_written(self, record: Record) -> None:
+    def note_written(self, record: QuarantineRecord) -> None:
         """Note what was written to the store from here."""
         self._stood = record.contents
 
-    def record(self) -> Record:
+    def record(self) -> QuarantineRecord:
         """Return what is to be kept in the store."""
         suspects = [s for s in self.suspects_by_content.values() if _is_kept(s)]
         suspects.sort(key=lambda suspect: (len(suspect.ended), suspect.last_ms))
-        return Record(
+        return QuarantineRecord(
             tuple(self.quarantined_by_content.values()),
             tuple(suspects[-MAX_SUSPECTS_KEPT:]),
         )
@@ -267,7 +267,7 @@
         times = suspect.times + 1
         lasts_ms = min(QUARANTINE_MS * 2 ** min(times - 1, 8), MAX_QUARANTINE_MS)
         until_ms = now_ms + lasts_ms
-        self._put(Quarantined(finding.content, suspect.since_ms, until_ms, times))
+        self._put(QuarantineEntry(finding.content, suspect.since_ms, until_ms, times))
         self.is_changed = True
         return attrs.evolve(finding, verdict=Verdict.QUARANTINED)
 
@@ -275,7 +275,7 @@
         ends = len(self.suspects_by_content[content].ended)
         return Finding(Verdict.BLAMED, content, process, company, ends)
 
-    def _watch_again(self, quarantined: Quarantined, now_ms: int) -> None:
+    def _watch_again(self, quarantined: QuarantineEntry, now_ms: int) -> None:
         earlier = range(ENDS_TO_QUARANTINE - 1)
         self.suspects_by_content[quarantined.content] = Suspect(
             quarantined.content,
@@ -303,7 +303,7 @@
             times=max(known.times, suspect.times),
         )
 
-    def _put(self, quarantined: Quarantined) -> None:
+    def _put(self, quarantined: QuarantineEntry) -> None:
         """Keep a request away; the one that lapses first makes room where none is."""
         self.quarantined_by_content[quarantined.content] = quarantined
         if len(self.quarantined_by_content) > MAX_QUARANTINED:
--- a/lynxchute/relay/admission.py
+++ b/lynxchute/relay/admission.py
@@ -17,7 +17,7 @@
 RETRY_STALE = 1.0
 RETRY_TOO_MANY = 1.0
 # Another router can serve the request at once.
-RETRY_ELSEWHERE = 0.05
+RETRY_AFTER_OVERLOAD = 0.05
 
 
 class ConfigurationSource(ABC):
@@ -29,11 +29,11 @@
         """Return the newest known version; None where there is none yet."""
 
     @abstractmethod
-    def unconfirmed_for(self) -> float:
+    def unconfirmed_seconds(self) -> float:
         """Return the seconds since the store last answered."""
 
     @abstractmethod
-    async def arrival(self) -> None:
+    async def wait_loaded(self) -> None:
         """Wait for the first version, no longer than a start takes."""
 
     @abstractmethod
@@ -86,7 +86,7 @@
             title = "This router is stopping. Send the request again."
             raise Refusal(Reason.STOPPING, title, retry_after=RETRY_UNCONFIGURED)
         if self._source.current is None:
-            await self._source.arrival()
+            await self._source.wait_loaded()
         configuration = self._configuration()
         if _denial(configuration, call) is not None:
             if not await self._source.confirm():
@@ -111,12 +111,12 @@
             route=route,
             account=account,
             service=self._service(route),
-            configuration_age=self._source.unconfirmed_for(),
+            configuration_age=self._source.unconfirmed_seconds(),
             respond=respond,
             ends_at=end_of(call, route),
         )
 
-    def note_ended(self, exchange: Exchange) -> None:
+    def record_end(self, exchange: Exchange) -> None:
         """Note that an admitted request has ended."""
         self.open_requests -= 1
         if exchange.account is None:
@@ -142,7 +142,7 @@
     ) -> None:
         """Send callers elsewhere while this router would serve them late."""
         name = account.name if account is not None else ""
-        full = self._load.refuses(
+        full = self._load.shed_reason(
             route.latency_objective, name, is_brief=call.generation is None
         )
         if full:
@@ -150,7 +150,7 @@
             raise Refusal(
                 Reason.OVERLOADED,
                 f"This router's {full} is full. Send the request to another one.",
-                retry_after=RETRY_ELSEWHERE,
+                retry_after=RETRY_AFTER_OVERLOAD,
                 route=route.name,
                 account=name,
             )
--- a/lynxchute/relay/answer.py
+++ b/lynxchute/relay/answer.py
@@ -6,7 +6,7 @@
 
 from lynxchute.http import Response
 from lynxchute.upstreams.entry import Entry, OpenSend
-from lynxchute.upstreams.send_gate import Withheld
+from lynxchute.upstreams.send_gate import WithheldReason
 
 
 @attrs.frozen
@@ -36,6 +36,6 @@
         Why.
     """
 
-    def __init__(self, reason: Withheld) -> None:
+    def __init__(self, reason: WithheldReason) -> None:
         super().__init__(reason.value)
         self.reason = reason
--- a/lynxchute/relay/call.py
+++ b/lynxchute/relay/call.py
@@ -29,6 +29,6 @@
     request_id: str
     host: str
     key: str = ""
-    patience: float | None = None
-    resumes_after: str = ""
+    caller_timeout: float | None = None
+    last_event_id: str = ""
     generation: Generation | None = None
--- a/lynxchute/relay/chooser.py
+++ b/lynxchute/relay/chooser.py
@@ -7,12 +7,12 @@
 
 import attrs
 
-from lynxchute.overload.claim import NoTurn, NotYet
+from lynxchute.overload.claim import AdmissionPending, AdmissionRefused
 from lynxchute.overload.ticket_queue import MOST_RETRY_SHARE
 from lynxchute.reachability import Reachability
 from lynxchute.relay.exchange import MIN_RETRY_AFTER, Exchange
 from lynxchute.relay.load import RouterLoad
-from lynxchute.relay.refusal import Reason, Refusal, Run
+from lynxchute.relay.refusal import Reason, Refusal, RunStatus
 from lynxchute.relay.wait import Wait
 from lynxchute.telemetry import log_event
 from lynxchute.upstreams.directory import Directory
@@ -90,18 +90,18 @@
         except BaseException:
             if wait.has_waited:
                 # Its turn is given up, also where its caller has left.
-                self._generations.note_ended(exchange.run_id, "", failed=False)
+                self._generations.record_end(exchange.run_id, "", failed=False)
             raise
 
     async def _choose(self, exchange: Exchange, until: float, wait: Wait) -> Choice:
         while True:
             try:
                 choice = await self._find(exchange)
-            except NotYet as turn:
+            except AdmissionPending as turn:
                 wait.note(turn)
                 await asyncio.sleep(turn.seconds)
                 continue
-            except NoTurn as error:
+            except AdmissionRefused as error:
                 raise self._no_turn(wait, error) from None
             if choice is not None:
                 wait.note_placed(self._clock())
@@ -114,7 +114,7 @@
             except TimeoutError:
                 raise nothing_answered(exchange, self._clock()) from None
 
-    def _no_turn(self, wait: Wait, error: NoTurn) -> Refusal:
+    def _no_turn(self, wait: Wait, error: AdmissionRefused) -> Refusal:
         """Refuse at once a request whose turn comes after its caller has left."""
         now = self._clock()
         wait.note_refused(error.retry_after, now)
@@ -134,7 +134,7 @@
             # What it expects of engines then is its own lateness.
             return
         upstream_id = choice.entry.upstream.id
-        self._generations.note_ended(exchange.run_id, upstream_id, failed=False)
+        self._generations.record_end(exchange.run_id, upstream_id, failed=False)
         log_event(
             "engines overloaded",
             request_id=exchange.call.request_id,
@@ -186,8 +186,8 @@
         """Return the upstreams that are looked at for an exchange."""
         generation = exchange.call.generation
         if generation is None:
-            return self._directory.of_service(exchange.service, now)
-        key = generation.placing_key(exchange.run_id)
+            return self._directory.available(exchange.service, now)
+        key = generation.affinity_key(exchange.run_id)
         return self._neighbourhood.entries(exchange.service, key, now)
 
     def _all_evacuated(self, exchange: Exchange, now: float) -> Refusal:
@@ -253,7 +253,7 @@
 
 def nothing_answered(exchange: Exchange, now: float) -> Refusal:
     """Return the final answer where no upstream gave one."""
-    if exchange.run is Run.NOT_RUN:
+    if exchange.run is RunStatus.NOT_RUN:
         reason = Reason.DECLINED if exchange.sends else Reason.NO_UPSTREAM
         title = "No upstream could take the request. Send it again."
         return exchange.refuse(reason, title, now)
--- a/lynxchute/relay/dialect.py
+++ b/lynxchute/relay/dialect.py
@@ -14,7 +14,7 @@
 from lynxchute.upstreams.upstream import Upstream
 
 
-class Verdict(enum.Enum):
+class ResponseKind(enum.Enum):
     """What the head of an upstream's answer says.
 
     Attributes
@@ -57,7 +57,7 @@
     time_left: float
     account: str = ""
     priority: int = 0
-    resumes_after: str = ""
+    last_event_id: str = ""
     fetch_from: Upstream | None = None
 
 
@@ -85,7 +85,7 @@
         """Return whether an answer is one to this call."""
 
     @abstractmethod
-    def verdict(self, status: int, headers: Headers) -> Verdict:
+    def response_kind(self, status: int, headers: Headers) -> ResponseKind:
         """Return what the head of an answer says."""
 
     def statement(self, status: int, headers: Headers) -> Statement:
@@ -111,7 +111,7 @@
         return data
 
 
-def names_request(head: h11.Response, name: str, request_id: str) -> bool:
+def is_for_request(head: h11.Response, name: str, request_id: str) -> bool:
     """Return whether a header names a request, or none at all.
 
     A refusal that was sent before the id had been read bears none.
--- a/lynxchute/relay/exchange.py
+++ b/lynxchute/relay/exchange.py
@@ -10,7 +10,7 @@
 from lynxchute.quarantine import content_id
 from lynxchute.relay.call import Call
 from lynxchute.relay.events import EventOrder
-from lynxchute.relay.refusal import Reason, Refusal, Run
+from lynxchute.relay.refusal import Reason, Refusal, RunStatus
 from lynxchute.upstreams.aims import Aims
 
 # An answer sent this many seconds before the caller gives up still reaches it.
@@ -90,7 +90,7 @@
     sends: int = 0
     sent_at: float = 0.0
     may_have_run: int = 0
-    run: Run = Run.NOT_RUN
+    run: RunStatus = RunStatus.NOT_RUN
     tried: set[str] = attrs.Factory(set)
     limited_rate: float | None = None
     upstreams: list[str] = attrs.Factory(list)
@@ -194,17 +194,17 @@
         """Return whether what the request is allows one more send."""
         if self.sends >= self.route.max_attempts:
             return False
-        return self.run is Run.NOT_RUN or self.route.is_repeatable
+        return self.run is RunStatus.NOT_RUN or self.route.is_repeatable
 
     def note_sent(self, upstream_id: str, now: float) -> None:
         """Count a send whose first byte is about to leave."""
         self.sent_at = now
         self.sends += 1
         self.may_have_run += 1
-        self.run = Run.UNKNOWN
+        self.run = RunStatus.UNKNOWN
         self.upstreams.append(upstream_id)
 
-    def note_declined(self, run_before: Run) -> None:
+    def note_declined(self, run_before: RunStatus) -> None:
         """Take an upstream's word that it did not run what it was sent.
 
         Another send of it may still be open, or have been lost: what that one did
@@ -212,8 +212,8 @@
         """
         self.may_have_run -= 1
         if not self.may_have_run:
-            self.run = Run.NOT_RUN
-        elif self.run is Run.UNKNOWN and run_before is not Run.NOT_RUN:
+            self.run = RunStatus.NOT_RUN
+        elif self.run is RunStatus.UNKNOWN and run_before is not RunStatus.NOT_RUN:
             self.run = run_before
 
     def note_events(self, count: int, last_event: str, now: float) -> None:
@@ -230,8 +230,8 @@
         share, most = RETRY_SHARE, MAX_RETRY_AFTER
         if reason is Reason.BUDGET_UNREACHABLE:
             share, most = BUDGET_RETRY_SHARE, BUDGET_MAX_RETRY_AFTER
-        patience = self.call.patience or self.route.timeout
-        left = self.received_at + patience - now
+        caller_timeout = self.call.caller_timeout or self.route.timeout
+        left = self.received_at + caller_timeout - now
         return min(max(left * share, MIN_RETRY_AFTER), most)
 
     def refuse(
@@ -251,7 +251,7 @@
         retry_after
             Seconds after which to come back; None for a share of the caller's time.
         """
-        if self.run is Run.NOT_RUN:
+        if self.run is RunStatus.NOT_RUN:
             if reason in (Reason.BROKEN, Reason.TIMEOUT):
                 reason = Reason.NO_UPSTREAM
             if retry_after is None:
@@ -259,12 +259,12 @@
             return Refusal(reason, title, retry_after=retry_after)
         if reason is not Reason.TIMEOUT:
             reason = Reason.BROKEN
-        return Refusal(reason, title, run=Run.UNKNOWN)
+        return Refusal(reason, title, run=RunStatus.UNKNOWN)
 
 
 def end_of(call: Call, route: Route) -> float:
     """Return when a call must have its final answer, in seconds."""
     limit = route.timeout
-    if call.patience is not None:
-        limit = min(limit, max(call.patience - DELIVERY_MARGIN, 0.0))
+    if call.caller_timeout is not None:
+        limit = min(limit, max(call.caller_timeout - DELIVERY_MARGIN, 0.0))
     return call.request.received_at + limit
--- a/lynxchute/relay/guarded_load.py
+++ b/lynxchute/relay/guarded_load.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 
 from lynxchute.http import LinkMeter
-from lynxchute.overload import Guard, Load
-from lynxchute.overload.guard import PROCESSOR
+from lynxchute.overload import Load, OverloadGuard
+from lynxchute.overload.guard import PROCESSOR_LIMITS
 from lynxchute.relay.load import RouterLoad
 from lynxchute.telemetry import Metrics, log_event
 
@@ -17,7 +17,7 @@
 # enough to take its own lateness for that of engines.
 LAG_SECONDS = 0.1
 # Seconds for which what was learned in such a time counts.
-LAG_KEPT_SECONDS = 2.0
+LAG_HOLD_SECONDS = 2.0
 
 
 class GuardedLoad(RouterLoad):
@@ -37,7 +37,7 @@
 
     def __init__(
         self,
-        guard: Guard,
+        guard: OverloadGuard,
         meter: LinkMeter,
         clock: Callable[[], float],
         metrics: Metrics,
@@ -64,23 +64,23 @@
         """
         return False
 
-    def look(self) -> None:
+    def poll(self) -> None:
         """Take note of how full it is now."""
-        resource = self._guard.look()
+        resource = self._guard.poll()
         load = self._processor()
-        if load.delay * PROCESSOR.passes >= LAG_SECONDS:
+        if load.delay * PROCESSOR_LIMITS.waits_per_request >= LAG_SECONDS:
             self._lagged_at = self._clock()
         if resource:
             load = self._guard.load_of(resource)
             log_event(
-                "router full: callers are sent elsewhere",
+                "router overloaded: shedding load",
                 resource=resource,
                 use=round(load.use, 3),
                 delay_s=round(load.delay, 4),
             )
         self._log_counts()
 
-    def takes_connection(self) -> bool:
+    def may_accept(self) -> bool:
         """Return whether a connection that has come just now is served."""
         if not self._guard.closes_connection():
             return True
@@ -90,19 +90,23 @@
 
     def note_admitted(self, account: str) -> None:
         """Count an admitted request of a client account."""
-        self._guard.note_request(account)
+        self._guard.record_request(account)
 
-    def refuses(self, objective: float, account: str, *, is_brief: bool) -> str:
+    def shed_reason(self, objective: float, account: str, *, is_brief: bool) -> str:
         """Return the resource for which a request is refused, or an empty text."""
-        return self._counted(self._guard.refuses(objective, account, is_brief=is_brief))
+        return self._counted(
+            self._guard.shed_reason(objective, account, is_brief=is_brief)
+        )
 
-    def refuses_all(self, objective: float, *, is_brief: bool) -> str:
+    def shed_reason_for_all(self, objective: float, *, is_brief: bool) -> str:
         """Return the resource for which a request of anybody is refused."""
-        return self._counted(self._guard.refuses_all(objective, is_brief=is_brief))
+        return self._counted(
+            self._guard.shed_reason_for_all(objective, is_brief=is_brief)
+        )
 
     def has_lagged(self) -> bool:
         """Return whether this router itself has been late just now."""
-        return self._clock() - self._lagged_at < LAG_KEPT_SECONDS
+        return self._clock() - self._lagged_at < LAG_HOLD_SECONDS
 
     def ends_connection(self, account: str = "") -> bool:
         """Return whether a connection is to end with the answer that it gets now."""
@@ -135,7 +139,7 @@
         self._log_at = now
         load = self._processor()
         log_event(
-            "excess sent elsewhere",
+            "load shed",
             refused=self._refused,
             connections_ended=self._ended,
             connections_closed=self._closed,
--- a/lynxchute/relay/hedging.py
+++ b/lynxchute/relay/hedging.py
@@ -11,7 +11,7 @@
 from lynxchute.relay.chooser import Chooser, nothing_answered
 from lynxchute.relay.exchange import Exchange
 from lynxchute.relay.hedge_rules import BUDGET_SHARE, QUANTILE, has_room, hedge_delay
-from lynxchute.relay.refusal import Refusal, Run
+from lynxchute.relay.refusal import Refusal, RunStatus
 from lynxchute.telemetry import Metrics, log_event
 from lynxchute.upstreams.directory import Directory
 from lynxchute.upstreams.entry import Entry
@@ -168,8 +168,8 @@
     def _delay(self, exchange: Exchange, entry: Entry) -> float | None:
         """Return after how many seconds a call is hedged; None for never."""
         return hedge_delay(
-            self._times.longest(entry.upstream.id, QUANTILE),
-            self._times.usual(exchange.service, exchange.route.name),
+            self._times.latency_quantile(entry.upstream.id, QUANTILE),
+            self._times.median_latency(exchange.service, exchange.route.name),
             exchange.route.latency_objective,
         )
 
@@ -208,13 +208,13 @@
         now = self._clock()
         if self._state_of(hedge.entry, now).is_busy:
             return None, "busy"
-        if not self._retries.take(exchange.service, now, used_share=BUDGET_SHARE):
+        if not self._retries.spend(exchange.service, now, used_share=BUDGET_SHARE):
             return None, "no budget"
         return hedge, ""
 
     def _has_room(self, service: str) -> bool:
         now = self._clock()
-        entries = self._directory.of_service(service, now)
+        entries = self._directory.available(service, now)
         states = [self._state_of(entry, now) for entry in entries]
         return has_room(states, self._open_by_service.get(service, 0))
 
@@ -241,7 +241,7 @@
             return race.failure
         if race.refusal is None:
             return None
-        if race.exchange.run is Run.NOT_RUN:
+        if race.exchange.run is RunStatus.NOT_RUN:
             raise race.refusal
         # The other send may have run since that refusal was made.
         raise nothing_answered(race.exchange, self._clock())
--- a/lynxchute/relay/load.py
+++ b/lynxchute/relay/load.py
@@ -72,17 +72,17 @@
         """Return whether a new connection would only make those that are open late."""
         return self._meter.delay() >= FULL_DELAY
 
-    def look(self) -> None:
+    def poll(self) -> None:
         """Take note of how full it is now."""
 
-    def takes_connection(self) -> bool:
+    def may_accept(self) -> bool:
         """Return whether a connection that has come just now is served."""
         return True
 
     def note_admitted(self, account: str) -> None:
         """Count an admitted request of a client account."""
 
-    def refuses(self, objective: float, account: str, *, is_brief: bool) -> str:
+    def shed_reason(self, objective: float, account: str, *, is_brief: bool) -> str:
         """Return the resource for which a request is refused, or an empty text.
 
         Parameters
@@ -96,7 +96,7 @@
         """
         return "link" if self.is_too_slow(objective) else ""
 
-    def refuses_all(self, objective: float, *, is_brief: bool) -> str:
+    def shed_reason_for_all(self, objective: float, *, is_brief: bool) -> str:
         """Return the resource for which a request of anybody is refused.
 
         It is asked before the body is read.
@@ -138,7 +138,7 @@
     def _shed(self, delay: float) -> None:
         if not self.is_shedding:
             log_event(
-                "link full: callers are sent elsewhere",
+                "link saturated: shedding load",
                 delay_s=round(delay, 3),
                 use=round(self._meter.use(), 3),
             )
--- a/lynxchute/relay/passing.py
+++ b/lynxchute/relay/passing.py
@@ -74,7 +74,7 @@
         had_paused = exchange.has_paused
         exchange.note_events(events.count, events.last_id, now)
         if exchange.has_paused and not had_paused:
-            self._sender.note_paused(
+            self._sender.record_pause(
                 answer, exchange.longest_pause, exchange.route.max_pause
             )
         data = events.data
@@ -85,7 +85,7 @@
         if exchange.respond.started:
             return exchange.respond.write(data)
         exchange.first_byte_at = now
-        self._sender.note_begun(answer)
+        self._sender.record_first_event(answer)
         response = answer.response
         headers = self._dialect.caller_headers(response.headers)
         return exchange.respond.begin(response.status, headers, data)
--- a/lynxchute/relay/refusal.py
+++ b/lynxchute/relay/refusal.py
@@ -11,7 +11,7 @@
 TYPE_PREFIX = "urn:lynxchute:problem:"
 
 
-class Run(enum.Enum):
+class RunStatus(enum.Enum):
     """Whether a refused request ran."""
 
     NOT_RUN = "not_run"
@@ -90,7 +90,7 @@
         reason: Reason,
         title: str,
         *,
-        run: Run = Run.NOT_RUN,
+        run: RunStatus = RunStatus.NOT_RUN,
         retry_after: float | None = None,
         route: str = "",
         account: str = "",
--- a/lynxchute/relay/relay.py
+++ b/lynxchute/relay/relay.py
@@ -22,11 +22,11 @@
 from lynxchute.relay.events import EventsOutOfOrder
 from lynxchute.relay.exchange import Exchange
 from lynxchute.relay.passing import EventPassing
-from lynxchute.relay.refusal import Reason, Refusal, Run
+from lynxchute.relay.refusal import Reason, Refusal, RunStatus
 from lynxchute.relay.request_log import RequestLog, used_tokens
 from lynxchute.relay.sender import SERVER_ERROR, Sender
 from lynxchute.telemetry import Metrics, log_event
-from lynxchute.upstreams.health import Fate
+from lynxchute.upstreams.health import SendOutcome
 
 # Larger answers are passed on as they come.
 MAX_HELD_BYTES = 1_048_576
@@ -110,7 +110,7 @@
         try:
             outcome = await self._serve(exchange)
         finally:
-            self._admission.note_ended(exchange)
+            self._admission.record_end(exchange)
             self._log.note_end(exchange, outcome)
 
     async def _serve(self, exchange: Exchange) -> str:
@@ -197,7 +197,7 @@
 
     async def _hold(self, exchange: Exchange, answer: Answer) -> Held:
         """Read an answer whole; pass it on as it comes where it is too large."""
-        fate = Fate.ABANDONED
+        fate = SendOutcome.ABANDONED
         failed = answer.response.status >= SERVER_ERROR
         parts: list[bytes] = []
         size = 0
@@ -206,7 +206,7 @@
                 piece = await answer.response.read()
                 answer.entry.heard_at = self._clock()
                 if piece is None:
-                    fate = Fate.FAILED if failed else Fate.SERVED
+                    fate = SendOutcome.FAILED if failed else SendOutcome.SERVED
                     body = b"".join(parts)
                     exchange.told_tokens = self._dialect.told_tokens(body)
                     return Held(body, is_good=not failed)
@@ -214,13 +214,13 @@
                 parts.append(piece)
                 size += len(piece)
             await self._pass_on(exchange, answer, parts)
-            fate = Fate.SERVED
+            fate = SendOutcome.SERVED
             return Held(None, is_passed_on=True)
         except ExchangeFailed as error:
-            fate = Fate.BROKEN
-            self._sender.note_broken(answer)
+            fate = SendOutcome.BROKEN
+            self._sender.record_broken(answer)
             log_event(
-                "an answer broke off",
+                "upstream response interrupted",
                 request_id=exchange.call.request_id,
                 upstream=answer.entry.upstream.id,
                 content=exchange.content_id,
@@ -229,7 +229,7 @@
             )
             if exchange.respond.started:
                 title = "The answer broke off."
-                raise Refusal(Reason.BROKEN, title, run=Run.RAN) from error
+                raise Refusal(Reason.BROKEN, title, run=RunStatus.RAN) from error
             return Held(None)
         finally:
             answer.response.close()
@@ -262,7 +262,7 @@
             answer = await self._sender.send(exchange)
             if not _is_stream(answer):
                 answer.response.close()
-                self._sender.release(answer, Fate.FAILED)
+                self._sender.release(answer, SendOutcome.FAILED)
                 title = "The stream broke off and did not go on elsewhere."
                 raise exchange.refuse(Reason.BROKEN, title, self._clock())
         await exchange.respond.finish()
@@ -272,21 +272,21 @@
         passing = EventPassing(
             self._dialect, self._sender, exchange, answer, self._clock
         )
-        fate = Fate.ABANDONED
+        fate = SendOutcome.ABANDONED
         try:
             while not await answer.response.read_each(passing.take):
                 await exchange.respond.drained()
             answer.entry.heard_at = self._clock()
             if passing.is_within_event:
-                fate = Fate.BROKEN
+                fate = SendOutcome.BROKEN
                 return False
-            fate = Fate.SERVED
+            fate = SendOutcome.SERVED
         except (ExchangeFailed, EventsOutOfOrder) as error:
-            fate = Fate.BROKEN
+            fate = SendOutcome.BROKEN
             if isinstance(error, ExchangeFailed):
-                self._sender.note_broken(answer)
+                self._sender.record_broken(answer)
             log_event(
-                "a stream broke off",
+                "upstream stream interrupted",
                 request_id=exchange.call.request_id,
                 upstream=answer.entry.upstream.id,
                 content=exchange.content_id,
--- a/lynxchute/relay/request_log.py
+++ b/lynxchute/relay/request_log.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from lynxchute.relay.exchange import Exchange
-from lynxchute.relay.refusal import Refusal, Run
+from lynxchute.relay.refusal import Refusal, RunStatus
 from lynxchute.telemetry import Metrics, log_event
 
 
@@ -72,7 +72,7 @@
 def used_tokens(exchange: Exchange) -> int:
     """Return what a request has used of its budget, at most."""
     generation = exchange.call.generation
-    if exchange.run is Run.NOT_RUN:
+    if exchange.run is RunStatus.NOT_RUN:
         return 0
     if generation is None:
         return exchange.most_tokens
--- a/lynxchute/relay/sender.py
+++ b/lynxchute/relay/sender.py
@@ -16,17 +16,17 @@
 from lynxchute.reachability import Reachability
 from lynxchute.relay.answer import Answer, SendWithheld
 from lynxchute.relay.chooser import Chooser, nothing_answered
-from lynxchute.relay.dialect import Dialect, Dispatch, Verdict
+from lynxchute.relay.dialect import Dialect, Dispatch, ResponseKind
 from lynxchute.relay.exchange import Exchange
 from lynxchute.relay.hedging import Hedger
-from lynxchute.relay.refusal import Reason, Run
+from lynxchute.relay.refusal import Reason, RunStatus
 from lynxchute.relay.statement_reader import StatementReader
 from lynxchute.telemetry import Metrics, log_event
 from lynxchute.upstreams.entry import Entry, OpenSend
-from lynxchute.upstreams.health import Fate
+from lynxchute.upstreams.health import SendOutcome
 from lynxchute.upstreams.placement import Choice, Placement
 from lynxchute.upstreams.retry_budget import RetryBudget
-from lynxchute.upstreams.send_gate import SendGate, Withheld
+from lynxchute.upstreams.send_gate import SendGate, WithheldReason
 from lynxchute.upstreams.service_times import ServiceTimes
 
 # A connection within a region comes about in a few ms; a SYN that is lost is
@@ -115,7 +115,7 @@
             Where there is none to be had.
         """
         if not exchange.sends:
-            self._retries.note_request(exchange.service, self._clock())
+            self._retries.record_request(exchange.service, self._clock())
         while True:
             self.check_quarantine(exchange)
             choice = await self._chooser.choose(exchange)
@@ -153,13 +153,13 @@
         """Give up an answer that nobody reads."""
         failed = answer.response.status >= SERVER_ERROR
         answer.response.close()
-        self.release(answer, Fate.FAILED if failed else Fate.ABANDONED)
+        self.release(answer, SendOutcome.FAILED if failed else SendOutcome.ABANDONED)
 
     def may_send_again(self, exchange: Exchange) -> bool:
         """Return whether an exchange may be sent once more, and count it."""
         if not exchange.may_be_sent_again:
             return False
-        if self._retries.take(exchange.service, self._clock()):
+        if self._retries.spend(exchange.service, self._clock()):
             return True
         log_event(
             "retry budget used up",
@@ -169,25 +169,27 @@
         )
         return False
 
-    def release(self, answer: Answer, fate: Fate) -> None:
+    def release(self, answer: Answer, fate: SendOutcome) -> None:
         """Note that an upstream no longer works on a request."""
         answer.entry.open_sends.discard(answer.send)
         fate = _fate_of(answer.send, fate)
-        is_whole = fate in (Fate.SERVED, Fate.FAILED)
-        self._containment.note_ended(answer.send, is_whole=is_whole)
+        is_whole = fate in (SendOutcome.SERVED, SendOutcome.FAILED)
+        self._containment.record_end(answer.send, is_whole=is_whole)
         self._note_fate(answer.entry, answer.cost, fate)
-        failed = fate not in (Fate.SERVED, Fate.ABANDONED)
+        failed = fate not in (SendOutcome.SERVED, SendOutcome.ABANDONED)
         upstream_id = answer.entry.upstream.id
-        self._generations.note_ended(answer.run_id, upstream_id, failed=failed)
+        self._generations.record_end(answer.run_id, upstream_id, failed=failed)
 
-    def note_begun(self, answer: Answer) -> None:
+    def record_first_event(self, answer: Answer) -> None:
         """Note the first event of a stream."""
         own = self._clients.meter.own_delay()
         took_ms = max(self._clock() - answer.sent_at - own, 0.0) * 1000.0
         upstream_id = answer.entry.upstream.id
-        self._generations.note_begun(answer.run_id, upstream_id, took_ms=took_ms)
+        self._generations.record_first_event(
+            answer.run_id, upstream_id, took_ms=took_ms
+        )
 
-    def note_paused(self, answer: Answer, pause: float, longest: float) -> None:
+    def record_pause(self, answer: Answer, pause: float, longest: float) -> None:
         """Note that a stream has paused for longer than is on time.
 
         Parameters
@@ -197,11 +199,11 @@
         """
         if pause - self._clients.meter.own_delay() <= longest:
             return
-        self._generations.note_paused(answer.run_id, answer.entry.upstream.id)
+        self._generations.record_pause(answer.run_id, answer.entry.upstream.id)
 
     def check_quarantine(self, exchange: Exchange) -> None:
         """Refuse a request at once that has ended the upstreams that ran it."""
-        left = self._containment.seconds_left(exchange.content_id)
+        left = self._containment.quarantine_seconds_left(exchange.content_id)
         if left is None:
             return
         title = (
@@ -212,9 +214,9 @@
             Reason.QUARANTINED, title, self._clock(), retry_after=left
         )
 
-    def note_broken(self, answer: Answer) -> None:
+    def record_broken(self, answer: Answer) -> None:
         """Note an answer that broke off, maybe since its upstream ended."""
-        self._containment.note_broken(answer.entry.upstream, answer.send)
+        self._containment.record_broken(answer.entry.upstream, answer.send)
 
     async def _try(self, exchange: Exchange, choice: Choice) -> Answer | None:
         """Send once; return None where there was no answer to pass on."""
@@ -232,10 +234,12 @@
             response = await self._exchange_heads(exchange, choice, send)
         except ExchangeFailed as error:
             entry.open_sends.discard(send)
-            fate = _fate_of(send, Fate.BROKEN if error.sent else Fate.UNREACHED)
-            if fate is Fate.BROKEN:
-                self._containment.note_broken(entry.upstream, send)
-            if fate is Fate.UNREACHED and error.is_silence:
+            fate = _fate_of(
+                send, SendOutcome.BROKEN if error.sent else SendOutcome.UNREACHED
+            )
+            if fate is SendOutcome.BROKEN:
+                self._containment.record_broken(entry.upstream, send)
+            if fate is SendOutcome.UNREACHED and error.is_silence:
                 upstream = entry.upstream
                 self._reachability.note_silent(
                     upstream.data_centre, upstream.id, self._clock(), is_upstream=True
@@ -250,36 +254,36 @@
             if self._times is not None and send.sent_at is not None:
                 now = self._clock()
                 waited = max(now - send.sent_at, 0.0)
-                self._times.note_left(upstream_id, send.work, waited, now)
-            self._generations.note_ended(exchange.run_id, upstream_id, failed=False)
+                self._times.record_abort(upstream_id, send.typical_seconds, waited, now)
+            self._generations.record_end(exchange.run_id, upstream_id, failed=False)
             raise
         entry.heard_at = self._clock()
         self._reachability.note_heard(entry.upstream.data_centre)
-        verdict = self._dialect.verdict(response.status, response.headers)
-        if verdict is not Verdict.MOVED:
+        response_kind = self._dialect.response_kind(response.status, response.headers)
+        if response_kind is not ResponseKind.MOVED:
             # Any other process that has the address by now speaks for itself only.
             self._statements.read(
                 exchange.call.request_id,
                 entry,
                 response,
                 sent_at=sent_at,
-                is_served=verdict is Verdict.ANSWERED,
+                is_served=response_kind is ResponseKind.ANSWERED,
             )
         answer = Answer(response, entry, cost, exchange.run_id, send, sent_at)
-        if verdict is Verdict.ANSWERED:
+        if response_kind is ResponseKind.ANSWERED:
             self._note_time(exchange, answer)
             send.progress = Progress.BEGUN
-            exchange.run = Run.RAN
+            exchange.run = RunStatus.RAN
             return answer
         entry.open_sends.discard(send)
-        reason = f"{verdict.value}, status {response.status}"
-        if verdict in (Verdict.NOT_RUN, Verdict.MOVED):
+        reason = f"{response_kind.value}, status {response.status}"
+        if response_kind in (ResponseKind.NOT_RUN, ResponseKind.MOVED):
             await self._discard(response)
             exchange.note_declined(run_before)
-            self._failed(exchange, entry, cost, Fate.DECLINED, reason)
+            self._failed(exchange, entry, cost, SendOutcome.DECLINED, reason)
             return None
         response.close()
-        self._failed(exchange, entry, cost, Fate.BROKEN, reason)
+        self._failed(exchange, entry, cost, SendOutcome.BROKEN, reason)
         return None
 
     async def _exchange_heads(
@@ -291,12 +295,12 @@
             time_left=max(exchange.ends_at - self._clock(), 0.0),
             account=exchange.account.name if exchange.account else "",
             priority=exchange.priority,
-            resumes_after=exchange.last_event or call.resumes_after,
+            last_event_id=exchange.last_event or call.last_event_id,
             fetch_from=choice.fetch_from,
         )
 
         def note_sent() -> None:
-            withheld = self._gate.withholds(
+            withheld = self._gate.withheld_reason(
                 entry,
                 permit_until=choice.permit_until,
                 admitted_until=choice.admitted_until,
@@ -333,7 +337,9 @@
         if self._times is None or exchange.call.generation is not None:
             return
         send.sent_at = exchange.sent_at
-        send.work = self._times.usual(exchange.service, exchange.route.name) or 0.0
+        send.typical_seconds = (
+            self._times.median_latency(exchange.service, exchange.route.name) or 0.0
+        )
 
     def _note_time(self, exchange: Exchange, answer: Answer) -> None:
         """Learn from a plain call that was served."""
@@ -344,7 +350,7 @@
             # A failure may come at once, and tells nothing of the work.
             return
         now = self._clock()
-        self._times.note(
+        self._times.record(
             exchange.service,
             exchange.route.name,
             answer.entry.upstream.id,
@@ -375,12 +381,12 @@
         raise exchange.refuse(Reason.TOO_LATE, title, self._clock())
 
     def _note_withheld(
-        self, exchange: Exchange, choice: Choice, reason: Withheld
+        self, exchange: Exchange, choice: Choice, reason: WithheldReason
     ) -> None:
         entry = choice.entry
         # Its place is given up under this run's name, so the next one needs another.
         exchange.tried.add(entry.upstream.id)
-        if reason is Withheld.LIMITED:
+        if reason is WithheldReason.LIMITED:
             rate = entry.backpressure.rate(self._clock()) or 0.0
             exchange.limited_rate = (exchange.limited_rate or 0.0) + rate
         self._metrics.sends_withheld.inc(reason.value)
@@ -409,7 +415,7 @@
             bad_in_row=entry.health.bad_in_row,
             time_left=round(dispatch.time_left, 3),
             priority=dispatch.priority,
-            after_event=dispatch.resumes_after,
+            after_event=dispatch.last_event_id,
         )
 
     async def _discard(self, response: Response) -> None:
@@ -417,16 +423,21 @@
         try:
             await response.body()
         except ExchangeFailed as error:
-            log_event("a refusal broke off", reason=str(error))
+            log_event("upstream rejection interrupted", reason=str(error))
 
     def _failed(
-        self, exchange: Exchange, entry: Entry, cost: int, fate: Fate, reason: str
+        self,
+        exchange: Exchange,
+        entry: Entry,
+        cost: int,
+        fate: SendOutcome,
+        reason: str,
     ) -> None:
         self._note_fate(entry, cost, fate)
-        failed = fate is not Fate.ABANDONED
-        self._generations.note_ended(exchange.run_id, entry.upstream.id, failed=failed)
+        failed = fate is not SendOutcome.ABANDONED
+        self._generations.record_end(exchange.run_id, entry.upstream.id, failed=failed)
         log_event(
-            "a send gave no answer",
+            "upstream attempt failed",
             request_id=exchange.call.request_id,
             upstream=entry.upstream.id,
             content=exchange.content_id,
@@ -436,13 +447,13 @@
             bad_in_row=entry.health.bad_in_row,
         )
 
-    def _note_fate(self, entry: Entry, cost: int, fate: Fate) -> None:
+    def _note_fate(self, entry: Entry, cost: int, fate: SendOutcome) -> None:
         entry.open_requests -= 1
         entry.open_tokens -= cost
-        entry.health.note(fate, self._clock())
+        entry.health.record(fate, self._clock())
         self._metrics.sends.inc(fate.value)
 
 
-def _fate_of(send: OpenSend, fate: Fate) -> Fate:
+def _fate_of(send: OpenSend, fate: SendOutcome) -> SendOutcome:
     """Return how a send ended as far as its upstream is to blame."""
-    return Fate.ABANDONED if send.is_withdrawn else fate
+    return SendOutcome.ABANDONED if send.is_withdrawn else fate
--- a/lynxchute/relay/statement_reader.py
+++ b/lynxchute/relay/statement_reader.py
@@ -50,7 +50,7 @@
             Whether it ran, as far as the answer says.
         """
         statement = self._dialect.statement(response.status, response.headers)
-        is_news = self._directory.note_statement(
+        is_news = self._directory.record_statement(
             entry,
             statement,
             asked_at=sent_at,
@@ -60,7 +60,7 @@
         if not is_news:
             return
         log_event(
-            "upstream stated",
+            "upstream backpressure changed",
             request_id=request_id,
             upstream=entry.upstream.id,
             limit=statement.limit,
--- a/lynxchute/relay/wait.py
+++ b/lynxchute/relay/wait.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lynxchute.overload.claim import NotYet
+from lynxchute.overload.claim import AdmissionPending
 from lynxchute.relay.exchange import Exchange
 from lynxchute.telemetry import log_event
 
@@ -26,13 +26,13 @@
         """Return whether it had to wait."""
         return self._turns > 0
 
-    def note(self, turn: NotYet) -> None:
+    def note(self, turn: AdmissionPending) -> None:
         """Note that it has to ask again."""
         self._turns += 1
         if self._turns > 1:
             return
         log_event(
-            "waits for an engine",
+            "request queued for an engine",
             request_id=self.exchange.call.request_id,
             ahead=turn.ahead,
             asks_again_s=round(turn.seconds, 3),
@@ -43,7 +43,7 @@
         if not self._turns:
             return
         log_event(
-            "has waited for an engine",
+            "queued request assigned to an engine",
             request_id=self.exchange.call.request_id,
             waited_s=round(now - self._begun_at, 3),
             asked=self._turns + 1,
@@ -53,7 +53,7 @@
         """Note that its turn would come too late."""
         account = self.exchange.account
         log_event(
-            "turn comes too late",
+            "engine queue wait exceeds deadline",
             request_id=self.exchange.call.request_id,
             account=account.name if account is not None else "",
             waited_s=round(now - self._begun_at, 3),
--- a/lynxchute/router.py
+++ b/lynxchute/router.py
@@ -109,7 +109,7 @@
         for upstream_id in self._directory.entries_by_id:
             if upstream_id not in listed:
                 changed = self._directory.remove(upstream_id, now) or changed
-        for upstream in self._directory.forget(now):
+        for upstream in self._directory.prune(now):
             self._clients.drop(upstream.address)
         if changed:
             log_event("upstreams listed", count=len(listed))
@@ -179,7 +179,9 @@
             StatementRunner(
                 self.platform,
                 reports.gather,
-                lambda name: self.directory.wants_of(name, steady_seconds()),
+                lambda name: self.directory.describe_backpressure(
+                    name, steady_seconds()
+                ),
             ),
             lambda: self.configurations.current,
         )
--- a/lynxchute/scheduling/alone.py
+++ b/lynxchute/scheduling/alone.py
@@ -60,4 +60,4 @@
 def _use(entry: Entry, now: float) -> float:
     """Return the share of an engine's places that is taken, as far as is known."""
     own = entry.open_requests / max(entry.upstream.slots, 1)
-    return max(own, entry.stated_use(now))
+    return max(own, entry.reported_load(now))
--- a/lynxchute/scheduling/asking.py
+++ b/lynxchute/scheduling/asking.py
@@ -10,7 +10,10 @@
 from lynxchute.fleet.members import Members
 from lynxchute.fleet.messages import PlaceReply, PlaceRequest, RunNews, RunStage
 from lynxchute.http import LinkMeter
-from lynxchute.scheduling.backpressure_news import backpressure_of, take_backpressure
+from lynxchute.scheduling.backpressure_news import (
+    known_backpressure,
+    merge_backpressure,
+)
 from lynxchute.scheduling.news import NewsOfRuns
 from lynxchute.scheduling.place_requests import scheduling_key
 from lynxchute.telemetry import log_event
@@ -124,7 +127,7 @@
         aims: Aims,
     ) -> PlaceRequest:
         """Return the question where a generation should go."""
-        key = generation.placing_key(run_id)
+        key = generation.affinity_key(run_id)
         return PlaceRequest(
             run_id=run_id,
             service=service,
@@ -134,7 +137,7 @@
             output_tokens=generation.max_output_tokens,
             parts=tuple((part.id, part.tokens) for part in generation.parts),
             own_turns=self._own_turns(service, by_id),
-            backpressure=backpressure_of(self._directory, service, self._clock()),
+            backpressure=known_backpressure(self._directory, service, self._clock()),
             router=self._members.own.incarnation,
             expected_output_tokens=generation.expected_output_tokens,
             first_event_ms=aims.first_event_ms,
@@ -169,7 +172,7 @@
             self._members.note_silence(vm, self._clock())
             log_event("scheduling router too slow", peer=vm, request_id=request.run_id)
             return None
-        take_backpressure(self._directory, reply.backpressure, self._clock())
+        merge_backpressure(self._directory, reply.backpressure, self._clock())
         return reply
 
     def _passed_over(
--- a/lynxchute/scheduling/backpressure_news.py
+++ b/lynxchute/scheduling/backpressure_news.py
@@ -12,7 +12,7 @@
 MAX_TOLD = 32
 
 
-def backpressure_of(
+def known_backpressure(
     directory: Directory, service: str, now: float
 ) -> tuple[BackpressureNews, ...]:
     """Return what was heard of a service's upstreams that are throttled."""
@@ -30,7 +30,7 @@
     return tuple(told)
 
 
-def take_backpressure(
+def merge_backpressure(
     directory: Directory, told: Iterable[BackpressureNews], now: float
 ) -> None:
     """Take what another router has heard, of processes that are known here."""
@@ -43,16 +43,16 @@
             continue
         before = entry.backpressure.limit
         if news.is_leaving:
-            directory.note_leaving(entry, now)
-        is_newer = entry.backpressure.note_told(
+            directory.record_leaving(entry, now)
+        is_newer = entry.backpressure.record_peer_limit(
             news.limit, heard_ms=news.heard_ms, now=now, clock_ms=clock_ms
         )
         if not is_newer:
             continue
-        directory.note_backpressure(entry, now)
+        directory.refresh_throttled(entry, now)
         if entry.backpressure.limit != before:
             log_event(
-                "upstream's limit told",
+                "upstream limit reported by another router",
                 upstream=news.upstream,
                 limit=news.limit,
                 before=before,
--- a/lynxchute/scheduling/board.py
+++ b/lynxchute/scheduling/board.py
@@ -7,9 +7,9 @@
 import attrs
 
 from lynxchute.scheduling.caller_weights import CallerWeights
-from lynxchute.scheduling.crowding import Crowding, LateCallersUnlessStrained
+from lynxchute.scheduling.crowding import LoadAdaptiveCost, PlacementCost
 from lynxchute.scheduling.engine_state import EngineState, Run, begin_like
-from lynxchute.scheduling.newcomer import Newcomer
+from lynxchute.scheduling.newcomer import PendingRequest
 from lynxchute.scheduling.pauses import PauseRecord
 from lynxchute.scheduling.prefix_cache import PrefixCache
 from lynxchute.upstreams.generation import Generation, PromptPart
@@ -94,17 +94,17 @@
     """
 
     def __init__(
-        self, crowding: Crowding | None = None, *, tells_apart: bool = False
+        self, crowding: PlacementCost | None = None, *, tracks_transients: bool = False
     ) -> None:
         self.engines_by_id: dict[str, EngineState] = {}
-        self._crowding = crowding or LateCallersUnlessStrained()
+        self._crowding = crowding or LoadAdaptiveCost()
         self._usual_pauses_by_limit: dict[float, PauseRecord] = {}
         self._weights = CallerWeights()
-        self.tells_apart = tells_apart
+        self.tracks_transients = tracks_transients
 
     def place(
         self,
-        newcomer: Newcomer,
+        newcomer: PendingRequest,
         candidates: Collection[Candidate],
         now: float,
         *,
@@ -142,10 +142,12 @@
         if best is None or chosen is None:
             return Place(is_full=spares_full and bool(candidates))
         run = self._assign(newcomer, chosen.upstream_id, best, now, fetch_tokens_per_ms)
-        self._crowding.note_placed(newcomer, run.expected_ms)
+        self._crowding.record_placement(newcomer, run.expected_ms)
         return Place(chosen.upstream_id, best.fetch_from, run.expected_ms)
 
-    def free_places(self, newcomer: Newcomer, candidates: Iterable[Candidate]) -> int:
+    def free_places(
+        self, newcomer: PendingRequest, candidates: Iterable[Candidate]
+    ) -> int:
         """Return how many requests more engines with room for this one can run."""
         free = 0
         for candidate in candidates:
@@ -170,7 +172,7 @@
             return
         if took_ms is None:
             took_ms = (now - run.placed_at) * 1000.0
-        state.note_begun(run_id, run, now)
+        state.record_first_event(run_id, run, now)
         state.pass_overdue(run_id, now)
         state.learn(run, took_ms, now)
 
@@ -227,7 +229,7 @@
         if state is not None:
             state.cache.learn(parts)
 
-    def forget(self, upstream_id: str) -> None:
+    def discard_upstream(self, upstream_id: str) -> None:
         """Keep nothing of an engine whose process has started again."""
         self.engines_by_id.pop(upstream_id, None)
 
@@ -252,9 +254,9 @@
                 candidate.capacity,
                 cache,
                 self._usual_pauses,
-                tells_apart=self.tells_apart,
+                tracks_transients=self.tracks_transients,
             )
-            if self.tells_apart:
+            if self.tracks_transients:
                 begin_like(state, self.engines_by_id.values())
             self.engines_by_id[candidate.upstream_id] = state
         return state
@@ -277,7 +279,7 @@
                 best, most = upstream_id, kept
         return best, most
 
-    def _has_room(self, candidate: Candidate, newcomer: Newcomer) -> bool:
+    def _has_room(self, candidate: Candidate, newcomer: PendingRequest) -> bool:
         """Return whether an engine can begin with a request at once.
 
         One that runs nothing has room for whatever is sent there.
@@ -293,7 +295,7 @@
     def _offer(
         self,
         candidate: Candidate,
-        newcomer: Newcomer,
+        newcomer: PendingRequest,
         now: float,
         source: str,
         kept: int,
@@ -321,7 +323,7 @@
 
     def _assign(
         self,
-        newcomer: Newcomer,
+        newcomer: PendingRequest,
         upstream_id: str,
         offer: _Offer,
         now: float,
@@ -352,7 +354,9 @@
         return run
 
 
-def _shortage(candidate: Candidate, state: EngineState, newcomer: Newcomer) -> float:
+def _shortage(
+    candidate: Candidate, state: EngineState, newcomer: PendingRequest
+) -> float:
     """Return what the way there and the lack of a place cost, in milliseconds."""
     # Whoever has to wait for a place is late, and counts like others who are.
     full_ms = FULL_MS * max(newcomer.weight, 1.0)
--- a/lynxchute/scheduling/caller_weights.py
+++ b/lynxchute/scheduling/caller_weights.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from lynxchute.scheduling.newcomer import Newcomer
+from lynxchute.scheduling.newcomer import PendingRequest
 
 # Weight of the newest request in the mean size.
 NEWEST_WEIGHT = 0.02
@@ -23,7 +23,7 @@
 
     _mean: float = 0.0
 
-    def of(self, newcomer: Newcomer) -> float:
+    def of(self, newcomer: PendingRequest) -> float:
         """Return what a newcomer counts; 1 where it is as large as the others."""
         size = float(max(newcomer.generation.most_tokens, 1))
         if not self._mean:
--- a/lynxchute/scheduling/cold_placements.py
+++ b/lynxchute/scheduling/cold_placements.py
@@ -7,13 +7,13 @@
 from lynxchute.upstreams.cold_admission import (
     ColdAdmission,
     ColdLimits,
+    RankWatch,
     RecentPlacements,
-    StandingWatch,
 )
 from lynxchute.upstreams.entry import Entry
 
 
-class ColdPlacements:
+class ColdPlacementLimiter:
     """Keep what is placed at each upstream to what it bears.
 
     What is placed at warm upstreams counts as well: one may become cold after that,
@@ -34,7 +34,7 @@
     def __init__(
         self,
         admission: ColdAdmission,
-        watch: StandingWatch,
+        watch: RankWatch,
         limits_of: Callable[[str], ColdLimits],
     ) -> None:
         self.limits_of = limits_of
@@ -42,11 +42,11 @@
         self._watch = watch
         self._recent = RecentPlacements()
 
-    def look(self, services: Iterable[str], now: float) -> None:
+    def refresh(self, services: Iterable[str], now: float) -> None:
         """Take note of who is registered."""
-        self._watch.look(services, now)
+        self._watch.refresh(services, now)
 
-    def admitting(self, entries: Iterable[Entry], now: float) -> list[Entry]:
+    def admissible_entries(self, entries: Iterable[Entry], now: float) -> list[Entry]:
         """Return those that may get one more request from here, in their order."""
         known = list(entries)
         found = [entry for entry in known if self.may_place(entry, now)]
@@ -55,20 +55,20 @@
     def may_place(self, entry: Entry, now: float) -> bool:
         """Return whether an upstream has room for one more request from here."""
         limits = self.limits_of(entry.upstream.service)
-        if not limits.is_bound:
+        if not limits.has_limit:
             return True
         placed = self._recent.count(entry.upstream.id, now)
         if self._is_cold(entry, now):
             return placed < self._share(entry.upstream.service, now)
-        return placed < limits.most
+        return placed < limits.max_per_second
 
-    def note_placed(self, entry: Entry, now: float) -> bool:
+    def record_placement(self, entry: Entry, now: float) -> bool:
         """Count a request; return whether it may be sent to the upstream when cold."""
         service, upstream_id = entry.upstream.service, entry.upstream.id
-        if not self.limits_of(service).is_bound:
+        if not self.limits_of(service).has_limit:
             return False
         is_counted = self._recent.count(upstream_id, now) < self._share(service, now)
-        self._recent.note(upstream_id, now)
+        self._recent.record(upstream_id, now)
         return is_counted
 
     def keep_only(self, upstream_ids: Container[str]) -> None:
@@ -76,10 +76,10 @@
         self._recent.keep_only(upstream_ids)
 
     def _is_cold(self, entry: Entry, now: float) -> bool:
-        return self.limits_of(entry.upstream.service).bounds(entry.cold_until, now)
+        return self.limits_of(entry.upstream.service).is_active(entry.cold_until, now)
 
     def _share(self, service: str, now: float) -> int:
-        standing = self._watch.standing(service, now)
-        if standing is None:
+        held_rank = self._watch.held_rank(service, now)
+        if held_rank is None:
             return 0
-        return self._admission.share(self.limits_of(service), standing)
+        return self._admission.share(self.limits_of(service), held_rank)
--- a/lynxchute/scheduling/cold_watch.py
+++ b/lynxchute/scheduling/cold_watch.py
@@ -7,9 +7,9 @@
 from lynxchute.application import Loop, Tasks
 from lynxchute.upstreams.cold_admission import ColdLimits
 from lynxchute.upstreams.directory import Directory
-from lynxchute.upstreams.engines import Engines, EngineSilent
+from lynxchute.upstreams.engines import EngineClient, EngineUnavailable
 from lynxchute.upstreams.entry import Entry
-from lynxchute.upstreams.probes import take_probe
+from lynxchute.upstreams.probes import handle_probe
 
 # Seconds between two looks, and so between two questions to an engine at least.
 STEP_SECONDS = 0.3
@@ -20,7 +20,7 @@
 MOST_PER_SECOND = 50.0
 
 
-class ColdWatch:
+class ColdProber:
     """Ask the engines that this router schedules, in an outage of the store.
 
     An engine may grow cold at any moment, and its entry says so; where the store
@@ -46,9 +46,9 @@
     def __init__(
         self,
         directory: Directory,
-        engines: Engines,
+        engines: EngineClient,
         limits_of: Callable[[str], ColdLimits],
-        schedules: Callable[[str], bool],
+        is_scheduler_for: Callable[[str], bool],
         silent_for: Callable[[float], float],
         clock: Callable[[], float],
     ) -> None:
@@ -57,7 +57,7 @@
         self._directory = directory
         self._engines = engines
         self._limits_of = limits_of
-        self._schedules = schedules
+        self._schedules = is_scheduler_for
         self._silent_for = silent_for
         self._clock = clock
 
@@ -83,8 +83,8 @@
         for entry in self._directory.entries_by_id.values():
             service = entry.upstream.service
             if service not in is_watched_by_service:
-                is_bound = self._limits_of(service).is_bound
-                is_watched_by_service[service] = is_bound and self._schedules(service)
+                has_limit = self._limits_of(service).has_limit
+                is_watched_by_service[service] = has_limit and self._schedules(service)
             if is_watched_by_service[service] and entry.takes_work:
                 found.append(entry)
         return found
@@ -92,7 +92,7 @@
     async def _ask(self, entry: Entry) -> None:
         try:
             probe = await self._engines.probe(entry.upstream)
-        except EngineSilent:
+        except EngineUnavailable:
             # Whether it is there is found out by what is sent to it.
             return
-        take_probe(self._directory, entry, probe, self._clock())
+        handle_probe(self._directory, entry, probe, self._clock())
--- a/lynxchute/scheduling/crowding.py
+++ b/lynxchute/scheduling/crowding.py
@@ -6,7 +6,7 @@
 from abc import ABC, abstractmethod
 
 from lynxchute.scheduling.engine_state import EngineState
-from lynxchute.scheduling.newcomer import Newcomer
+from lynxchute.scheduling.newcomer import PendingRequest
 
 # Milliseconds that a request more for each request running there counts: it
 # slows all of them a little.
@@ -34,14 +34,14 @@
 SPREAD_SHARE = 0.12
 
 
-class Crowding(ABC):
+class PlacementCost(ABC):
     """Weigh who is harmed where a request goes to an engine."""
 
     @abstractmethod
     def cost_ms(
         self,
         state: EngineState,
-        newcomer: Newcomer,
+        newcomer: PendingRequest,
         uncached: int,
         expected_ms: float,
         now: float,
@@ -56,17 +56,17 @@
             When its first event is expected, in milliseconds from now.
         """
 
-    def note_placed(self, newcomer: Newcomer, expected_ms: float) -> None:
+    def record_placement(self, newcomer: PendingRequest, expected_ms: float) -> None:
         """Take where a newcomer went; it may count for the next ones."""
 
 
-class PauseWeights(Crowding):
+class StreamPauseCost(PlacementCost):
     """Count each running stream by the length of the newcomer's prompt."""
 
     def cost_ms(
         self,
         state: EngineState,
-        newcomer: Newcomer,
+        newcomer: PendingRequest,
         uncached: int,
         expected_ms: float,
         now: float,
@@ -77,13 +77,13 @@
         return cost + PAUSE_MS * running * min(uncached / PAUSE_TOKENS, 2.0)
 
 
-class LateOnceWeights(PauseWeights):
+class LateOnceWeights(StreamPauseCost):
     """Count running streams likewise, and how late a newcomer is up to a bound."""
 
     def cost_ms(
         self,
         state: EngineState,
-        newcomer: Newcomer,
+        newcomer: PendingRequest,
         uncached: int,
         expected_ms: float,
         now: float,
@@ -94,7 +94,7 @@
         return super().cost_ms(state, newcomer, uncached, expected_ms, now)
 
 
-class LateCallers(Crowding):
+class LateCallers(PlacementCost):
     """Count the callers that are expected to be late for it.
 
     Those are the newcomer, by its first event or by a later pause, and each running
@@ -107,7 +107,7 @@
     def cost_ms(
         self,
         state: EngineState,
-        newcomer: Newcomer,
+        newcomer: PendingRequest,
         uncached: int,
         expected_ms: float,
         now: float,
@@ -134,7 +134,7 @@
 STRAIN_WEIGHT = 0.02
 
 
-class LateCallersUnlessStrained(Crowding):
+class LoadAdaptiveCost(PlacementCost):
     """Count late callers while engines keep up, and weigh by length while they do not.
 
     At 1.6 times the load that six engines can read in time, 0.38 of the callers were
@@ -155,7 +155,7 @@
     def cost_ms(
         self,
         state: EngineState,
-        newcomer: Newcomer,
+        newcomer: PendingRequest,
         uncached: int,
         expected_ms: float,
         now: float,
@@ -164,7 +164,7 @@
         chosen = self._weights if self.is_strained else self._late_callers
         return chosen.cost_ms(state, newcomer, uncached, expected_ms, now)
 
-    def note_placed(self, newcomer: Newcomer, expected_ms: float) -> None:
+    def record_placement(self, newcomer: PendingRequest, expected_ms: float) -> None:
         """Take where a newcomer went."""
         late = late_share(expected_ms, newcomer.aims.first_event_ms)
         self._strain += STRAIN_WEIGHT * (late - self._strain)
--- a/lynxchute/scheduling/engine_state.py
+++ b/lynxchute/scheduling/engine_state.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from lynxchute.scheduling.newcomer import Newcomer
+from lynxchute.scheduling.newcomer import PendingRequest
 from lynxchute.scheduling.pauses import PauseRecord
 from lynxchute.scheduling.prefix_cache import PrefixCache
 from lynxchute.scheduling.reading_speed import ReadingSpeed
@@ -138,9 +138,9 @@
     slowness: float = 1.0
     slowness_at: float = 0.0
     lasting: float = 1.0
-    tells_apart: bool = False
+    tracks_transients: bool = False
     begun_at: float = 0.0
-    token_seconds: float = USUAL_TOKEN_SECONDS
+    seconds_per_token: float = USUAL_TOKEN_SECONDS
     avoided_until: float = 0.0
     reads_until: float = 0.0
     runs_by_id: dict[str, Run] = attrs.Factory(dict)
@@ -150,7 +150,7 @@
 
     def slowness_now(self, now: float) -> float:
         """Return how much longer than expected first events take now."""
-        if not self.tells_apart:
+        if not self.tracks_transients:
             return self.slowness
         passed = max(now - self.slowness_at, 0.0)
         left = 0.5 ** (passed / FADING_SECONDS)
@@ -178,12 +178,12 @@
                 found[limit] = found.get(limit, 0.0) + run.weight
         return found
 
-    def pause_share(self, newcomer: Newcomer, now: float) -> float:
+    def pause_share(self, newcomer: PendingRequest, now: float) -> float:
         """Return how likely a newcomer pauses for too long later on."""
         if math.isinf(newcomer.aims.pause_ms):
             return 0.0
         rate = self.watch(newcomer.aims.pause_ms).rate(now)
-        seconds = newcomer.answer_tokens * self.token_seconds
+        seconds = newcomer.answer_tokens * self.seconds_per_token
         return 1.0 - math.exp(-rate * seconds)
 
     def waiting_tokens(self, now: float) -> float:
@@ -220,7 +220,7 @@
         seen = (now - run.begun_at) / run.answer_tokens
         self._answers += 1
         weight = self._weight(TOKEN_SECONDS_WEIGHT, self._answers)
-        self.token_seconds += weight * (seen - self.token_seconds)
+        self.seconds_per_token += weight * (seen - self.seconds_per_token)
 
     def backlog_ms(self, now: float) -> float:
         """Return how long it has to read the prompts that are still waiting."""
@@ -242,12 +242,12 @@
             if run.overdue_ms(now) > PASSED_MS:
                 run.is_passed = True
 
-    def note_begun(self, run_id: str, run: Run, now: float) -> None:
+    def record_first_event(self, run_id: str, run: Run, now: float) -> None:
         """Note that a run has become a stream."""
         run.has_begun = True
         run.begun_at = now
         self.begun_at = now
-        self.watch(run.max_pause_ms).note_begun(run_id, now)
+        self.watch(run.max_pause_ms).record_first_event(run_id, now)
 
     def learn(self, run: Run, took_ms: float, now: float) -> None:
         """Learn from how long the first event of a run took."""
@@ -283,7 +283,7 @@
         if reading_ms < TELLING_MS:
             return
         ratio = max(took_ms - first_event_ms, 0.0) / reading_ms
-        before = run.slowness if self.tells_apart else self.slowness
+        before = run.slowness if self.tracks_transients else self.slowness
         seen = min(max(before * ratio, MIN_SLOWNESS), MAX_SLOWNESS)
         present = self.slowness_now(now)
         self.slowness = present + SLOWNESS_WEIGHT * (seen - present)
@@ -294,7 +294,7 @@
 
     def _weight(self, usual: float, count: int) -> float:
         """Return what the newest of so many counts."""
-        return max(usual, 1.0 / (count + 1)) if self.tells_apart else usual
+        return max(usual, 1.0 / (count + 1)) if self.tracks_transients else usual
 
 
 def begin_like(state: EngineState, others: Iterable[EngineState]) -> None:
@@ -304,5 +304,5 @@
         return
     speeds = [other.reading.tokens_per_ms for other in known]
     state.reading.tokens_per_ms = statistics.median(speeds)
-    seconds = [other.token_seconds for other in known]
-    state.token_seconds = statistics.median(seconds)
+    seconds = [other.seconds_per_token for other in known]
+    state.seconds_per_token = statistics.median(seconds)
--- a/lynxchute/scheduling/newcomer.py
+++ b/lynxchute/scheduling/newcomer.py
@@ -9,7 +9,7 @@
 
 
 @attrs.frozen
-class Newcomer:
+class PendingRequest:
     """A request that needs an engine.
 
     Attributes
--- a/lynxchute/scheduling/news.py
+++ b/lynxchute/scheduling/news.py
@@ -65,7 +65,12 @@
         try:
             await self._peers.ask(vm, RunNewsRequest(tuple(news)))
         except PeerUnreachable as error:
-            log_event("news of runs kept", peer=vm, count=len(news), reason=str(error))
+            log_event(
+                "run updates not delivered, will retry",
+                peer=vm,
+                count=len(news),
+                reason=str(error),
+            )
             self._keep(vm, news)
 
     def _keep(self, vm: str, news: list[RunNews]) -> None:
--- a/lynxchute/scheduling/place_requests.py
+++ b/lynxchute/scheduling/place_requests.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from lynxchute.fleet.messages import PlaceRequest
-from lynxchute.scheduling.newcomer import Newcomer
+from lynxchute.scheduling.newcomer import PendingRequest
 from lynxchute.upstreams.aims import Aims
 from lynxchute.upstreams.generation import Generation, PromptPart
 
@@ -13,7 +13,7 @@
     return f"schedule {service}"
 
 
-def newcomer_of(request: PlaceRequest) -> Newcomer:
+def newcomer_of(request: PlaceRequest) -> PendingRequest:
     """Return what a question asks a place for."""
     generation = Generation(
         # A service's engines all have the model that the route names.
@@ -24,4 +24,4 @@
         expected_output_tokens=request.expected_output_tokens,
     )
     aims = Aims(request.first_event_ms, request.pause_ms)
-    return Newcomer(request.run_id, generation, aims, request.router)
+    return PendingRequest(request.run_id, generation, aims, request.router)
--- a/lynxchute/scheduling/placing.py
+++ b/lynxchute/scheduling/placing.py
@@ -8,13 +8,16 @@
 
 from lynxchute.config import EngineTraits
 from lynxchute.fleet.messages import PlaceReply, PlaceRequest
-from lynxchute.overload.claim import BadClaim, Claim
+from lynxchute.overload.claim import Claim, InvalidClaim
 from lynxchute.rendezvous import ranked
-from lynxchute.scheduling.backpressure_news import backpressure_of, take_backpressure
+from lynxchute.scheduling.backpressure_news import (
+    known_backpressure,
+    merge_backpressure,
+)
 from lynxchute.scheduling.board import Candidate, EngineBoard
-from lynxchute.scheduling.cold_placements import ColdPlacements
+from lynxchute.scheduling.cold_placements import ColdPlacementLimiter
 from lynxchute.scheduling.place_requests import newcomer_of
-from lynxchute.scheduling.turns import Turns, refused_claim
+from lynxchute.scheduling.turns import AdmissionQueue, refused_claim
 from lynxchute.upstreams.directory import Directory
 from lynxchute.upstreams.entry import Entry
 from lynxchute.upstreams.neighbourhood import Neighbourhood
@@ -59,8 +62,8 @@
         neighbourhood: Neighbourhood,
         traits_of: Callable[[str], EngineTraits | None],
         gate: SendGate,
-        cold: ColdPlacements,
-        turns: Turns | None,
+        cold: ColdPlacementLimiter,
+        turns: AdmissionQueue | None,
         clock: Callable[[], float],
     ) -> None:
         self.board = EngineBoard()
@@ -74,8 +77,8 @@
 
     async def serve(self, request: PlaceRequest) -> PlaceReply:
         """Answer another router."""
-        take_backpressure(self._directory, request.backpressure, self._clock())
-        key = newcomer_of(request).generation.placing_key(request.run_id)
+        merge_backpressure(self._directory, request.backpressure, self._clock())
+        key = newcomer_of(request).generation.affinity_key(request.run_id)
         entries = []
         for entry in self._neighbourhood.entries(request.service, key, self._clock()):
             if self.takes_work(entry) and entry.upstream.id not in request.passed_over:
@@ -89,7 +92,7 @@
         if request.claim is not None and self.turns is not None:
             try:
                 self.turns.check(request, request.claim)
-            except BadClaim as error:
+            except InvalidClaim as error:
                 return refused_claim(request, error)
         reply = self.decide(request, entries)
         if reply.wait_ms or reply.retry_ms:
@@ -123,14 +126,14 @@
 
     def may_be_source(self, entry: Entry) -> bool:
         """Return whether an engine can hand over what it keeps, leaving or not."""
-        return entry.gone_at is None and not self._gate.is_evacuated(entry.upstream)
+        return entry.removed_at is None and not self._gate.is_evacuated(entry.upstream)
 
     def _in_turn(
         self,
         request: PlaceRequest,
         entries: Sequence[Entry],
         claim: Claim,
-        turns: Turns,
+        turns: AdmissionQueue,
     ) -> PlaceReply:
         """Place a request unless engines are full, or others come before it."""
         now = self._clock()
@@ -143,7 +146,7 @@
         if found.is_full:
             return turns.wait(request, claim, places, now)
         if found.reply.upstream:
-            turns.note_placed(request, claim, now)
+            turns.record_placement(request, claim, now)
         else:
             turns.drop(request.run_id)
         return found.reply
@@ -159,33 +162,35 @@
         newcomer = newcomer_of(request)
         traits = self._traits_of(request.service)
         # A rank of its own for each prompt spreads what costs the same.
-        admitting = self._cold.admitting(self._within_rate(request, entries), now)
-        by_id = {entry.upstream.id: entry for entry in admitting}
-        key = newcomer.generation.placing_key(request.run_id)
+        admissible_entries = self._cold.admissible_entries(
+            self._within_rate(request, entries), now
+        )
+        by_id = {entry.upstream.id: entry for entry in admissible_entries}
+        key = newcomer.generation.affinity_key(request.run_id)
         order = ranked(key, by_id)
         in_order = [by_id[upstream_id] for upstream_id in order]
         place = self.board.place(
             newcomer,
             self.candidates(in_order, request.data_centre),
             now,
-            sources=self._sources(request.service, key),
+            sources=self._fetch_sources(request.service, key),
             fetch_tokens_per_ms=traits.fetch_tokens_per_ms if traits else 0.0,
             spares_full=spares_full,
         )
         is_counted = is_admitted = False
         if place.upstream_id:
             entry = by_id[place.upstream_id]
-            is_counted = self._cold.note_placed(entry, now)
+            is_counted = self._cold.record_placement(entry, now)
             # A turn that is not used is lost, so what is counted is kept for others.
             if place.upstream_id not in request.own_turns:
-                is_admitted = self._gate.rates.take_count(entry, now)
+                is_admitted = self._gate.rates.admit(entry, now)
         reply = PlaceReply(
             place.upstream_id,
             place.fetch_from,
             place.expected_ms,
             is_counted,
             is_admitted,
-            backpressure_of(self._directory, request.service, now),
+            known_backpressure(self._directory, request.service, now),
         )
         return _Found(reply, place.is_full)
 
@@ -197,14 +202,14 @@
         passed_over = set()
         for entry in self._directory.throttled(request.service, now):
             upstream_id = entry.upstream.id
-            if upstream_id in request.own_turns or rates.has_count(entry, now):
+            if upstream_id in request.own_turns or rates.may_admit(entry, now):
                 continue
             passed_over.add(upstream_id)
         if not passed_over:
             return entries
         return [entry for entry in entries if entry.upstream.id not in passed_over]
 
-    def _sources(self, service: str, key: str) -> list[str]:
+    def _fetch_sources(self, service: str, key: str) -> list[str]:
         """Return the engines that can hand over what they keep, leaving or not."""
         entries_by_id = self._directory.entries_by_id
         found = []
--- a/lynxchute/scheduling/rate_permits.py
+++ b/lynxchute/scheduling/rate_permits.py
@@ -9,7 +9,10 @@
 from lynxchute.fleet.client import Peers, PeerUnreachable
 from lynxchute.fleet.members import Members
 from lynxchute.fleet.server import PeerServer
-from lynxchute.scheduling.backpressure_news import backpressure_of, take_backpressure
+from lynxchute.scheduling.backpressure_news import (
+    known_backpressure,
+    merge_backpressure,
+)
 from lynxchute.scheduling.place_requests import scheduling_key
 from lynxchute.telemetry import log_event
 from lynxchute.upstreams.cold_admission import PERMIT_SECONDS
@@ -92,7 +95,7 @@
         vm = self._members.first_for(scheduling_key(service))
         if vm == self._members.own.vm:
             return self._decide(entry)
-        backpressure = backpressure_of(self._directory, service, self._clock())
+        backpressure = known_backpressure(self._directory, service, self._clock())
         try:
             async with asyncio.timeout(ASK_SECONDS):
                 reply = await self._peers.ask(
@@ -106,15 +109,15 @@
                 reason=str(error) or "too slow",
             )
             return PermitReply(is_admitted=False, again_s=SILENT_SECONDS)
-        take_backpressure(self._directory, reply.backpressure, self._clock())
+        merge_backpressure(self._directory, reply.backpressure, self._clock())
         return reply
 
     def _decide(self, entry: Entry) -> PermitReply:
         now = self._clock()
-        if self._rates.take_count(entry, now):
+        if self._rates.admit(entry, now):
             return PermitReply(is_admitted=True)
         rate = entry.backpressure.rate(now) or 0.0
-        backpressure = backpressure_of(self._directory, entry.upstream.service, now)
+        backpressure = known_backpressure(self._directory, entry.upstream.service, now)
         # Whoever else asks meanwhile may get the next one.
         return PermitReply(
             is_admitted=False,
@@ -123,7 +126,7 @@
         )
 
     async def _serve(self, request: PermitRequest) -> PermitReply:
-        take_backpressure(self._directory, request.backpressure, self._clock())
+        merge_backpressure(self._directory, request.backpressure, self._clock())
         entry = self._directory.entries_by_id.get(request.upstream)
         if entry is None:
             return PermitReply(is_admitted=False, again_s=MOST_AGAIN_SECONDS)
--- a/lynxchute/scheduling/readings.py
+++ b/lynxchute/scheduling/readings.py
@@ -121,7 +121,7 @@
         self._unsettled.append(reading)
         self._recent.append(reading)
 
-    def note_begun(self, stream: str, now: float) -> None:
+    def record_first_event(self, stream: str, now: float) -> None:
         """Note that a run has become a stream, beside what is read just now."""
         for reading in self._unsettled:
             if now < reading.until:
--- a/lynxchute/scheduling/scheduler.py
+++ b/lynxchute/scheduling/scheduler.py
@@ -22,19 +22,19 @@
 )
 from lynxchute.fleet.server import PeerServer
 from lynxchute.http import LinkMeter
-from lynxchute.overload.claim import NoTurn, NotYet
+from lynxchute.overload.claim import AdmissionPending, AdmissionRefused
 from lynxchute.scheduling.alone import two_at_random, with_most_room
 from lynxchute.scheduling.asking import Asking
-from lynxchute.scheduling.cold_placements import ColdPlacements
+from lynxchute.scheduling.cold_placements import ColdPlacementLimiter
 from lynxchute.scheduling.news import NewsOfRuns
 from lynxchute.scheduling.place_requests import scheduling_key
 from lynxchute.scheduling.placing import EnginePlacing
-from lynxchute.scheduling.turns import Turns
+from lynxchute.scheduling.turns import AdmissionQueue
 from lynxchute.telemetry import log_event
 from lynxchute.upstreams.aims import NO_AIMS, Aims
 from lynxchute.upstreams.cold_admission import PERMIT_SECONDS
 from lynxchute.upstreams.directory import Directory
-from lynxchute.upstreams.engines import Engines, EngineSilent
+from lynxchute.upstreams.engines import EngineClient, EngineUnavailable
 from lynxchute.upstreams.entry import Entry
 from lynxchute.upstreams.generation import Generation
 from lynxchute.upstreams.neighbourhood import Neighbourhood
@@ -91,13 +91,13 @@
         peers: Peers,
         directory: Directory,
         traits_of: Callable[[str], EngineTraits | None],
-        engines: Engines,
+        engines: EngineClient,
         gate: SendGate,
-        cold: ColdPlacements,
+        cold: ColdPlacementLimiter,
         meter: LinkMeter,
         clock: Callable[[], float],
         *,
-        turns: Turns | None = None,
+        turns: AdmissionQueue | None = None,
     ) -> None:
         super().__init__()
         self._members = members
@@ -134,7 +134,7 @@
         await super().stop()
         await self._tasks.stop()
 
-    def look(self) -> None:
+    def refresh(self) -> None:
         """Learn what new engines keep, where this router schedules them.
 
         Runs of routers that are gone are forgotten.
@@ -148,11 +148,11 @@
         for entry in self._directory.entries_by_id.values():
             if self.placing.takes_work(entry):
                 by_service.setdefault(entry.upstream.service, []).append(entry)
-        self._cold.look(by_service, self._clock())
+        self._cold.refresh(by_service, self._clock())
         for service, entries in by_service.items():
             if self._traits_of(service) is None:
                 continue
-            if not self.schedules(service):
+            if not self.is_scheduler_for(service):
                 continue
             own = self._members.own.data_centre
             candidates = self.placing.candidates(entries, own)
@@ -162,24 +162,24 @@
                 if self._gate.may_be_asked(entry, self._clock()):
                     self._tasks.spawn(self._learn_cache(entry.upstream))
 
-    def forget(self, upstream: Upstream) -> None:
+    def discard_upstream(self, upstream: Upstream) -> None:
         """Keep nothing of an engine whose process has started again."""
-        self.board.forget(upstream.id)
+        self.board.discard_upstream(upstream.id)
 
     async def _learn_cache(self, upstream: Upstream) -> None:
         try:
             async with self._cache_questions:
                 parts = await self._engines.cached_parts(upstream)
-        except EngineSilent as error:
+        except EngineUnavailable as error:
             log_event("engine did not list its cache", reason=str(error))
             return
         self.board.learn_cache(upstream.id, parts)
         tokens = sum(part.tokens for part in parts)
-        log_event("engine's cache known", upstream=upstream.id, tokens=tokens)
+        log_event("engine cache contents received", upstream=upstream.id, tokens=tokens)
 
     def serve(self, server: PeerServer) -> None:
         """Answer the questions of other routers."""
-        server.answers_by_class[PlaceRequest] = self._serve_place
+        server.answers_by_class[PlaceRequest] = self._handle_place_request
         server.answers_by_class[RunNewsRequest] = self._serve_news
 
     async def choose(
@@ -199,9 +199,9 @@
         if reply.wait_ms or reply.upstream:
             self._scheduler_by_run[run_id] = vm
         if reply.wait_ms:
-            raise NotYet(reply.wait_ms / 1000.0, reply.ahead)
+            raise AdmissionPending(reply.wait_ms / 1000.0, reply.ahead)
         if reply.retry_ms:
-            raise NoTurn(reply.retry_ms / 1000.0)
+            raise AdmissionRefused(reply.retry_ms / 1000.0)
         if not reply.upstream:
             return None
         source = self._directory.entries_by_id.get(reply.fetch_from)
@@ -213,7 +213,8 @@
             placed_by=vm,
             permit_until=asked_at + PERMIT_SECONDS if reply.is_counted else 0.0,
             admitted_until=asked_at + PERMIT_SECONDS if reply.is_admitted else 0.0,
-            is_placed_alone=vm == self._members.own.vm and not self.schedules(service),
+            is_placed_alone=vm == self._members.own.vm
+            and not self.is_scheduler_for(service),
         )
 
     async def _reply(
@@ -242,7 +243,7 @@
         compared = two_at_random(candidates, self._random)
         if not compared:
             log_event(
-                "own places taken",
+                "router has filled its share of all engines",
                 request_id=request.run_id,
                 engines=len(candidates),
                 open_here=sum(entry.open_requests for entry in candidates),
@@ -255,15 +256,17 @@
         # What is expected here leaves out all that others send there.
         return attrs.evolve(reply, expected_ms=0.0)
 
-    def note_begun(self, run_id: str, upstream_id: str, *, took_ms: float) -> None:
+    def record_first_event(
+        self, run_id: str, upstream_id: str, *, took_ms: float
+    ) -> None:
         """Note the first event of a run, so many milliseconds after its send."""
         self._note(run_id, upstream_id, RunStage.BEGUN, round(took_ms, 1))
 
-    def note_paused(self, run_id: str, upstream_id: str) -> None:
+    def record_pause(self, run_id: str, upstream_id: str) -> None:
         """Note that a stream has paused for longer than is on time."""
         self._note(run_id, upstream_id, RunStage.PAUSED)
 
-    def note_ended(self, run_id: str, upstream_id: str, *, failed: bool) -> None:
+    def record_end(self, run_id: str, upstream_id: str, *, failed: bool) -> None:
         """Note that an engine no longer works on a run."""
         stage = RunStage.FAILED if failed else RunStage.ENDED
         if not upstream_id:
@@ -282,7 +285,7 @@
             return
         self._news.post(vm, [news])
 
-    def schedules(self, service: str) -> bool:
+    def is_scheduler_for(self, service: str) -> bool:
         """Return whether this router places a service's requests."""
         return self._scheduling_vm(service) == self._members.own.vm
 
@@ -294,7 +297,7 @@
             self._take(news)
         return Done()
 
-    async def _serve_place(self, request: PlaceRequest) -> PlaceReply:
+    async def _handle_place_request(self, request: PlaceRequest) -> PlaceReply:
         self._asking.asked_at = self._clock()
         return await self.placing.serve(request)
 
@@ -314,7 +317,7 @@
             return
         entry = self._directory.entries_by_id.get(news.upstream)
         if turns is not None and entry is not None:
-            turns.note_freed(entry.upstream.service, self._clock())
+            turns.record_freed(entry.upstream.service, self._clock())
         if news.stage is RunStage.FAILED:
             self.board.failed(news.upstream, news.run_id, self._clock())
             return
