--- a/lynxchute/scheduling/turns.py
+++ b/lynxchute/scheduling/turns.py
@@ -13,10 +13,10 @@
 import attrs
 
 from lynxchute.fleet.messages import PlaceReply, PlaceRequest
-from lynxchute.overload.claim import BadClaim, Claim
-from lynxchute.overload.drain import Drain
+from lynxchute.overload.claim import Claim, InvalidClaim
+from lynxchute.overload.drain import DrainRate
 from lynxchute.overload.fair_shares import EqualDivision
-from lynxchute.overload.returns import Returns
+from lynxchute.overload.returns import ExpectedRetries
 from lynxchute.overload.ticket import Ticket
 from lynxchute.overload.ticket_queue import FairTicketQueue
 from lynxchute.telemetry import Metrics, log_event
@@ -55,7 +55,7 @@
     tidied_at: float = 0.0
 
 
-class Turns:
+class AdmissionQueue:
     """Decide who is placed, who waits and who is refused where engines are full.
 
     Parameters
@@ -68,7 +68,7 @@
 
     def __init__(self, weight_of: Callable[[str], float], metrics: Metrics) -> None:
         self.shares = EqualDivision(weight_of)
-        self._returns = Returns()
+        self._returns = ExpectedRetries()
         self._metrics = metrics
         self._routers: Collection[str] = ()
         self._queue_by_service: dict[str, _ServiceQueue] = {}
@@ -97,11 +97,11 @@
         """
         claim.check()
         if request.router not in self._routers:
-            raise BadClaim("router")
+            raise InvalidClaim("router")
         served = self._queue_by_service.get(request.service)
         ticket = served.queue.get(request.run_id) if served is not None else None
         if ticket is not None and ticket.router != request.router:
-            raise BadClaim("duplicate")
+            raise InvalidClaim("duplicate")
 
     def is_idle(self, service: str, now: float) -> bool:
         """Return whether nobody waits for a service's engines."""
@@ -126,38 +126,38 @@
         served = self._queue_of(request.service, places)
         run_id = request.run_id
         if run_id in served.queue:
-            after = served.queue.refusal(run_id, now)
+            after = served.queue.reject_if_late(run_id, now)
         else:
             after = served.queue.put(self._ticket(request, claim, now), now)
         if after is not None:
             served.due_by_run.pop(run_id, None)
             self._refuse(claim, after, now)
             return PlaceReply("", retry_ms=max(after * 1000.0, 1.0))
-        ahead = served.queue.ahead_of(run_id, now)
+        ahead = served.queue.position_of(run_id, now)
         expected = served.queue.expected_wait(run_id, now)
         again = min(max(expected * AGAIN_SHARE, LEAST_AGAIN), MOST_AGAIN)
         served.due_by_run[run_id] = now + again + GRACE_SECONDS
         self._tell_waiting()
         return PlaceReply("", wait_ms=again * 1000.0, ahead=ahead)
 
-    def note_placed(self, request: PlaceRequest, claim: Claim, now: float) -> None:
+    def record_placement(self, request: PlaceRequest, claim: Claim, now: float) -> None:
         """Note that a request has got a place."""
         served = self._queue_by_service.get(request.service)
         if served is not None and request.run_id in served.queue:
             served.due_by_run.pop(request.run_id, None)
-            served.queue.serve(request.run_id, now)
+            served.queue.admit(request.run_id, now)
             self._tell_waiting()
             return
         # What has waited was counted when it came.
         self._count(request, claim, now)
         if served is not None:
-            served.queue.note_passed(claim.rank, now)
+            served.queue.record_unqueued(claim.rank, now)
 
-    def note_freed(self, service: str, now: float) -> None:
+    def record_freed(self, service: str, now: float) -> None:
         """Note that an engine's place has become free."""
         served = self._queue_by_service.get(service)
         if served is not None:
-            served.queue.drain.note_freed(now)
+            served.queue.drain.record_freed(now)
 
     def drop(self, run_id: str) -> None:
         """Forget a request whose caller has left, or whose router asks elsewhere."""
@@ -188,16 +188,16 @@
     def _queue_of(self, service: str, places: int) -> _ServiceQueue:
         served = self._queue_by_service.get(service)
         if served is None:
-            drain = Drain(max(places, 1) / USUAL_RUN_SECONDS)
+            drain = DrainRate(max(places, 1) / USUAL_RUN_SECONDS)
             served = _ServiceQueue(FairTicketQueue(self.shares, drain))
             self._queue_by_service[service] = served
         return served
 
     def _ticket(self, request: PlaceRequest, claim: Claim, now: float) -> Ticket:
-        is_return = self._count(request, claim, now)
+        is_timely_retry = self._count(request, claim, now)
         cost = cost_of(request)
         return claim.ticket(
-            request.run_id, request.router, cost, now, is_return=is_return
+            request.run_id, request.router, cost, now, is_timely_retry=is_timely_retry
         )
 
     def _count(self, request: PlaceRequest, claim: Claim, now: float) -> bool:
@@ -206,13 +206,13 @@
         One that does was counted when it was refused, and whoever comes back sooner
         pays for each attempt.
         """
-        is_return = self._returns.take(claim.account, claim.content, now)
-        if claim.account and not is_return:
-            self.shares.note_use(claim.account, cost_of(request), now)
-        return is_return
+        is_timely_retry = self._returns.consume(claim.account, claim.content, now)
+        if claim.account and not is_timely_retry:
+            self.shares.record_use(claim.account, cost_of(request), now)
+        return is_timely_retry
 
     def _refuse(self, claim: Claim, after: float, now: float) -> None:
-        self._returns.note_told(claim.account, claim.content, after, now)
+        self._returns.record_refusal(claim.account, claim.content, after, now)
         account = claim.account
         if account not in self._told_accounts:
             if len(self._told_accounts) >= TOLD_ACCOUNTS:
@@ -255,10 +255,10 @@
     return request.prompt_tokens + ANSWER_TOKEN_WEIGHT * answer
 
 
-def refused_claim(request: PlaceRequest, error: BadClaim) -> PlaceReply:
+def refused_claim(request: PlaceRequest, error: InvalidClaim) -> PlaceReply:
     """Log a claim that cannot be taken; its router has to place by itself."""
     log_event(
-        "claim not taken",
+        "placement claim rejected",
         request_id=request.run_id,
         router=request.router,
         reason=str(error),
--- a/lynxchute/spending/balance.py
+++ b/lynxchute/spending/balance.py
@@ -12,9 +12,9 @@
 from lynxchute.fleet.client import Peers, PeerUnreachable
 from lynxchute.fleet.members import Member, Members
 from lynxchute.fleet.messages import GiveRequest
-from lynxchute.spending.keeper import Keeper
+from lynxchute.spending.keeper import LedgerSync
 from lynxchute.spending.lenders import Lenders
-from lynxchute.spending.standing import Standing
+from lynxchute.spending.standing import LocalReserve
 from lynxchute.telemetry import log_event
 
 # Seconds between two looks.
@@ -42,7 +42,7 @@
     taker: Member | None = None
 
 
-class Balance:
+class Rebalancer:
     """Fill a home that runs low, and pass on what a stand-in has left over.
 
     Parameters
@@ -59,11 +59,11 @@
 
     def __init__(
         self,
-        keeper: Keeper,
+        keeper: LedgerSync,
         lenders: Lenders,
         members: Members,
         peers: Peers,
-        standing: Standing | None = None,
+        standing: LocalReserve | None = None,
     ) -> None:
         self._standing = standing
         self.loop = Loop("balance", self._step, STEP_SECONDS)
@@ -82,7 +82,7 @@
             if share.is_home:
                 await self._fill(account)
                 continue
-            self._pass_on(account, kept=self._kept(account))
+            self._pass_on(account, retained=self._kept(account))
         for gift in list(self._gifts):
             await self._send(gift)
 
@@ -93,15 +93,15 @@
         if demand <= 0 or at_hand >= demand * LOW_SECONDS:
             return
         if self._ledger.free(account) > 0 and self._keeper.store_answers:
-            self._keeper.want()
+            self._keeper.request_write()
             return
         wanted = int(demand * FILL_SECONDS) - at_hand
         gathered = await self._lenders.fill(account, wanted)
         if gathered.released:
             self._keeper.look_soon()
-            self._keeper.want()
+            self._keeper.request_write()
 
-    async def hand_over(self) -> None:
+    async def transfer_borrowed(self) -> None:
         """Pass on all that was lent to this router, before it ends.
 
         The lenders count it as used, and no row says who has it: it would be lost.
@@ -112,15 +112,19 @@
         await asyncio.gather(*(self._send(gift) for gift in list(self._gifts)))
 
     def _kept(self, account: str) -> int:
-        return self._standing.kept(account) if self._standing is not None else 0
+        return self._standing.retained(account) if self._standing is not None else 0
 
-    def _pass_on(self, account: str, *, kept: int = 0) -> None:
-        tokens = self._ledger.leftover(account, self._keeper.now_ms(), kept=kept)
+    def _pass_on(self, account: str, *, retained: int = 0) -> None:
+        tokens = self._ledger.leftover(
+            account, self._keeper.now_ms(), retained=retained
+        )
         if tokens <= 0:
             return
-        self._ledger.give(account, tokens)
+        self._ledger.transfer_out(account, tokens)
         self._gifts.append(Gift(secrets.token_hex(8), account, tokens))
-        log_event("leftover tokens passed on", account=account, tokens=tokens)
+        log_event(
+            "leftover tokens sent to the account's home", account=account, tokens=tokens
+        )
 
     async def _send(self, gift: Gift) -> None:
         self._gifts.remove(gift)
--- a/lynxchute/spending/final_use.py
+++ b/lynxchute/spending/final_use.py
@@ -33,7 +33,7 @@
 FAR_WITNESSES = 2
 
 
-class FinalUses:
+class FinalUseExchange:
     """Keep the others' last words, and exchange the own.
 
     A router that stops while it is cut off from the store cannot write down
@@ -69,9 +69,9 @@
         used = {name: s.own_use for name, s in ledger.shares_by_account.items()}
         final = FinalUse(ledger.vm, ledger.incarnation, used)
         told = await self._ask_all(final, self._others())
-        log_event("final use told to others", told=len(told), accounts=len(used))
+        log_event("final use sent to other routers", told=len(told), accounts=len(used))
 
-    async def recall(self) -> None:
+    async def fetch_predecessor_use(self) -> None:
         """Ask the others what the run before this one had used."""
         ledger = self._ledger
         silent_ms = ledger.silent_ms
@@ -83,7 +83,7 @@
                 continue
             ledger.learn_final_use(question.incarnation, reply.used_by_account)
             log_event(
-                "final use of the run before known",
+                "final use of the previous run received",
                 incarnation=question.incarnation,
                 accounts=len(reply.used_by_account),
             )
--- a/lynxchute/spending/keeper.py
+++ b/lynxchute/spending/keeper.py
@@ -35,7 +35,7 @@
 TEND_SECONDS = 2.0
 
 
-class Keeper(Background):
+class LedgerSync(Background):
     """Write the ledger's plans, one at a time.
 
     Parameters
@@ -119,13 +119,13 @@
                 continue
             if ledger.prepaid_by_account.get(account.name) != account.prepaid:
                 ledger.prepaid_by_account[account.name] = account.prepaid
-                self.want()
+                self.request_write()
 
     def touch(self) -> None:
         """Note that tokens were used, so that the lines are to be renewed."""
         self._stirred.set()
 
-    def want(self) -> None:
+    def request_write(self) -> None:
         """Have the ledger written without delay."""
         self._wanted.set()
         self._stirred.set()
@@ -161,7 +161,7 @@
             share = self.ledger.share(account)
             if share.is_home != is_home:
                 share.is_home = is_home
-                self.want()
+                self.request_write()
 
     async def cover(self, account: str, tokens: int, until: float) -> bool:
         """Wait until tokens can be reserved; return whether they can.
@@ -215,7 +215,7 @@
     async def _next_outcome(self, until: float) -> bool:
         waiter = asyncio.get_running_loop().create_future()
         self._waiters.add(waiter)
-        self.want()
+        self.request_write()
         try:
             async with asyncio.timeout(max(until - steady_seconds(), 0.0)):
                 await waiter
@@ -288,7 +288,7 @@
         for row in holders.rows:
             if row.id.key == self.ledger.vm:
                 own = row
-        self.ledger.learn_totals(totals.rows)
+        self.ledger.update_totals(totals.rows)
         ended_ms = self._store.clock.latest_ms(self._started_at)
         self.ledger.take_over(own, ended_ms)
         log_event(
@@ -324,7 +324,7 @@
         try:
             outcome = await self._store.write(plan.write)
         except StoreUnavailable as error:
-            ledger.lost()
+            ledger.record_write_failed()
             self._note_failure(error)
         except OutcomeUnknown as error:
             ledger.unsure()
@@ -341,10 +341,10 @@
     def _learn(self, plan: Plan, outcome: Outcome) -> None:
         ledger = self.ledger
         self._note_answer()
-        if not ledger.learn(outcome):
+        if not ledger.apply_outcome(outcome):
             # Another router's write came first; what it changed is known now.
             self._put_grants_off()
-            self.want()
+            self.request_write()
         elif plan.totals_by_account:
             self._grant_pause.note_changed()
             log_event(
@@ -361,7 +361,7 @@
     def _put_grants_off(self) -> None:
         """Let others change grants first; lines are written meanwhile."""
         seconds = self._grant_pause.begin(steady_seconds())
-        asyncio.get_running_loop().call_later(seconds, self.want)
+        asyncio.get_running_loop().call_later(seconds, self.request_write)
 
     async def _look(self) -> bool:
         """Read the divisions again where that is due.
@@ -387,7 +387,7 @@
             self._note_failure(error)
             self._wake()
             return False
-        self.ledger.learn_totals(totals.rows)
+        self.ledger.update_totals(totals.rows)
         return True
 
     def _is_short(self) -> bool:
--- a/lynxchute/spending/lenders.py
+++ b/lynxchute/spending/lenders.py
@@ -11,8 +11,8 @@
 from lynxchute.fleet.client import Peers, PeerUnreachable
 from lynxchute.fleet.members import Members
 from lynxchute.fleet.messages import LendReply, LendRequest, VoidLoan
-from lynxchute.spending.keeper import Keeper
-from lynxchute.spending.settlements import Settlements
+from lynxchute.spending.keeper import LedgerSync
+from lynxchute.spending.settlements import SettlementSender
 from lynxchute.telemetry import log_event
 
 # Seconds of its demand that a router asks for ahead, so that not every request
@@ -70,10 +70,10 @@
 
     def __init__(
         self,
-        keeper: Keeper,
+        keeper: LedgerSync,
         members: Members,
         peers: Peers,
-        settlements: Settlements,
+        settlements: SettlementSender,
     ) -> None:
         self._keeper = keeper
         self._ledger = keeper.ledger
@@ -173,7 +173,12 @@
         if reply.lent:
             self._ledger.borrow(account, reply.lent)
         if reply.lent or reply.released:
-            log_event("tokens had", account=account, lender=vm, **_of(reply))
+            log_event(
+                "tokens obtained from a lender",
+                account=account,
+                lender=vm,
+                **_of(reply),
+            )
 
     def in_order(self, account: str) -> list[str]:
         """Return the routers that may hold a part of a budget.
--- a/lynxchute/spending/reservations.py
+++ b/lynxchute/spending/reservations.py
@@ -31,10 +31,10 @@
     BudgetUnreachable,
     Reservation,
 )
-from lynxchute.spending.keeper import Keeper
+from lynxchute.spending.keeper import LedgerSync
 from lynxchute.spending.lenders import Gathered, Lenders
-from lynxchute.spending.settlements import Settlements
-from lynxchute.spending.standing import Standing
+from lynxchute.spending.settlements import SettlementSender
+from lynxchute.spending.standing import LocalReserve
 from lynxchute.telemetry import Metrics, log_event
 
 # Seconds that a request waits for the store to cover it: some writes of 5 ms,
@@ -72,7 +72,7 @@
 
     holder: str
     reservation_id: str
-    settlements: Settlements
+    settlements: SettlementSender
 
     def settle(self, used: int) -> None:
         """Give back what the request did not use."""
@@ -103,13 +103,13 @@
 
     def __init__(
         self,
-        keeper: Keeper,
+        keeper: LedgerSync,
         members: Members,
         peers: Peers,
-        settlements: Settlements,
+        settlements: SettlementSender,
         metrics: Metrics,
         lenders: Lenders,
-        standing: Standing | None = None,
+        standing: LocalReserve | None = None,
     ) -> None:
         self._metrics = metrics
         self._standing = standing
@@ -286,7 +286,7 @@
             self._ledger.settle(settlement.reservation_id, settlement.used)
         for loan in request.void_loans:
             tokens = self._ledger.void_loan(loan.loan_id, loan.account)
-            log_event("loan taken back", account=loan.account, tokens=tokens)
+            log_event("loan voided", account=loan.account, tokens=tokens)
         self._keeper.touch()
         return Done()
 
@@ -308,7 +308,7 @@
                 wanted=request.wanted,
                 now_ms=self._keeper.now_ms(),
                 now=steady_seconds(),
-                to_keep=bool(request.kept_by),
+                for_reserve=bool(request.kept_by),
             )
         if lent and request.kept_by:
             self.lenders.note_kept(account, request.kept_by)
--- a/lynxchute/spending/settlements.py
+++ b/lynxchute/spending/settlements.py
@@ -35,7 +35,7 @@
         return not self.settlements and not self.void_loans
 
 
-class Settlements(Background):
+class SettlementSender(Background):
     """Collect settlements and send them in batches.
 
     Parameters
@@ -105,7 +105,7 @@
         if now - waiting.silent_since < GIVE_UP_AFTER:
             return
         log_event(
-            "settlements given up; they stay counted at their most",
+            "settlements dropped; their reservations stay counted in full",
             holder=vm,
             count=len(waiting.settlements),
             loans=len(waiting.void_loans),
--- a/lynxchute/spending/standing.py
+++ b/lynxchute/spending/standing.py
@@ -6,11 +6,11 @@
 
 from lynxchute.application import Loop
 from lynxchute.budgets.demand import Demand
-from lynxchute.budgets.standing import StandingRule, StandingView
+from lynxchute.budgets.standing import LocalReservePolicy, LocalReserveView
 from lynxchute.clock import steady_seconds
 from lynxchute.fleet.members import Members
 from lynxchute.fleet.messages import ReserveRequest
-from lynxchute.spending.keeper import Keeper
+from lynxchute.spending.keeper import LedgerSync
 from lynxchute.spending.lenders import Lenders
 
 # Seconds between two looks at what lacks, and until holders that gave less than half
@@ -20,7 +20,7 @@
 
 
 @attrs.define(eq=False)
-class Arrivals:
+class CallerDemand:
     """What callers of one account ask for at this router.
 
     Attributes
@@ -36,7 +36,7 @@
     ask_at: float = 0.0
 
 
-class Standing:
+class LocalReserve:
     """Hold tokens of accounts whose callers arrive here but whose home is elsewhere.
 
     Parameters
@@ -54,14 +54,14 @@
         Asks the holders.
     """
 
-    def __init__(self, keeper: Keeper, lenders: Lenders, members: Members) -> None:
+    def __init__(self, keeper: LedgerSync, lenders: Lenders, members: Members) -> None:
         self.loop = Loop("standing", self._step, STEP_SECONDS)
         self._ledger = keeper.ledger
         self._keeper = keeper
         self._lenders = lenders
         self._members = members
-        self._rule = StandingRule()
-        self._arrivals_by_account: dict[str, Arrivals] = {}
+        self._rule = LocalReservePolicy()
+        self._arrivals_by_account: dict[str, CallerDemand] = {}
 
     def try_reserve(self, request: ReserveRequest, *, is_home: bool) -> bool:
         """Set tokens for a caller's request aside of what is kept here.
@@ -72,7 +72,7 @@
             Whether this router is the account's home: nothing is kept then.
         """
         account, now = request.account, steady_seconds()
-        arrivals = self._arrivals_by_account.setdefault(account, Arrivals())
+        arrivals = self._arrivals_by_account.setdefault(account, CallerDemand())
         arrivals.demand.add(request.tokens, now)
         arrivals.requests.add(1, now)
         if is_home:
@@ -87,12 +87,12 @@
             self.loop.wake()
         return problem is None
 
-    def kept(self, account: str) -> int:
+    def retained(self, account: str) -> int:
         """Return the tokens of an account that are not to be given back."""
         arrivals = self._arrivals_by_account.get(account)
         if arrivals is None:
             return 0
-        return self._rule.kept(self._view(account, arrivals, steady_seconds()))
+        return self._rule.retained(self._view(account, arrivals, steady_seconds()))
 
     async def _step(self) -> None:
         if not self._ledger.is_open or self._ledger.is_closing:
@@ -101,18 +101,20 @@
             now = steady_seconds()
             if now < arrivals.ask_at or self._is_home(account):
                 continue
-            missing = self._missing(account, arrivals, now)
-            if not missing:
+            shortfall = self._missing(account, arrivals, now)
+            if not shortfall:
                 continue
-            gathered = await self._lenders.fetch_to_keep(account, missing)
-            if gathered.had < missing // 2:
+            gathered = await self._lenders.fetch_to_keep(account, shortfall)
+            if gathered.had < shortfall // 2:
                 arrivals.ask_at = steady_seconds() + AGAIN_SECONDS
 
-    def _missing(self, account: str, arrivals: Arrivals, now: float) -> int:
-        return self._rule.missing(self._view(account, arrivals, now))
+    def _missing(self, account: str, arrivals: CallerDemand, now: float) -> int:
+        return self._rule.shortfall(self._view(account, arrivals, now))
 
-    def _view(self, account: str, arrivals: Arrivals, now: float) -> StandingView:
-        return StandingView(
+    def _view(
+        self, account: str, arrivals: CallerDemand, now: float
+    ) -> LocalReserveView:
+        return LocalReserveView(
             demand=arrivals.demand.rate(now),
             requests=arrivals.requests.rate(now),
             at_hand=self._ledger.available(account, self._keeper.now_ms()),
--- a/lynxchute/standins/callers.py
+++ b/lynxchute/standins/callers.py
@@ -13,7 +13,7 @@
 from lynxchute.callers import names
 from lynxchute.config.from_document import CHAT_PATH
 from lynxchute.http import ExchangeFailed, HttpClient, Timeouts
-from lynxchute.relay.refusal import Run
+from lynxchute.relay.refusal import RunStatus
 from lynxchute.standins.counts import paid_by_account, served_by_account
 from lynxchute.standins.deployment import MODEL, Deployment, caller_key
 from lynxchute.standins.text import answer_tokens
@@ -73,7 +73,7 @@
         refusal that says that it has not run.
         """
         last = self.attempts[-1]
-        return not self.is_call or last.run == Run.NOT_RUN.value
+        return not self.is_call or last.run == RunStatus.NOT_RUN.value
 
 
 @attrs.frozen
--- a/lynxchute/standins/engine.py
+++ b/lynxchute/standins/engine.py
@@ -15,7 +15,7 @@
 import attrs
 
 from lynxchute.callers import names
-from lynxchute.callers.question import parse_question
+from lynxchute.callers.question import parse_chat_request
 from lynxchute.config.from_document import CHAT_PATH
 from lynxchute.http import BadRequest, Request, Responder, not_found
 from lynxchute.standins.text import answer_tokens, prompt_tokens
@@ -172,7 +172,7 @@
         await self.server.start("127.0.0.1", port)
 
     def _keep(self, request: Request) -> None:
-        parsed = parse_question(request)
+        parsed = parse_chat_request(request)
         if parsed.is_error():
             return
         question = parsed.ok
--- a/lynxchute/upstreams/backpressure.py
+++ b/lynxchute/upstreams/backpressure.py
@@ -55,7 +55,7 @@
     is_leaving: bool = False
     backoff_until: float = 0.0
 
-    def note_answer(
+    def record_answer(
         self,
         statement: Statement,
         *,
@@ -112,7 +112,7 @@
         elif self.limit is not None:
             self.is_unsaid = True
 
-    def note_told(
+    def record_peer_limit(
         self, limit: float | None, *, heard_ms: int, now: float, clock_ms: int
     ) -> bool:
         """Take what another router has heard; return whether it is newer.
--- a/lynxchute/upstreams/backpressure_watch.py
+++ b/lynxchute/upstreams/backpressure_watch.py
@@ -7,9 +7,9 @@
 from lynxchute.application import Loop, Tasks
 from lynxchute.telemetry import log_event
 from lynxchute.upstreams.directory import Directory
-from lynxchute.upstreams.engines import Engines, EngineSilent
+from lynxchute.upstreams.engines import EngineClient, EngineUnavailable
 from lynxchute.upstreams.entry import Entry
-from lynxchute.upstreams.probes import take_probe
+from lynxchute.upstreams.probes import handle_probe
 from lynxchute.upstreams.rate_limits import RateLimits
 
 # Seconds between two looks.
@@ -43,7 +43,7 @@
     def __init__(
         self,
         directory: Directory,
-        engines: Engines,
+        engines: EngineClient,
         rates: RateLimits,
         rank_of: Callable[[str], int | None],
         clock: Callable[[], float],
@@ -64,7 +64,7 @@
         now = self._clock()
         throttled = list(self._directory.throttled_by_id.values())
         for entry in throttled:
-            self._directory.note_backpressure(entry, now)
+            self._directory.refresh_throttled(entry, now)
             if self._is_due(entry, now):
                 entry.probed_at = now
                 self.tasks.spawn(self._ask(entry))
@@ -85,11 +85,11 @@
     async def _ask(self, entry: Entry) -> None:
         try:
             probe = await self._engines.probe(entry.upstream)
-        except EngineSilent as error:
+        except EngineUnavailable as error:
             log_event(
                 "throttled upstream silent",
                 upstream=entry.upstream.id,
                 reason=str(error),
             )
             return
-        take_probe(self._directory, entry, probe, self._clock())
+        handle_probe(self._directory, entry, probe, self._clock())
--- a/lynxchute/upstreams/cold_admission.py
+++ b/lynxchute/upstreams/cold_admission.py
@@ -51,22 +51,22 @@
     extra: float = 5.0
 
     @property
-    def is_bound(self) -> bool:
+    def has_limit(self) -> bool:
         """Return whether there is a bound at all."""
         return self.per_second > 0
 
-    def bounds(self, cold_until: float, now: float) -> bool:
+    def is_active(self, cold_until: float, now: float) -> bool:
         """Return whether an upstream that is cold until then bears a few only."""
-        return self.is_bound and now < cold_until
+        return self.has_limit and now < cold_until
 
     @property
-    def most(self) -> int:
+    def max_per_second(self) -> int:
         """Return the requests that may reach one in any second."""
         return int(self.per_second * self.factor + self.extra)
 
 
 @attrs.frozen
-class Standing:
+class HeldRank:
     """Where a router stands among all that are registered for a service.
 
     Attributes
@@ -93,7 +93,7 @@
     NAME: ClassVar[str]
 
     @abstractmethod
-    def share(self, limits: ColdLimits, standing: Standing) -> int:
+    def share(self, limits: ColdLimits, held_rank: HeldRank) -> int:
         """Return how many of the requests that reach it in a second are its own."""
 
 
@@ -108,11 +108,11 @@
 
     NAME = "first"
 
-    def share(self, limits: ColdLimits, standing: Standing) -> int:
+    def share(self, limits: ColdLimits, held_rank: HeldRank) -> int:
         """Return half of the bound for the first router, nothing for others."""
-        if standing.rank or standing.seconds < TAKE_OVER_SECONDS:
+        if held_rank.rank or held_rank.seconds < TAKE_OVER_SECONDS:
             return 0
-        return limits.most // MOST_AT_ONCE
+        return limits.max_per_second // MOST_AT_ONCE
 
 
 class SharesByRank(ColdAdmission):
@@ -123,11 +123,11 @@
 
     NAME = "shares"
 
-    def share(self, limits: ColdLimits, standing: Standing) -> int:
+    def share(self, limits: ColdLimits, held_rank: HeldRank) -> int:
         """Return 1 for as many routers as half of the bound has requests."""
-        if standing.seconds < TAKE_OVER_SECONDS:
+        if held_rank.seconds < TAKE_OVER_SECONDS:
             return 0
-        return int(standing.rank < limits.most // MOST_AT_ONCE)
+        return int(held_rank.rank < limits.max_per_second // MOST_AT_ONCE)
 
 
 class WarmOnly(ColdAdmission):
@@ -135,7 +135,7 @@
 
     NAME = "none"
 
-    def share(self, limits: ColdLimits, standing: Standing) -> int:
+    def share(self, limits: ColdLimits, held_rank: HeldRank) -> int:
         """Return 0."""
         return 0
 
@@ -145,7 +145,7 @@
 }
 
 
-class StandingWatch:
+class RankWatch:
     """Tell for how long a router has had its rank.
 
     It must be told of each change among the registered routers: between two of them
@@ -162,7 +162,7 @@
         self._rank_of = rank_of
         self._held_by_service: dict[str, tuple[int, float]] = {}
 
-    def look(self, services: Iterable[str], now: float) -> None:
+    def refresh(self, services: Iterable[str], now: float) -> None:
         """Take the present ranks."""
         held_by_service = {}
         for service in services:
@@ -175,10 +175,10 @@
             held_by_service[service] = held
         self._held_by_service = held_by_service
 
-    def standing(self, service: str, now: float) -> Standing | None:
+    def held_rank(self, service: str, now: float) -> HeldRank | None:
         """Return the standing for a service; None where it has none."""
         held = self._held_by_service.get(service)
-        return None if held is None else Standing(held[0], now - held[1])
+        return None if held is None else HeldRank(held[0], now - held[1])
 
 
 class RecentPlacements:
@@ -187,7 +187,7 @@
     def __init__(self) -> None:
         self._times_by_id: dict[str, deque[float]] = {}
 
-    def note(self, upstream_id: str, now: float) -> None:
+    def record(self, upstream_id: str, now: float) -> None:
         """Note a request that may be sent from now on."""
         self._times_by_id.setdefault(upstream_id, deque()).append(now)
 
--- a/lynxchute/upstreams/directory.py
+++ b/lynxchute/upstreams/directory.py
@@ -42,7 +42,7 @@
         self.entries_by_id: dict[str, Entry] = {}
         self.throttled_by_id: dict[str, Entry] = {}
         self.listeners: list[Callable[[], None]] = []
-        self.start_listeners: list[Callable[[Upstream], None]] = []
+        self.restart_listeners: list[Callable[[Upstream], None]] = []
 
     def put(
         self, upstream: Upstream, now: float = 0.0, *, is_start: bool = False
@@ -82,12 +82,12 @@
         if known is not None and upstream.started_ms != known:
             self._begin_anew(entry, upstream, now)
             return True
-        is_news = entry.upstream != upstream or entry.gone_at is not None
+        is_news = entry.upstream != upstream or entry.removed_at is not None
         entry.upstream = upstream
-        entry.gone_at = None
+        entry.removed_at = None
         return is_news
 
-    def note_statement(
+    def record_statement(
         self,
         entry: Entry,
         statement: Statement,
@@ -114,14 +114,14 @@
         entry.stated = statement
         was_leaving = entry.is_leaving
         clock_ms = self.clock_ms(now)
-        entry.backpressure.note_answer(
+        entry.backpressure.record_answer(
             statement,
             asked_at=asked_at,
             now=now,
             clock_ms=clock_ms,
             is_served=is_served,
         )
-        self.note_backpressure(entry, now)
+        self.refresh_throttled(entry, now)
         if entry.is_leaving != was_leaving:
             self.changed()
         return is_news
@@ -135,19 +135,19 @@
             self.clock_ms(now),
             is_start_known=entry.upstream.is_start_known,
         )
-        self.note_backpressure(entry, now)
+        self.refresh_throttled(entry, now)
         if entry.is_leaving != was_leaving:
             self.changed()
 
-    def note_leaving(self, entry: Entry, now: float) -> None:
+    def record_leaving(self, entry: Entry, now: float) -> None:
         """Take from another router that an upstream has said that it leaves."""
         if entry.backpressure.is_leaving:
             return
         entry.backpressure.is_leaving = True
-        self.note_backpressure(entry, now)
+        self.refresh_throttled(entry, now)
         self.changed()
 
-    def note_backpressure(self, entry: Entry, now: float) -> None:
+    def refresh_throttled(self, entry: Entry, now: float) -> None:
         """Keep an upstream among those throttled for as long as it is."""
         upstream_id = entry.upstream.id
         is_known = self.entries_by_id.get(upstream_id) is entry
@@ -156,7 +156,7 @@
         elif self.throttled_by_id.get(upstream_id) is entry:
             del self.throttled_by_id[upstream_id]
 
-    def wants_of(self, upstream_id: str, now: float) -> str:
+    def describe_backpressure(self, upstream_id: str, now: float) -> str:
         """Return for people what an upstream has said that it wants."""
         entry = self.entries_by_id.get(upstream_id)
         return "" if entry is None else entry.backpressure.describe(now)
@@ -164,14 +164,14 @@
     def throttled(self, service: str, now: float) -> list[Entry]:
         """Return the upstreams of a service that are throttled."""
         for entry in list(self.throttled_by_id.values()):
-            self.note_backpressure(entry, now)
+            self.refresh_throttled(entry, now)
         found = []
         for entry in self.throttled_by_id.values():
             if entry.upstream.service == service:
                 found.append(entry)
         return found
 
-    def note_started(
+    def record_start(
         self, entry: Entry, started_ms: int | None, now: float = 0.0
     ) -> bool:
         """Take when a process says that it started; return whether that is news.
@@ -185,10 +185,10 @@
             return False
         if started_ms <= upstream.started_ms or started_ms in entry.earlier_starts:
             return False
-        gone_at, lapses_at = entry.gone_at, entry.lapses_at
+        removed_at, expires_at = entry.removed_at, entry.expires_at
         self._begin_anew(entry, attrs.evolve(upstream, started_ms=started_ms), now)
-        self.entries_by_id[upstream.id].gone_at = gone_at
-        self.entries_by_id[upstream.id].lapses_at = lapses_at
+        self.entries_by_id[upstream.id].removed_at = removed_at
+        self.entries_by_id[upstream.id].expires_at = expires_at
         return True
 
     def _begin_anew(self, entry: Entry, upstream: Upstream, now: float) -> None:
@@ -208,7 +208,7 @@
             # Its clock was set back, or this is a late word of a process that this
             # router never knew: whether the other one has ended is not certain.
             entry.upstream = upstream
-            entry.gone_at = None
+            entry.removed_at = None
             entry.health = Health()
             entry.backpressure = Backpressure()
         log_event(
@@ -218,10 +218,10 @@
             before_ms=known,
             open_sends=len(entry.open_sends),
         )
-        for listener in self.start_listeners:
+        for listener in self.restart_listeners:
             listener(before)
 
-    def remove(self, upstream_id: str, now: float, *, lapses_at: float = 0.0) -> bool:
+    def remove(self, upstream_id: str, now: float, *, expires_at: float = 0.0) -> bool:
         """Note that an upstream's entry has vanished.
 
         Parameters
@@ -230,10 +230,10 @@
             Until when it may come back, where the store was away just now.
         """
         entry = self.entries_by_id.get(upstream_id)
-        if entry is None or entry.gone_at is not None:
+        if entry is None or entry.removed_at is not None:
             return False
-        entry.gone_at = now
-        entry.lapses_at = lapses_at
+        entry.removed_at = now
+        entry.expires_at = expires_at
         return True
 
     def changed(self) -> None:
@@ -241,11 +241,15 @@
         for listener in self.listeners:
             listener()
 
-    def forget(self, before: float) -> list[Upstream]:
+    def prune(self, before: float) -> list[Upstream]:
         """Drop upstreams that vanished before a time and have nothing open."""
         dropped = []
         for upstream_id, entry in list(self.entries_by_id.items()):
-            if entry.gone_at is None or entry.gone_at > before or entry.open_requests:
+            if (
+                entry.removed_at is None
+                or entry.removed_at > before
+                or entry.open_requests
+            ):
                 continue
             dropped.append(self.entries_by_id.pop(upstream_id).upstream)
         return dropped
@@ -266,7 +270,7 @@
         entries = self.throttled_by_id.values()
         return sum(1 for entry in entries if entry.backpressure.limit is not None)
 
-    def note_cold_in(self, data_centre: str, now: float) -> None:
+    def mark_data_centre_cold(self, data_centre: str, now: float) -> None:
         """Take all upstreams of a data centre for just started."""
         for entry in self.entries_by_id.values():
             if entry.upstream.data_centre == data_centre:
@@ -276,11 +280,11 @@
         """Return the upstreams of a service whose entries stand, leaving or not."""
         found = []
         for upstream_id, entry in self.entries_by_id.items():
-            if entry.upstream.service == service and entry.gone_at is None:
+            if entry.upstream.service == service and entry.removed_at is None:
                 found.append(upstream_id)
         return found
 
-    def of_service(self, service: str, now: float) -> Iterator[Entry]:
+    def available(self, service: str, now: float) -> Iterator[Entry]:
         """Yield the upstreams of a service that take work, or may well do so."""
         for entry in self.entries_by_id.values():
             if entry.upstream.service != service:
--- a/lynxchute/upstreams/engines.py
+++ b/lynxchute/upstreams/engines.py
@@ -11,7 +11,7 @@
 from lynxchute.upstreams.upstream import Upstream
 
 
-class EngineSilent(Exception):
+class EngineUnavailable(Exception):
     """Report that an engine gave no answer of use.
 
     Parameters
@@ -46,10 +46,10 @@
     started_ms: int | None = None
     cold_seconds: float = 0.0
     statement: Statement = NOTHING_STATED
-    in_work: int | None = None
+    active_requests: int | None = None
 
 
-class Engines(ABC):
+class EngineClient(ABC):
     """Questions to upstreams, above all to model engines."""
 
     @abstractmethod
--- a/lynxchute/upstreams/entry.py
+++ b/lynxchute/upstreams/entry.py
@@ -16,12 +16,12 @@
 
 # Seconds of an answer after which its request cannot be what ends the upstream: those
 # that do end it within 0.12 s of its beginning, in 25 ends seen in a day's lines.
-OUTLIVED_SECONDS = 0.5
+CRASH_WINDOW_SECONDS = 0.5
 
 
 # Seconds for which its word of what it has in work tells of its load: requests last so
 # long and longer.
-STATED_SECONDS = 2.0
+REPORT_VALID_SECONDS = 2.0
 
 
 @attrs.define(eq=False)
@@ -56,18 +56,18 @@
     content: str = ""
     progress: Progress = Progress.UNANSWERED
     answering_since: float | None = None
-    is_left: bool = False
+    is_cancelled: bool = False
     is_withdrawn: bool = False
     sent_at: float | None = None
-    work: float = 0.0
+    typical_seconds: float = 0.0
 
     def overdue_ratio(self, now: float) -> float:
         """Return how many times as long as usual it has waited for an answer."""
-        if self.sent_at is None or self.work <= 0:
+        if self.sent_at is None or self.typical_seconds <= 0:
             return 0.0
         if self.progress is not Progress.UNANSWERED:
             return 0.0
-        return max(now - self.sent_at, 0.0) / self.work
+        return max(now - self.sent_at, 0.0) / self.typical_seconds
 
     def note_answering(self, now: float) -> None:
         """Note a part of the answer."""
@@ -75,20 +75,20 @@
         if self.answering_since is None:
             self.answering_since = now
 
-    def has_outlived(self, now: float) -> bool:
+    def is_past_crash_window(self, now: float) -> bool:
         """Return whether the upstream has run it for so long that it can run it."""
         since = self.answering_since
-        return since is not None and now - since >= OUTLIVED_SECONDS
+        return since is not None and now - since >= CRASH_WINDOW_SECONDS
 
-    def leave(self) -> None:
+    def cancel(self) -> None:
         """Break it off, which says nothing of the upstream."""
-        self.is_left = True
+        self.is_cancelled = True
         self.handle.abort()
 
     def withdraw(self) -> None:
         """Break it off before the upstream works on it."""
         self.is_withdrawn = True
-        self.leave()
+        self.cancel()
 
 
 @attrs.define(eq=False)
@@ -127,8 +127,8 @@
     health: Health = attrs.Factory(Health)
     open_requests: int = 0
     open_tokens: int = 0
-    gone_at: float | None = None
-    lapses_at: float = 0.0
+    removed_at: float | None = None
+    expires_at: float = 0.0
     open_sends: set[OpenSend] = attrs.Factory(set)
     heard_at: float = 0.0
     probed_at: float = 0.0
@@ -139,14 +139,14 @@
     stated_work: int = 0
     work_stated_at: float = -math.inf
 
-    def note_work(self, in_work: int, now: float) -> None:
+    def record_active_requests(self, active_requests: int, now: float) -> None:
         """Take the word of how many requests it has in work."""
-        self.stated_work = in_work
+        self.stated_work = active_requests
         self.work_stated_at = now
 
-    def stated_use(self, now: float) -> float:
+    def reported_load(self, now: float) -> float:
         """Return the share of its places that it said are taken; 0 if that is old."""
-        if now - self.work_stated_at > STATED_SECONDS:
+        if now - self.work_stated_at > REPORT_VALID_SECONDS:
             return 0.0
         return self.stated_work / max(self.upstream.slots, 1)
 
@@ -172,10 +172,10 @@
     @property
     def takes_work(self) -> bool:
         """Return whether it may get new requests."""
-        return self.gone_at is None and not self.is_leaving
+        return self.removed_at is None and not self.is_leaving
 
     def may_be_back(self, now: float) -> bool:
         """Return whether its entry may have lapsed with the store only."""
-        if self.gone_at is None or self.is_leaving:
+        if self.removed_at is None or self.is_leaving:
             return False
-        return now < self.lapses_at
+        return now < self.expires_at
--- a/lynxchute/upstreams/evacuations.py
+++ b/lynxchute/upstreams/evacuations.py
@@ -43,9 +43,9 @@
     >>> evacuations = Evacuations()
     >>> evacuations.order("a", 7, 1.0), evacuations.is_evacuated("a")
     (True, True)
-    >>> evacuations.take_back("a", 6), evacuations.is_evacuated("a")
+    >>> evacuations.revoke("a", 6), evacuations.is_evacuated("a")
     (False, True)
-    >>> evacuations.take_back("a", 8), evacuations.is_evacuated("a")
+    >>> evacuations.revoke("a", 8), evacuations.is_evacuated("a")
     (True, False)
     """
 
@@ -69,7 +69,7 @@
             self._tell(data_centre)
         return known is None
 
-    def take_back(self, data_centre: str, version: int) -> bool:
+    def revoke(self, data_centre: str, version: int) -> bool:
         """Take the word that an order no longer stands; return whether it did here."""
         if not self._is_newer(data_centre, version):
             return False
--- a/lynxchute/upstreams/generation.py
+++ b/lynxchute/upstreams/generation.py
@@ -45,7 +45,7 @@
         """Return the parts that other prompts may begin with."""
         return self.parts[:-1]
 
-    def placing_key(self, run_id: str) -> str:
+    def affinity_key(self, run_id: str) -> str:
         """Return what prompts have in common that should go to the same engines."""
         shared = self.shared_parts
         return shared[-1].id if shared else run_id
--- a/lynxchute/upstreams/health.py
+++ b/lynxchute/upstreams/health.py
@@ -7,7 +7,7 @@
 import attrs
 
 
-class Fate(enum.Enum):
+class SendOutcome(enum.Enum):
     """How a send ended.
 
     Attributes
@@ -39,10 +39,10 @@
 # process has ended, and a restart takes seconds; a full upstream has room
 # again within tens of ms.
 PAUSES_BY_FATE = {
-    Fate.UNREACHED: 0.5,
-    Fate.BROKEN: 0.25,
-    Fate.DECLINED: 0.05,
-    Fate.FAILED: 0.0,
+    SendOutcome.UNREACHED: 0.5,
+    SendOutcome.BROKEN: 0.25,
+    SendOutcome.DECLINED: 0.05,
+    SendOutcome.FAILED: 0.0,
 }
 MAX_PAUSE = 3.0
 
@@ -78,13 +78,13 @@
     noted_at: float = 0.0
     lost_share: float = 0.0
 
-    def note(self, fate: Fate, now: float) -> None:
+    def record(self, fate: SendOutcome, now: float) -> None:
         """Take the end of a send."""
-        if fate is Fate.ABANDONED:
+        if fate is SendOutcome.ABANDONED:
             # It tells nothing of the upstream.
             return
-        bad = fate is not Fate.SERVED
-        lost = bad and fate is not Fate.DECLINED
+        bad = fate is not SendOutcome.SERVED
+        lost = bad and fate is not SendOutcome.DECLINED
         self.lost_share = self.recent_lost_share(now)
         self.bad_share = self.recent_bad_share(now)
         self.noted_at = now
--- a/lynxchute/upstreams/http_engines.py
+++ b/lynxchute/upstreams/http_engines.py
@@ -6,7 +6,7 @@
 from typing import Any, ClassVar
 
 from lynxchute.http import ClientPool, ExchangeFailed, Timeouts
-from lynxchute.upstreams.engines import Engines, EngineSilent
+from lynxchute.upstreams.engines import EngineClient, EngineUnavailable
 from lynxchute.upstreams.generation import PromptPart
 from lynxchute.upstreams.upstream import Upstream
 
@@ -14,7 +14,7 @@
 LIST_TIMEOUTS = Timeouts(connect=0.3, first_byte=1.0, between_bytes=1.0)
 
 
-class HttpEngines(Engines):
+class HttpEngineClient(EngineClient):
     """Ask engines over HTTP.
 
     Parameters
@@ -45,14 +45,16 @@
                 self.LIST_PATH, timeouts=LIST_TIMEOUTS
             )
             if status != 200:
-                raise EngineSilent(f"{upstream.id} answered {status}")
+                raise EngineUnavailable(f"{upstream.id} answered {status}")
             return self._listed(answer)
         except ExchangeFailed as error:
             raise no_answer(upstream, error) from error
         except (KeyError, TypeError, ValueError, IndexError) as error:
-            raise EngineSilent(f"{upstream.id} lists no parts: {error!r}") from error
+            raise EngineUnavailable(
+                f"{upstream.id} lists no parts: {error!r}"
+            ) from error
 
 
-def no_answer(upstream: Upstream, error: ExchangeFailed) -> EngineSilent:
+def no_answer(upstream: Upstream, error: ExchangeFailed) -> EngineUnavailable:
     """Return what is reported where an exchange with an upstream failed."""
-    return EngineSilent(f"{upstream.id}: {error}", is_silence=error.is_silence)
+    return EngineUnavailable(f"{upstream.id}: {error}", is_silence=error.is_silence)
--- a/lynxchute/upstreams/learned_speed.py
+++ b/lynxchute/upstreams/learned_speed.py
@@ -27,7 +27,7 @@
 NEWEST_WEIGHT = 0.6
 
 
-def ratio_of(work: float, seconds: float) -> float | None:
+def ratio_of(typical_seconds: float, seconds: float) -> float | None:
     """Return how many times as long as usual work took; None where that is unknown.
 
     Examples
@@ -37,11 +37,11 @@
     >>> ratio_of(0.0, 0.05) is None
     True
     """
-    if not (math.isfinite(work) and math.isfinite(seconds)):
+    if not (math.isfinite(typical_seconds) and math.isfinite(seconds)):
         return None
-    if work <= 0 or seconds < 0:
+    if typical_seconds <= 0 or seconds < 0:
         return None
-    return bounded(seconds / work)
+    return bounded(seconds / typical_seconds)
 
 
 def bounded(ratio: float) -> float:
@@ -83,7 +83,7 @@
         return bounded(float(lasting + (self.passing - self.lasting) * left))
 
 
-class TwoMemories(Speeds):
+class TwoTimescaleSpeeds(Speeds):
     """Keep a median for what lasts, and a short memory for what passes.
 
     It answers upstreams that work at different speeds for good and that each turn slow
@@ -92,8 +92,8 @@
 
     Examples
     --------
-    >>> speeds = TwoMemories()
-    >>> speeds.note("i-1", 0.02, 0.06, 10.0)
+    >>> speeds = TwoTimescaleSpeeds()
+    >>> speeds.record("i-1", 0.02, 0.06, 10.0)
     >>> round(speeds.slowness("i-1", 10.0), 1), round(speeds.slowness("i-1", 12.0), 1)
     (2.2, 1.0)
     """
@@ -101,9 +101,11 @@
     def __init__(self) -> None:
         self._memory_by_id: dict[str, _Memory] = {}
 
-    def note(self, upstream_id: str, work: float, seconds: float, now: float) -> None:
+    def record(
+        self, upstream_id: str, typical_seconds: float, seconds: float, now: float
+    ) -> None:
         """Take how long an upstream took for a piece of work."""
-        ratio = ratio_of(work, seconds)
+        ratio = ratio_of(typical_seconds, seconds)
         if ratio is None or not math.isfinite(now):
             return
         memory = self._memory_by_id.setdefault(upstream_id, _Memory(noted_at=now))
@@ -124,7 +126,7 @@
             return 1.0
         return memory.slowness(now)
 
-    def forget(self, upstream_id: str) -> None:
+    def discard_upstream(self, upstream_id: str) -> None:
         """Keep nothing of an upstream whose process has started again."""
         self._memory_by_id.pop(upstream_id, None)
 
@@ -160,7 +162,7 @@
         passed = max(now - self.noted_at, 0.0)
         return float(self.level * 0.5 ** (passed / LASTING_HALVING))
 
-    def note(self, value: float) -> None:
+    def record(self, value: float) -> None:
         """Take the logarithm of a piece; move the level where it has changed."""
         self.above = max(self.above + value - self.level - CHANGE_SLACK, 0.0)
         self.below = max(self.below + self.level - value - CHANGE_SLACK, 0.0)
@@ -185,7 +187,7 @@
     --------
     >>> speeds = ChangeDetector()
     >>> for _ in range(3):
-    ...     speeds.note("i-1", 0.02, 0.06, 10.0)
+    ...     speeds.record("i-1", 0.02, 0.06, 10.0)
     >>> round(speeds.slowness("i-1", 10.0), 1)
     3.0
     """
@@ -193,15 +195,17 @@
     def __init__(self) -> None:
         self._detector_by_id: dict[str, _Detector] = {}
 
-    def note(self, upstream_id: str, work: float, seconds: float, now: float) -> None:
+    def record(
+        self, upstream_id: str, typical_seconds: float, seconds: float, now: float
+    ) -> None:
         """Take how long an upstream took for a piece of work."""
-        ratio = ratio_of(work, seconds)
+        ratio = ratio_of(typical_seconds, seconds)
         if ratio is None or not math.isfinite(now):
             return
         detector = self._detector_by_id.setdefault(upstream_id, _Detector(noted_at=now))
         detector.level = detector.level_now(now)
         detector.noted_at = max(detector.noted_at, now)
-        detector.note(math.log(ratio))
+        detector.record(math.log(ratio))
 
     def slowness(self, upstream_id: str, now: float) -> float:
         """Return how many times as long as usual an upstream takes now."""
@@ -210,6 +214,6 @@
             return 1.0
         return bounded(math.exp(detector.level_now(now)))
 
-    def forget(self, upstream_id: str) -> None:
+    def discard_upstream(self, upstream_id: str) -> None:
         """Keep nothing of an upstream whose process has started again."""
         self._detector_by_id.pop(upstream_id, None)
--- a/lynxchute/upstreams/load_report.py
+++ b/lynxchute/upstreams/load_report.py
@@ -8,7 +8,7 @@
 from lynxchute.http import ClientPool, ExchangeFailed, Timeouts
 from lynxchute.upstreams.engines import Probe
 from lynxchute.upstreams.generation import PromptPart
-from lynxchute.upstreams.http_engines import HttpEngines, no_answer
+from lynxchute.upstreams.http_engines import HttpEngineClient, no_answer
 from lynxchute.upstreams.statement_headers import StatementHeaders
 from lynxchute.upstreams.upstream import Upstream
 
@@ -18,7 +18,7 @@
 PROBE_TIMEOUTS = Timeouts(connect=0.3, first_byte=1.0, between_bytes=1.0)
 
 
-class LoadReports(HttpEngines):
+class LoadReports(HttpEngineClient):
     """Ask engines for their load.
 
     Parameters
@@ -46,7 +46,7 @@
         return Probe(
             cold_seconds=_cold_seconds(body),
             statement=self._headers.decode(response.status, response.headers),
-            in_work=_running(body),
+            active_requests=_running(body),
         )
 
     def _listed(self, answer: Any) -> list[PromptPart]:
--- a/lynxchute/upstreams/neighbourhood.py
+++ b/lynxchute/upstreams/neighbourhood.py
@@ -78,13 +78,13 @@
     def entries(self, service: str, key: str, now: float) -> list[Entry]:
         """Return the upstreams that take work, or may well do so, for a key."""
         if len(self._ids(service)) <= ALL_UP_TO:
-            return list(self._directory.of_service(service, now))
+            return list(self._directory.available(service, now))
         found = []
         for upstream_id in self.ids(service, key):
             entry = self._directory.entries_by_id.get(upstream_id)
             if entry is not None and (entry.takes_work or entry.may_be_back(now)):
                 found.append(entry)
-        return found or list(self._directory.of_service(service, now))
+        return found or list(self._directory.available(service, now))
 
     def ids(self, service: str, key: str) -> list[str]:
         """Return the upstreams whose entries stand, leaving or not, for a key."""
--- a/lynxchute/upstreams/placement.py
+++ b/lynxchute/upstreams/placement.py
@@ -69,13 +69,15 @@
             What its answer must keep to.
         """
 
-    def note_begun(self, run_id: str, upstream_id: str, *, took_ms: float) -> None:
+    def record_first_event(
+        self, run_id: str, upstream_id: str, *, took_ms: float
+    ) -> None:
         """Note the first event of a run, so many milliseconds after its send."""
 
-    def note_paused(self, run_id: str, upstream_id: str) -> None:
+    def record_pause(self, run_id: str, upstream_id: str) -> None:
         """Note that a stream has paused for longer than is on time."""
 
-    def note_ended(self, run_id: str, upstream_id: str, *, failed: bool) -> None:
+    def record_end(self, run_id: str, upstream_id: str, *, failed: bool) -> None:
         """Note that an upstream no longer works on a run.
 
         Parameters
--- a/lynxchute/upstreams/probes.py
+++ b/lynxchute/upstreams/probes.py
@@ -8,14 +8,14 @@
 from lynxchute.upstreams.entry import Entry
 
 
-def take_probe(directory: Directory, entry: Entry, probe: Probe, now: float) -> None:
+def handle_probe(directory: Directory, entry: Entry, probe: Probe, now: float) -> None:
     """Note an answer: when the process started, how cold it is, what it wants."""
-    if directory.note_started(entry, probe.started_ms, now):
+    if directory.record_start(entry, probe.started_ms, now):
         directory.changed()
     entry = directory.entries_by_id.get(entry.upstream.id, entry)
     directory.note_report(entry, probe.statement, now)
-    if probe.in_work is not None:
-        entry.note_work(probe.in_work, now)
+    if probe.active_requests is not None:
+        entry.record_active_requests(probe.active_requests, now)
     if entry.note_cold(probe.cold_seconds, now):
         log_event(
             "upstream cold",
--- a/lynxchute/upstreams/rate_limits.py
+++ b/lynxchute/upstreams/rate_limits.py
@@ -8,14 +8,14 @@
 
 import attrs
 
-from lynxchute.upstreams.cold_admission import Standing
+from lynxchute.upstreams.cold_admission import HeldRank
 from lynxchute.upstreams.entry import Entry
 from lynxchute.upstreams.rate_sharing import (
     CONFIRMED_SECONDS,
     Count,
     RateSharing,
-    Seat,
     Turn,
+    TurnPosition,
     counts_for_all,
     own_turn,
 )
@@ -75,8 +75,8 @@
     def __init__(
         self,
         sharing: RateSharing,
-        standing_of: Callable[[str, float], Standing | None],
-        seat_of: Callable[[str], Seat | None],
+        standing_of: Callable[[str, float], HeldRank | None],
+        seat_of: Callable[[str], TurnPosition | None],
         clock_ms: Callable[[float], int],
         silent_for: Callable[[float], float],
     ) -> None:
@@ -105,12 +105,12 @@
         use.note_sent(turn, self._clock_ms(now))
         return True
 
-    def has_count(self, entry: Entry, now: float) -> bool:
+    def may_admit(self, entry: Entry, now: float) -> bool:
         """Return whether this router may let one more request through for all."""
         rate = self._counted(entry, now)
         return rate > 0.0 and self._use(entry, now).count.has_room(rate, now)
 
-    def take_count(self, entry: Entry, now: float) -> bool:
+    def admit(self, entry: Entry, now: float) -> bool:
         """Let one more request through for all; return whether there was room."""
         rate = self._counted(entry, now)
         return rate > 0.0 and self._use(entry, now).count.take(rate, now)
--- a/lynxchute/upstreams/rate_sharing.py
+++ b/lynxchute/upstreams/rate_sharing.py
@@ -14,7 +14,7 @@
 
 import attrs
 
-from lynxchute.upstreams.cold_admission import TAKE_OVER_SECONDS, Standing
+from lynxchute.upstreams.cold_admission import TAKE_OVER_SECONDS, HeldRank
 
 # Share of the limit that the first router counts while it knows that it is the first.
 COUNTED_SHARE = 0.75
@@ -63,7 +63,7 @@
         """Return the requests a second that all have together by turns."""
 
 
-class MostlyCounted(RateSharing):
+class MostlyCentral(RateSharing):
     """Count three quarters and have the last one go by turns.
 
     It answers a throttled upstream of which a large fleet knows, where each router has
@@ -111,7 +111,7 @@
 
 
 SHARINGS_BY_NAME: dict[str, type[RateSharing]] = {
-    cls.NAME: cls for cls in (MostlyCounted, Halves, TurnsOnly)
+    cls.NAME: cls for cls in (MostlyCentral, Halves, TurnsOnly)
 }
 
 
@@ -150,7 +150,7 @@
 
 
 @attrs.frozen
-class Seat:
+class TurnPosition:
     """A router's place in the order of turns.
 
     Attributes
@@ -184,7 +184,9 @@
     most: int
 
 
-def own_turn(rate: float, seat: Seat, offset: int, clock_ms: int) -> Turn | None:
+def own_turn(
+    rate: float, seat: TurnPosition, offset: int, clock_ms: int
+) -> Turn | None:
     """Return the turn that runs, where it is the own one.
 
     Parameters
@@ -198,9 +200,9 @@
 
     Examples
     --------
-    >>> own_turn(0.5, Seat(rank=1, count=4), 0, 2_500)
+    >>> own_turn(0.5, TurnPosition(rank=1, count=4), 0, 2_500)
     Turn(began_ms=2000.0, seconds=2.0, most=1)
-    >>> own_turn(0.5, Seat(rank=1, count=4), 0, 4_500)
+    >>> own_turn(0.5, TurnPosition(rank=1, count=4), 0, 4_500)
     """
     if rate <= 0.0:
         return None
@@ -213,7 +215,7 @@
     return Turn(number * seconds * 1000.0, seconds, int(rate * seconds + ROUNDING))
 
 
-def counts_for_all(standing: Standing | None) -> bool:
+def counts_for_all(standing: HeldRank | None) -> bool:
     """Return whether a router counts, by where it stands among all registered ones."""
     if standing is None or standing.rank:
         return False
--- a/lynxchute/upstreams/retry_budget.py
+++ b/lynxchute/upstreams/retry_budget.py
@@ -43,7 +43,7 @@
     Examples
     --------
     >>> budget = RetryBudget(share=0.0, extra=2.5, window=10.0)
-    >>> [budget.take("app", now) for now in (0.0, 1.0, 2.0, 10.5)]
+    >>> [budget.spend("app", now) for now in (0.0, 1.0, 2.0, 10.5)]
     [True, True, False, True]
     """
 
@@ -60,13 +60,15 @@
         self._extra = extra
         self._window = window
 
-    def note_request(self, service: str, now: float) -> None:
+    def record_request(self, service: str, now: float) -> None:
         """Count a request for a service."""
         window = self._windows_by_service.setdefault(service, _Window())
         window.requests.append(now)
         self._forget(window, now)
 
-    def take(self, service: str, now: float, *, used_share: float = USED_SHARE) -> bool:
+    def spend(
+        self, service: str, now: float, *, used_share: float = USED_SHARE
+    ) -> bool:
         """Return whether a repeated send is permitted, and count it if so.
 
         Parameters
--- a/lynxchute/upstreams/send_gate.py
+++ b/lynxchute/upstreams/send_gate.py
@@ -12,7 +12,7 @@
 from lynxchute.upstreams.upstream import Upstream
 
 
-class Withheld(enum.Enum):
+class WithheldReason(enum.Enum):
     """Why a request is not sent to an upstream.
 
     Attributes
@@ -69,7 +69,7 @@
 
     def is_cold(self, entry: Entry, now: float) -> bool:
         """Return whether an upstream bears a few requests only."""
-        return self._limits_of(entry.upstream.service).bounds(entry.cold_until, now)
+        return self._limits_of(entry.upstream.service).is_active(entry.cold_until, now)
 
     def may_be_asked(self, entry: Entry, now: float) -> bool:
         """Return whether a question of the router's own may be put to an upstream.
@@ -82,14 +82,14 @@
             entry.backpressure.is_backing_off(now) or self.rates.is_limited(entry, now)
         )
 
-    def withholds(
+    def withheld_reason(
         self,
         entry: Entry,
         *,
         permit_until: float,
         admitted_until: float = 0.0,
         now: float,
-    ) -> Withheld | None:
+    ) -> WithheldReason | None:
         """Return why a request must not be sent now; None where it is sent.
 
         Parameters
@@ -101,13 +101,13 @@
             takes this router's own turn, if there is one.
         """
         if self.is_evacuated(entry.upstream):
-            return Withheld.EVACUATED
+            return WithheldReason.EVACUATED
         if entry.is_leaving:
-            return Withheld.LEAVING
+            return WithheldReason.LEAVING
         if entry.backpressure.is_backing_off(now):
-            return Withheld.BACKOFF
+            return WithheldReason.BACKOFF
         if now >= permit_until and self.is_cold(entry, now):
-            return Withheld.COLD
+            return WithheldReason.COLD
         if now < admitted_until or not self.rates.is_limited(entry, now):
             return None
-        return None if self.rates.take_turn(entry, now) else Withheld.LIMITED
+        return None if self.rates.take_turn(entry, now) else WithheldReason.LIMITED
--- a/lynxchute/upstreams/service_times.py
+++ b/lynxchute/upstreams/service_times.py
@@ -28,7 +28,7 @@
     times: deque[float] = attrs.Factory(lambda: deque(maxlen=REMEMBERED))
     _sorted: list[float] | None = None
 
-    def note(self, seconds: float) -> None:
+    def record(self, seconds: float) -> None:
         """Take one more."""
         self.times.append(seconds)
         self._sorted = None
@@ -55,43 +55,45 @@
         self._by_route: dict[tuple[str, str], _Recent] = {}
         self._by_upstream: dict[str, _Recent] = {}
 
-    def note(
+    def record(
         self, service: str, route: str, upstream_id: str, seconds: float, now: float
     ) -> None:
         """Take how long an upstream took for a call that it served."""
         if not math.isfinite(seconds) or seconds < 0:
             return
         seconds = max(seconds, LEAST_SECONDS)
-        usual = self.usual(service, route)
+        median_latency = self.median_latency(service, route)
         recent = self._by_route.pop((service, route), None) or _Recent()
         while len(self._by_route) >= MAX_ROUTES:
             del self._by_route[next(iter(self._by_route))]
         # Used last, dropped last.
         self._by_route[service, route] = recent
-        recent.note(seconds)
-        self._by_upstream.setdefault(upstream_id, _Recent()).note(seconds)
-        if usual is not None:
-            self.speeds.note(upstream_id, usual, seconds, now)
+        recent.record(seconds)
+        self._by_upstream.setdefault(upstream_id, _Recent()).record(seconds)
+        if median_latency is not None:
+            self.speeds.record(upstream_id, median_latency, seconds, now)
 
-    def note_left(
-        self, upstream_id: str, work: float, waited: float, now: float
+    def record_abort(
+        self, upstream_id: str, typical_seconds: float, waited: float, now: float
     ) -> None:
         """Take a call that was broken off before its answer came.
 
         It tells of a slow upstream where it has waited for longer than that usually
         takes, and of nothing otherwise.
         """
-        if work > 0 and waited > work * self.speeds.slowness(upstream_id, now):
-            self.speeds.note(upstream_id, work, waited, now)
+        if typical_seconds > 0 and waited > typical_seconds * self.speeds.slowness(
+            upstream_id, now
+        ):
+            self.speeds.record(upstream_id, typical_seconds, waited, now)
 
-    def usual(self, service: str, route: str) -> float | None:
+    def median_latency(self, service: str, route: str) -> float | None:
         """Return what calls of a route take usually, in seconds; None if not known."""
         recent = self._by_route.get((service, route))
         if recent is None or len(recent.times) < LEAST_USUAL:
             return None
         return recent.quantile(0.5)
 
-    def longest(self, upstream_id: str, share: float) -> float | None:
+    def latency_quantile(self, upstream_id: str, share: float) -> float | None:
         """Return the seconds that this share of an upstream's calls kept to.
 
         None while too few are known.
@@ -101,17 +103,17 @@
             return None
         return recent.quantile(share)
 
-    def knows(self, upstream_id: str) -> bool:
+    def has_samples(self, upstream_id: str) -> bool:
         """Return whether an upstream has served calls of this router."""
         return upstream_id in self._by_upstream
 
-    def forget(self, upstream_id: str) -> None:
+    def discard_upstream(self, upstream_id: str) -> None:
         """Keep nothing of an upstream whose process has started again."""
         self._by_upstream.pop(upstream_id, None)
-        self.speeds.forget(upstream_id)
+        self.speeds.discard_upstream(upstream_id)
 
     def keep_only(self, upstream_ids: Container[str]) -> None:
         """Forget the upstreams that are gone."""
         for upstream_id in list(self._by_upstream):
             if upstream_id not in upstream_ids:
-                self.forget(upstream_id)
+                self.discard_upstream(upstream_id)
--- a/lynxchute/upstreams/silence.py
+++ b/lynxchute/upstreams/silence.py
@@ -8,10 +8,10 @@
 from lynxchute.reachability import Reachability
 from lynxchute.telemetry import log_event
 from lynxchute.upstreams.directory import Directory
-from lynxchute.upstreams.engines import Engines, EngineSilent
+from lynxchute.upstreams.engines import EngineClient, EngineUnavailable
 from lynxchute.upstreams.entry import Entry
-from lynxchute.upstreams.health import Fate
-from lynxchute.upstreams.probes import take_probe
+from lynxchute.upstreams.health import SendOutcome
+from lynxchute.upstreams.probes import handle_probe
 
 # Seconds between two looks.
 STEP_SECONDS = 0.1
@@ -50,7 +50,7 @@
     def __init__(
         self,
         directory: Directory,
-        engines: Engines,
+        engines: EngineClient,
         reachability: Reachability,
         clock: Callable[[], float],
     ) -> None:
@@ -107,7 +107,7 @@
         asked_at = self._clock()
         try:
             probe = await self._engines.probe(entry.upstream)
-        except EngineSilent as error:
+        except EngineUnavailable as error:
             if entry.heard_at >= asked_at:
                 return
             if error.is_silence:
@@ -115,7 +115,7 @@
             self._leave(entry, str(error))
             return
         self._note_heard(entry.upstream.data_centre)
-        take_probe(self._directory, entry, probe, self._clock())
+        handle_probe(self._directory, entry, probe, self._clock())
 
     def _note_heard(self, data_centre: str) -> None:
         if not self._reachability.is_cut(data_centre):
@@ -138,7 +138,7 @@
                 self._ask(entry, now)
 
     def _leave(self, entry: Entry, reason: str) -> None:
-        entry.health.note(Fate.UNREACHED, self._clock())
+        entry.health.record(SendOutcome.UNREACHED, self._clock())
         moving = [send for send in entry.open_sends if send.may_move()]
         if not moving:
             return
@@ -150,4 +150,4 @@
             reason=reason,
         )
         for send in moving:
-            send.leave()
+            send.cancel()
--- a/lynxchute/upstreams/speed.py
+++ b/lynxchute/upstreams/speed.py
@@ -9,7 +9,9 @@
     """Learn how fast each upstream works."""
 
     @abstractmethod
-    def note(self, upstream_id: str, work: float, seconds: float, now: float) -> None:
+    def record(
+        self, upstream_id: str, typical_seconds: float, seconds: float, now: float
+    ) -> None:
         """Take how long an upstream took for a piece of work.
 
         Parameters
@@ -30,5 +32,5 @@
         """
 
     @abstractmethod
-    def forget(self, upstream_id: str) -> None:
+    def discard_upstream(self, upstream_id: str) -> None:
         """Keep nothing of an upstream whose process has started again."""
--- a/tests/backpressure_machine.py
+++ b/tests/backpressure_machine.py
@@ -15,17 +15,20 @@
     rule,
 )
 
-from lynxchute.scheduling.backpressure_news import backpressure_of, take_backpressure
+from lynxchute.scheduling.backpressure_news import (
+    known_backpressure,
+    merge_backpressure,
+)
 from lynxchute.upstreams.cold_admission import (
     PERMIT_SECONDS,
     TAKE_OVER_SECONDS,
     ColdLimits,
-    StandingWatch,
+    RankWatch,
 )
 from lynxchute.upstreams.directory import Directory
 from lynxchute.upstreams.evacuations import Evacuations
 from lynxchute.upstreams.rate_limits import RateLimits
-from lynxchute.upstreams.rate_sharing import MostlyCounted, Seat
+from lynxchute.upstreams.rate_sharing import MostlyCentral, TurnPosition
 from lynxchute.upstreams.send_gate import SendGate
 from lynxchute.upstreams.statement import Statement
 from lynxchute.upstreams.upstream import Upstream
@@ -86,15 +89,15 @@
     heard_at: float
     is_cut: bool = False
     directory: Directory = attrs.Factory(Directory)
-    watch: StandingWatch = None
+    watch: RankWatch = None
     gate: SendGate = None
 
     def __attrs_post_init__(self):
-        self.watch = StandingWatch(self.rank)
+        self.watch = RankWatch(self.rank)
         self.directory.clock_ms = self.clock_ms
         rates = RateLimits(
-            MostlyCounted(),
-            self.watch.standing,
+            MostlyCentral(),
+            self.watch.held_rank,
             self.seat,
             self.clock_ms,
             lambda now: now - self.heard_at,
@@ -105,7 +108,7 @@
         return sorted(self.view | {self.number}).index(self.number)
 
     def seat(self, service):
-        return Seat(self.rank(service), len(self.view | {self.number}))
+        return TurnPosition(self.rank(service), len(self.view | {self.number}))
 
     def clock_ms(self, now):
         return int(now * 1000) + CLOCK_MS - LAGS_MS[self.number]
@@ -114,8 +117,8 @@
     def entry(self):
         return self.directory.entries_by_id["e"]
 
-    def look(self, now):
-        self.watch.look([SERVICE], now)
+    def refresh(self, now):
+        self.watch.refresh([SERVICE], now)
 
 
 class BackpressureMachine(RuleBasedStateMachine):
@@ -150,7 +153,7 @@
         router = Router(number, self.runs, set(self.registered), self.now)
         router.directory.put(ENGINE, self.now)
         self.routers[number] = router
-        router.look(self.now)
+        router.refresh(self.now)
 
     @rule(number=st.integers(0, ROUTERS - 1))
     def cut(self, number):
@@ -276,13 +279,13 @@
 
     def hear(self, router):
         router.view, router.heard_at = set(self.registered), self.now
-        router.look(self.now)
+        router.refresh(self.now)
 
     def exchange(self, teller, router):
         if teller is router or teller.is_cut or router.is_cut:
             return
-        told = backpressure_of(teller.directory, SERVICE, self.now)
-        take_backpressure(router.directory, told, self.now)
+        told = known_backpressure(teller.directory, SERVICE, self.now)
+        merge_backpressure(router.directory, told, self.now)
 
     def ask(self, router, delay, transit):
         """Have a router sent one request, and send it where it may."""
@@ -292,7 +295,7 @@
         self.exchange(first, router)
         rates, entry = router.gate.rates, router.entry
         if rates.is_limited(entry, asked_at) and not rates.has_turn(entry, asked_at):
-            if not first.gate.rates.take_count(first.entry, asked_at):
+            if not first.gate.rates.admit(first.entry, asked_at):
                 return
             admitted_until = asked_at + PERMIT_SECONDS
         self.send(router, delay, transit, admitted_until)
@@ -308,7 +311,7 @@
         return router
 
     def send(self, router, delay, transit, admitted_until):
-        withheld = router.gate.withholds(
+        withheld = router.gate.withheld_reason(
             router.entry,
             permit_until=0.0,
             admitted_until=admitted_until,
@@ -327,7 +330,7 @@
         router = self.routers[answer.number]
         if router.run != answer.run:
             return
-        router.directory.note_statement(
+        router.directory.record_statement(
             router.entry, answer.statement, asked_at=answer.sent_at, now=self.now
         )
         if self.limit is not None and answer.statement.limit is not None:
@@ -346,6 +349,6 @@
 
     def highest(self, begin, end):
         """Return the highest limit that was named in a span, or heard of in it."""
-        standing = [limit for at, limit in self.limits if at < end]
+        held_rank = [limit for at, limit in self.limits if at < end]
         before = [at for at, _ in self.limits if at <= begin - CONTACT_SECONDS]
-        return max(standing[max(len(before) - 1, 0) :])
+        return max(held_rank[max(len(before) - 1, 0) :])
--- a/tests/backpressure_mutants.py
+++ b/tests/backpressure_mutants.py
@@ -7,12 +7,12 @@
 from lynxchute.upstreams.directory import Directory
 from lynxchute.upstreams.entry import Entry
 from lynxchute.upstreams.rate_limits import RateLimits
-from lynxchute.upstreams.rate_sharing import MostlyCounted, Seat, own_turn
+from lynxchute.upstreams.rate_sharing import MostlyCentral, TurnPosition, own_turn
 
 
 def keep_the_share_however_many_there_are():
     def whole(rate, seat, offset, clock_ms):
-        return own_turn(rate, Seat(0, 1), offset, clock_ms)
+        return own_turn(rate, TurnPosition(0, 1), offset, clock_ms)
 
     return mock.patch.object(rate_limits, "own_turn", whole)
 
@@ -39,7 +39,7 @@
     def counted(self, rate, *, is_confirmed):
         return rate * 1.6
 
-    return mock.patch.object(MostlyCounted, "counted", counted)
+    return mock.patch.object(MostlyCentral, "counted", counted)
 
 
 def count_as_much_without_the_store():
@@ -51,11 +51,11 @@
 
 
 def believe_late_answers():
-    def note_answer(self, statement, *, asked_at, now, clock_ms, is_served):
+    def record_answer(self, statement, *, asked_at, now, clock_ms, is_served):
         if statement.limit is not None or self.limit is not None:
             self._take(statement.limit, now, clock_ms, now)
 
-    return mock.patch.object(Backpressure, "note_answer", note_answer)
+    return mock.patch.object(Backpressure, "record_answer", record_answer)
 
 
 def forget_the_check_before_a_send():
--- a/tests/cold_machine.py
+++ b/tests/cold_machine.py
@@ -15,13 +15,13 @@
     rule,
 )
 
-from lynxchute.scheduling.cold_placements import ColdPlacements
+from lynxchute.scheduling.cold_placements import ColdPlacementLimiter
 from lynxchute.upstreams.cold_admission import (
     PERMIT_SECONDS,
     TAKE_OVER_SECONDS,
     ColdLimits,
     FirstRegistered,
-    StandingWatch,
+    RankWatch,
 )
 from lynxchute.upstreams.directory import Directory
 from lynxchute.upstreams.evacuations import Evacuations
@@ -56,12 +56,12 @@
     view: set
     heard_at: float
     is_cut: bool = False
-    cold: ColdPlacements = None
+    cold: ColdPlacementLimiter = None
     directory: Directory = attrs.Factory(Directory)
 
     def __attrs_post_init__(self):
-        watch = StandingWatch(self.rank)
-        self.cold = ColdPlacements(FirstRegistered(), watch, lambda name: LIMITS)
+        watch = RankWatch(self.rank)
+        self.cold = ColdPlacementLimiter(FirstRegistered(), watch, lambda name: LIMITS)
 
     def rank(self, service):
         return sorted(self.view | {self.number}).index(self.number)
@@ -70,8 +70,8 @@
     def entry(self):
         return self.directory.entries_by_id["e"]
 
-    def look(self, now):
-        self.cold.look([SERVICE], now)
+    def refresh(self, now):
+        self.cold.refresh([SERVICE], now)
 
 
 class ColdMachine(RuleBasedStateMachine):
@@ -104,7 +104,7 @@
         router.entry.note_cold(self.cold_until - self.now, self.now)
         self.routers[number] = router
         self.told.add(number)
-        router.look(self.now)
+        router.refresh(self.now)
 
     @rule(number=st.integers(0, ROUTERS - 1))
     def leave(self, number):
@@ -144,7 +144,7 @@
 
     def hear(self, router):
         router.view, router.heard_at = set(self.registered), self.now
-        router.look(self.now)
+        router.refresh(self.now)
 
     @precondition(lambda self: self.now >= self.cold_until)
     @rule(knows=st.sets(st.integers(0, ROUTERS - 1)))
@@ -178,8 +178,8 @@
             return
         placing = self.routers[by]
         for _ in range(count):
-            if placing.cold.admitting([placing.entry], self.now):
-                counted = placing.cold.note_placed(placing.entry, self.now)
+            if placing.cold.admissible_entries([placing.entry], self.now):
+                counted = placing.cold.record_placement(placing.entry, self.now)
                 send = PlacedSend(self.now + delay, sender, self.now, counted)
                 self.waiting.append(send)
         self.send_due()
@@ -237,7 +237,10 @@
                 self.told.add(send.sender)
                 entry.note_cold(self.cold_until - self.now, self.now)
             permit = send.asked_at + PERMIT_SECONDS if send.is_counted else 0.0
-            if self.gate.withholds(entry, permit_until=permit, now=self.now) is None:
+            if (
+                self.gate.withheld_reason(entry, permit_until=permit, now=self.now)
+                is None
+            ):
                 self.arrivals.append(self.now)
 
     @invariant()
@@ -245,4 +248,6 @@
         cold = [t for t in self.arrivals if self.cold_since <= t < self.cold_until]
         for index, begin in enumerate(cold):
             within = [t for t in cold[index:] if t < begin + 1.0]
-            assert len(within) <= LIMITS.most, f"cold rate: {len(within)} in a second"
+            assert len(within) <= LIMITS.max_per_second, (
+                f"cold rate: {len(within)} in a second"
+            )
--- a/tests/cold_mutants.py
+++ b/tests/cold_mutants.py
@@ -2,7 +2,7 @@
 
 from unittest import mock
 
-from lynxchute.scheduling.cold_placements import ColdPlacements
+from lynxchute.scheduling.cold_placements import ColdPlacementLimiter
 from lynxchute.upstreams import cold_admission
 from lynxchute.upstreams.cold_admission import RecentPlacements
 from lynxchute.upstreams.entry import Entry
@@ -30,13 +30,13 @@
 
 
 def let_permits_last():
-    withholds = SendGate.withholds
+    withheld_reason = SendGate.withheld_reason
 
     def withhold(self, entry, *, permit_until, now, **more):
         until = now + 1.0 if permit_until else 0.0
-        return withholds(self, entry, permit_until=until, now=now, **more)
+        return withheld_reason(self, entry, permit_until=until, now=now, **more)
 
-    return mock.patch.object(SendGate, "withholds", withhold)
+    return mock.patch.object(SendGate, "withheld_reason", withhold)
 
 
 def forget_what_was_placed_while_warm():
@@ -50,9 +50,9 @@
 
 def give_everybody_the_share():
     def share(self, service, now):
-        return self.limits_of(service).most // 2
+        return self.limits_of(service).max_per_second // 2
 
-    return mock.patch.object(ColdPlacements, "_share", share)
+    return mock.patch.object(ColdPlacementLimiter, "_share", share)
 
 
 MUTANTS = (
--- a/tests/ledger_fleet.py
+++ b/tests/ledger_fleet.py
@@ -70,7 +70,7 @@
         policy = POLICIES_BY_VM.get(vm, DemandPolicy())
         ledger = Ledger(vm, f"{vm}{runs}", policy, parts=2)
         ledger.prepaid_by_account.update(self.prepaid)
-        ledger.learn_totals(
+        ledger.update_totals(
             row
             for row in map(self.store.get, map(totals_id, self.prepaid))
             if row is not None
@@ -94,7 +94,7 @@
             now_ms=self.time(router), now=self.seconds(), with_grants=with_grants
         )
         if fate == "lost":
-            ledger.lost()
+            ledger.record_write_failed()
             return
         if fate == "late":
             self.store.late.append(plan.write)
@@ -104,7 +104,7 @@
         if fate == "unanswered":
             ledger.unsure()
             return
-        ledger.learn(outcome)
+        ledger.apply_outcome(outcome)
 
     def reserve(self, router, account, tokens):
         self.requests += 1
@@ -127,7 +127,9 @@
         if router.runs == runs:
             router.ledger.settle(request_id, used)
 
-    def lend(self, lender, borrower, account, needed, wanted, reply, *, to_keep=False):
+    def lend(
+        self, lender, borrower, account, needed, wanted, reply, *, for_reserve=False
+    ):
         if lender is borrower or not borrower.ledger.is_open:
             return
         self.loans += 1
@@ -137,7 +139,7 @@
             "wanted": wanted,
             "now_ms": self.time(lender),
             "now": self.seconds(),
-            "to_keep": to_keep,
+            "for_reserve": for_reserve,
         }
         if reply == "voided early":
             lender.ledger.void_loan(loan, account)
@@ -151,15 +153,15 @@
         if reply in ("taken", "twice", "voided early"):
             borrower.ledger.borrow(account, lent)
 
-    def give(self, giver, taker, account, fate, *, kept=0):
+    def transfer_out(self, giver, taker, account, fate, *, retained=0):
         """Pass leftover borrowed tokens on, as the routers' messages do."""
         if giver is taker or account not in giver.ledger.shares_by_account:
             return
-        tokens = giver.ledger.leftover(account, self.time(giver), kept=kept)
+        tokens = giver.ledger.leftover(account, self.time(giver), retained=retained)
         if tokens <= 0:
             return
         self.loans += 1
-        giver.ledger.give(account, tokens)
+        giver.ledger.transfer_out(account, tokens)
         for _ in range({"lost": 0, "taken": 1, "twice": 2}[fate]):
             taker.ledger.take_gift(f"g{self.loans}", account, tokens)
 
--- a/tests/ledger_machine.py
+++ b/tests/ledger_machine.py
@@ -133,7 +133,9 @@
         """One router keeps tokens of another; both spend all they can."""
         lenders, keepers = self.router(lender), self.router(keeper)
         for _ in range(times):
-            self.fleet.lend(lenders, keepers, account, 0, wanted, reply, to_keep=True)
+            self.fleet.lend(
+                lenders, keepers, account, 0, wanted, reply, for_reserve=True
+            )
         self.reserve_all_there_is(keeper, account)
         self.reserve_all_there_is(lender, account)
 
@@ -141,17 +143,17 @@
         lender=NUMBERS,
         account=st.sampled_from(ACCOUNTS),
         wanted=TOKENS,
-        kept=st.sampled_from((0, 0, 2)),
+        retained=st.sampled_from((0, 0, 2)),
         fate=st.sampled_from(("lost", "taken", "twice")),
     )
-    def keep_and_pass_on(self, lender, account, wanted, kept, fate):
+    def keep_and_pass_on(self, lender, account, wanted, retained, fate):
         """Tokens that one router kept go on to a third; all spend all they can."""
         first, keeper, taker = (self.router(lender + n) for n in range(3))
         self.fleet.now_ms += 400
         self.fleet.write(first, "answered")
-        self.fleet.lend(first, keeper, account, 0, wanted, "taken", to_keep=True)
+        self.fleet.lend(first, keeper, account, 0, wanted, "taken", for_reserve=True)
         keeper.ledger.share(account).is_home = False
-        self.fleet.give(keeper, taker, account, fate, kept=kept)
+        self.fleet.transfer_out(keeper, taker, account, fate, retained=retained)
         for number in range(3):
             self.reserve_all_there_is(lender + number, account)
 
@@ -160,12 +162,12 @@
         taker=NUMBERS,
         account=st.sampled_from(ACCOUNTS),
         fate=st.sampled_from(("lost", "taken", "twice")),
-        kept=st.sampled_from((0, 0, 5, 50)),
+        retained=st.sampled_from((0, 0, 5, 50)),
     )
-    def give(self, giver, taker, account, fate, kept):
+    def transfer_out(self, giver, taker, account, fate, retained):
         self.router(giver).ledger.share(account).is_home = False
-        self.fleet.give(
-            self.router(giver), self.router(taker), account, fate, kept=kept
+        self.fleet.transfer_out(
+            self.router(giver), self.router(taker), account, fate, retained=retained
         )
         self.reserve_all_there_is(giver, account)
         self.reserve_all_there_is(taker, account)
--- a/tests/ledger_mutants.py
+++ b/tests/ledger_mutants.py
@@ -46,7 +46,7 @@
 
 def forget_unsure_writes():
     def unsure(self):
-        self.lost()
+        self.record_write_failed()
 
     return mock.patch.object(Ledger, "unsure", unsure)
 
@@ -130,7 +130,7 @@
 
     def twice(self, request_id, used):
         share = None
-        reservation = self.open_by_request.get(request_id)
+        reservation = self.reservations_by_id.get(request_id)
         if reservation is not None:
             share = self.share(reservation.account)
         settle(self, request_id, used)
@@ -148,7 +148,7 @@
                 self.totals_by_account[row.id.key] = KnownTotals(totals, row.version)
 
     return Both(
-        mock.patch.object(Ledger, "learn_totals", learn),
+        mock.patch.object(Ledger, "update_totals", learn),
         expect_no_version_of_the_division(),
     )
 
@@ -180,9 +180,9 @@
 def keep_without_counting():
     lend = Ledger.lend
 
-    def free_loan(self, loan_id, account, *, to_keep=False, **terms):
-        lent = lend(self, loan_id, account, to_keep=to_keep, **terms)
-        if lent and to_keep:
+    def free_loan(self, loan_id, account, *, for_reserve=False, **terms):
+        lent = lend(self, loan_id, account, for_reserve=for_reserve, **terms)
+        if lent and for_reserve:
             self.shares_by_account[account].settled -= lent
         return lent
 
@@ -192,10 +192,12 @@
 def keep_beyond_the_line():
     lend = Ledger.lend
 
-    def beyond(self, loan_id, account, *, wanted, to_keep=False, **terms):
-        lent = lend(self, loan_id, account, wanted=wanted, to_keep=to_keep, **terms)
+    def beyond(self, loan_id, account, *, wanted, for_reserve=False, **terms):
+        lent = lend(
+            self, loan_id, account, wanted=wanted, for_reserve=for_reserve, **terms
+        )
         share = self.shares_by_account.get(account)
-        if not to_keep or not lent or share is None:
+        if not for_reserve or not lent or share is None:
             return lent
         more = min(wanted, share.headroom)
         share.settled += more
@@ -205,13 +207,13 @@
 
 
 def pass_on_without_counting():
-    return mock.patch.object(Ledger, "give", lambda self, account, tokens: None)
+    return mock.patch.object(Ledger, "transfer_out", lambda self, account, tokens: None)
 
 
 def pass_on_what_is_reserved():
-    def leftover(self, account, now_ms, *, kept=0):
+    def leftover(self, account, now_ms, *, retained=0):
         share = self.shares_by_account[account]
-        return 0 if share.is_home else max(share.borrowed - share.settled - kept, 0)
+        return 0 if share.is_home else max(share.borrowed - share.settled - retained, 0)
 
     return mock.patch.object(Ledger, "leftover", leftover)
 
--- a/tests/load_play.py
+++ b/tests/load_play.py
@@ -13,7 +13,13 @@
 
 import attrs
 
-from lynxchute.overload import PROCESSOR, Guard, LocalShares, ProcessorMeter, Resource
+from lynxchute.overload import (
+    PROCESSOR_LIMITS,
+    LocalShares,
+    OverloadGuard,
+    ProcessorMeter,
+    Resource,
+)
 
 EVENT_SECONDS = 0.003
 # What comes of a stream after its first event.
@@ -69,9 +75,9 @@
         self.worked = 0.0
         clock = lambda: play.now  # noqa: E731
         self.meter = ProcessorMeter(clock)
-        local = LocalShares(lambda: self.guard.kept_share()) if shares else None
+        local = LocalShares(lambda: self.guard.sustainable_share()) if shares else None
         resources = [Resource(self.meter, limits)]
-        self.guard = Guard(resources, clock, random.Random(play.seed), local)
+        self.guard = OverloadGuard(resources, clock, random.Random(play.seed), local)
 
     @property
     def is_in_rotation(self):
@@ -82,15 +88,15 @@
         self.ready.append((seconds, done))
         if not self.is_awake:
             self.is_awake = True
-            self.meter.note_sleep(self.slept_from, self.play.now, MAX_SLEEP)
+            self.meter.record_sleep(self.slept_from, self.play.now, MAX_SLEEP)
             self.turn()
 
-    def look(self):
+    def poll(self):
         """Look at the load, as a timer of the loop does."""
         if not self.is_awake:
-            self.meter.note_sleep(self.slept_from, self.play.now, MAX_SLEEP)
+            self.meter.record_sleep(self.slept_from, self.play.now, MAX_SLEEP)
             self.slept_from = self.play.now
-        self.guard.look()
+        self.guard.poll()
 
     def turn(self):
         """Take all events that are ready."""
@@ -105,7 +111,7 @@
     def turned(self):
         """Sleep until the next event."""
         if self.ready:
-            self.meter.note_sleep(self.play.now, self.play.now, 0.0)
+            self.meter.record_sleep(self.play.now, self.play.now, 0.0)
             self.turn()
             return
         self.is_awake = False
@@ -123,12 +129,14 @@
         The VMs that each account's connections try, in order.
     """
 
-    def __init__(self, *, vms, orders, limits=PROCESSOR, shares=True, seed=1):
+    def __init__(self, *, vms, orders, limits=PROCESSOR_LIMITS, shares=True, seed=1):
         self.now = 0.0
         self.seed = seed
         self.asked = []
         self.is_guarded = limits is not None
-        self.vms = [Vm(self, limits or PROCESSOR, shares=shares) for _ in range(vms)]
+        self.vms = [
+            Vm(self, limits or PROCESSOR_LIMITS, shares=shares) for _ in range(vms)
+        ]
         self._orders = orders
         self._idle = {account: [] for account in orders}
         self._random = random.Random(seed)
@@ -191,12 +199,12 @@
     def _received(self, asked, number):
         vm = self.vms[number]
         guard, kind = vm.guard, asked.kind
-        if self.is_guarded and guard.refuses(
+        if self.is_guarded and guard.shed_reason(
             kind.objective, asked.account, is_brief=kind.is_brief
         ):
             vm.put(REFUSAL_SECONDS, lambda: self._refused(asked, number))
             return
-        guard.note_request(asked.account)
+        guard.record_request(asked.account)
         ends = self.is_guarded and guard.ends_connection(asked.account)
         left = BRIEF_EVENTS if kind.is_brief else EVENTS
         self._go_on(asked, number, left - 1, ends)
@@ -244,5 +252,5 @@
 
     def _look(self):
         for vm in self.vms:
-            vm.look()
+            vm.poll()
         self.at(self.now + LOOK_SECONDS, self._look)
--- a/tests/platform_support.py
+++ b/tests/platform_support.py
@@ -256,7 +256,7 @@
 
 async def settled(ledger):
     async with asyncio.timeout(5):
-        while ledger.open_by_request:
+        while ledger.reservations_by_id:
             await asyncio.sleep(0.01)
 
 
--- a/tests/support.py
+++ b/tests/support.py
@@ -11,7 +11,7 @@
 from lynxchute.standins.counts import counted_by_account, served_by_account
 from lynxchute.standins.deployment import MODEL, Deployment, Shape, caller_key
 from lynxchute.upstreams.rate_limits import RateLimits
-from lynxchute.upstreams.rate_sharing import MostlyCounted
+from lynxchute.upstreams.rate_sharing import MostlyCentral
 
 ACCOUNT = "kanda"
 CHAT = "/v1/chat/completions"
@@ -20,7 +20,7 @@
 def no_limits_kept():
     """Return what a router may send where it knows no store's clock and no others."""
     return RateLimits(
-        MostlyCounted(), lambda *_: None, lambda _: None, lambda _: 0, lambda _: 0.0
+        MostlyCentral(), lambda *_: None, lambda _: None, lambda _: 0, lambda _: 0.0
     )
 
 
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -8,7 +8,7 @@
 from lynxchute.fleet.client import Peers, PeerUnreachable
 from lynxchute.fleet.members import Member, Members
 from lynxchute.fleet.messages import Done
-from lynxchute.spending.balance import Balance, Gift
+from lynxchute.spending.balance import Gift, Rebalancer
 from tests.support import AsyncTestCase
 
 
@@ -47,7 +47,7 @@
         self.members.put(Member("a-2", "a", "run-2", "x:2"))
         self.peers = LossyPeers(lost)
         self.account = account
-        return Balance(FakeKeeper(self.ledger), None, self.members, self.peers)
+        return Rebalancer(FakeKeeper(self.ledger), None, self.members, self.peers)
 
     def both(self):
         members = Members(Member("a-1", "a", "run", "x:1"))
@@ -89,14 +89,14 @@
             share.is_home = True
             share.borrowed, share.reserved = 100, 30
             self.ledger.is_closing = True
-            await balance.hand_over()
+            await balance.transfer_borrowed()
             # The first answer is lost: it goes to the same router again.
-            await balance.hand_over()
+            await balance.transfer_borrowed()
             self.assertEqual([70, 70], [tokens for _, _, tokens in self.peers.taken])
             self.assertEqual(0, share.borrowed - share.used)
             # What an open request did not use goes later.
             share.reserved = 0
-            await balance.hand_over()
+            await balance.transfer_borrowed()
             self.assertEqual(30, self.peers.taken[-1][2])
 
         self.run_async(work())
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -63,7 +63,7 @@
             self.fleet.write(self.router, "answered")
 
     def reserve(self, name, tokens):
-        if name in self.ledger.open_by_request:
+        if name in self.ledger.reservations_by_id:
             return "known"
         share = self.ledger.share("a")
         share.waiting = tokens
@@ -75,7 +75,7 @@
         return {"short": "short", "closed": "known"}[problem.value]
 
     def settle(self, name, used):
-        reservation = self.ledger.open_by_request.get(name)
+        reservation = self.ledger.reservations_by_id.get(name)
         if reservation is not None:
             self.ledger.settle(name, min(used, reservation.tokens))
 
@@ -148,8 +148,8 @@
         for number in range(4000):
             budget = routers[number % 8]
             now = number * 0.002
-            budget.note_request("app", now)
-            repeats += budget.take("app", now)
+            budget.record_request("app", now)
+            repeats += budget.spend("app", now)
         self.assertLessEqual(repeats, 0.2 * 4000 + 50)
         self.assertGreater(repeats, 0.1 * 4000)
 
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 
 from lynxchute.callers.dialect import ChatCall, ChatDialect
-from lynxchute.callers.question import parse_question
+from lynxchute.callers.question import parse_chat_request
 from lynxchute.config.document import (
     FleetDocument,
     RouteDocument,
@@ -203,7 +203,7 @@
     @settings(max_examples=300)
     def test_no_json_breaks_the_check(self, value):
         body = json.dumps(value).encode()
-        result = parse_question(Request("POST", "/", {}, body))
+        result = parse_chat_request(Request("POST", "/", {}, body))
         if result.is_ok():
             self.assertGreater(result.ok.prompt_bound, 0)
 
@@ -243,7 +243,7 @@
             status, _, _ = await caller.send("POST", chat, "x" * 2_000_000)
             self.assertEqual(413, status)
             for router in deployment.routers_by_vm.values():
-                self.assertEqual({}, router.keeper.ledger.open_by_request)
+                self.assertEqual({}, router.keeper.ledger.reservations_by_id)
                 self.assertEqual(0, router.relay.open_requests)
 
         with_deployment(self, scenario)
--- a/tests/test_cold_upstreams.py
+++ b/tests/test_cold_upstreams.py
@@ -14,16 +14,16 @@
 from lynxchute.bench.emulator.play import Outcome, Play
 from lynxchute.bench.emulator.policies import POLICIES_BY_NAME
 from lynxchute.bench.emulator.scenario import read_scenario
-from lynxchute.scheduling.cold_placements import ColdPlacements
+from lynxchute.scheduling.cold_placements import ColdPlacementLimiter
 from lynxchute.standins.arrivals import Arrivals
 from lynxchute.standins.platform_store import Outage
 from lynxchute.upstreams.cold_admission import (
     TAKE_OVER_SECONDS,
     ColdLimits,
     FirstRegistered,
+    HeldRank,
+    RankWatch,
     SharesByRank,
-    Standing,
-    StandingWatch,
     WarmOnly,
 )
 from lynxchute.upstreams.directory import Directory
@@ -81,40 +81,40 @@
 
     def test_a_start_that_a_report_tells_is_cold(self):
         self.put(10.0)
-        self.directory.note_started(self.directory.entries_by_id["e"], 2_000, 30.0)
+        self.directory.record_start(self.directory.entries_by_id["e"], 2_000, 30.0)
         self.assertEqual(33.0, self.cold_until)
 
 
 class ColdAdmissionTest(testtools.TestCase):
     def test_only_the_first_registered_router_counts_and_not_at_once(self):
         ways = FirstRegistered(), SharesByRank(), WarmOnly()
-        just = [way.share(LIMITS, Standing(0, 0.0)) for way in ways]
+        just = [way.share(LIMITS, HeldRank(0, 0.0)) for way in ways]
         self.assertEqual([0, 0, 0], just)
         long = TAKE_OVER_SECONDS
         for rank, expected in ((0, [7, 1, 0]), (6, [0, 1, 0]), (7, [0, 0, 0])):
-            shares = [way.share(LIMITS, Standing(rank, long)) for way in ways]
+            shares = [way.share(LIMITS, HeldRank(rank, long)) for way in ways]
             self.assertEqual(expected, shares)
 
     def test_a_service_without_a_bound_is_not_held_back(self):
-        cold = ColdPlacements(WarmOnly(), StandingWatch(lambda s: 0), lambda s: free)
+        cold = ColdPlacementLimiter(WarmOnly(), RankWatch(lambda s: 0), lambda s: free)
         free = ColdLimits(start_seconds=3.0)
         entry = Entry(ENGINE, cold_until=1e9)
         for _ in range(100):
             self.assertTrue(cold.may_place(entry, 0.0))
-            cold.note_placed(entry, 0.0)
+            cold.record_placement(entry, 0.0)
 
     def test_a_warm_upstream_with_the_bound_is_passed_over_since_it_may_grow_cold(self):
-        watch = StandingWatch(lambda s: 1)
-        cold = ColdPlacements(FirstRegistered(), watch, lambda s: LIMITS)
+        watch = RankWatch(lambda s: 1)
+        cold = ColdPlacementLimiter(FirstRegistered(), watch, lambda s: LIMITS)
         entry, placed = Entry(ENGINE), 0
         while cold.may_place(entry, 5.0):
-            cold.note_placed(entry, 5.0)
+            cold.record_placement(entry, 5.0)
             placed += 1
-        self.assertEqual(LIMITS.most, placed)
+        self.assertEqual(LIMITS.max_per_second, placed)
         other = Entry(attrs.evolve(ENGINE, id="other"))
-        self.assertEqual([other], cold.admitting([entry, other], 5.0))
+        self.assertEqual([other], cold.admissible_entries([entry, other], 5.0))
         # Where no other has room it is better than a refusal.
-        self.assertEqual([entry], cold.admitting([entry], 5.0))
+        self.assertEqual([entry], cold.admissible_entries([entry], 5.0))
 
 
 class ColdFuzzTest(testtools.TestCase):
@@ -156,7 +156,7 @@
         }
         kept = played["board"]
         self.assertEqual(0, kept.sent_to_evacuated)
-        self.assertLessEqual(kept.cold_most, LIMITS.most)
+        self.assertLessEqual(kept.cold_most, LIMITS.max_per_second)
         self.assertGreater(self.value(kept), 0.95)
         self.assertGreater(self.value(kept), self.value(played["board_warm_only"]))
 
@@ -296,7 +296,7 @@
             await self.bind(deployment)
             for router in deployment.routers.values():
                 router.evacuations.order("a", 10**9, 0.0)
-                router.evacuations.take_back("a", 10**9 + 1)
+                router.evacuations.revoke("a", 10**9 + 1)
                 for engine in deployment.engines:
                     entry = router.directory.entries_by_id[engine.id]
                     left = entry.cold_until - asyncio.get_running_loop().time()
--- a/tests/test_containment.py
+++ b/tests/test_containment.py
@@ -11,16 +11,16 @@
 from lynxchute.fleet.registry import FEED_TIMES
 from lynxchute.http import AbortHandle
 from lynxchute.platform.store import ANSWER_TIMEOUT
-from lynxchute.quarantine import BrokenRun, Progress, Quarantined
+from lynxchute.quarantine import BrokenRun, Progress, QuarantineEntry
 from lynxchute.store import StoreClock
 from lynxchute.telemetry import Metrics
 from lynxchute.upstreams.directory import Directory
-from lynxchute.upstreams.entry import OUTLIVED_SECONDS, Entry, OpenSend
+from lynxchute.upstreams.entry import CRASH_WINDOW_SECONDS, Entry, OpenSend
 from lynxchute.upstreams.upstream import Upstream
 from tests.support import AsyncTestCase
 
 ROUTERS = 195
-ITEM = Quarantined("q", since_ms=1, until_ms=600_000)
+ITEM = QuarantineEntry("q", since_ms=1, until_ms=600_000)
 ENGINE = Upstream("i-1", "pool", "10.0.0.1:80", "a", slots=64)
 
 
@@ -173,15 +173,15 @@
     def test_all_runs_of_an_end_go_out_together(self):
         def work(containment):
             for number in range(64):
-                containment.note_broken(ENGINE, self.send(f"q{number}"))
+                containment.record_broken(ENGINE, self.send(f"q{number}"))
 
         self.assertEqual(64, len(self.evidence_of(work)))
 
     def test_what_a_router_leaves_is_no_end(self):
         def work(containment):
             left = self.send()
-            left.leave()
-            containment.note_broken(ENGINE, left)
+            left.cancel()
+            containment.record_broken(ENGINE, left)
 
         self.assertEqual(False, self.evidence_of(work))
 
@@ -189,33 +189,33 @@
         def work(containment):
             long_run = self.send()
             long_run.note_answering(self.fleet.now)
-            self.fleet.now += OUTLIVED_SECONDS
-            containment.note_broken(ENGINE, long_run)
+            self.fleet.now += CRASH_WINDOW_SECONDS
+            containment.record_broken(ENGINE, long_run)
             young = self.send("young")
             young.note_answering(self.fleet.now)
-            containment.note_broken(ENGINE, young)
+            containment.record_broken(ENGINE, young)
 
         expected = (BrokenRun("young", "i-1", Progress.ANSWERING),)
         self.assertEqual(expected, self.evidence_of(work))
 
     def test_what_was_just_served_here_is_no_cause(self):
         def work(containment):
-            containment.note_ended(self.send(), is_whole=True)
-            containment.note_broken(ENGINE, self.send())
+            containment.record_end(self.send(), is_whole=True)
+            containment.record_broken(ENGINE, self.send())
 
         self.assertEqual(False, self.evidence_of(work))
 
     def test_evidence_is_bounded(self):
         def work(containment):
             for number in range(2 * MAX_WAITING):
-                containment.note_broken(ENGINE, self.send(f"q{number}"))
+                containment.record_broken(ENGINE, self.send(f"q{number}"))
 
         self.assertEqual(MAX_WAITING, len(self.evidence_of(work)))
 
     def test_the_next_judge_gets_what_the_first_one_got(self):
         async def work():
             containment = self.containment()
-            containment.note_broken(ENGINE, self.send())
+            containment.record_broken(ENGINE, self.send())
             await containment._give_evidence()
             first, _ = self.fleet.peers.messages[-1]
             self.fleet.members.remove(first)
@@ -224,7 +224,7 @@
             self.assertNotEqual(first, second)
             self.assertEqual("q", message.broken[0].content)
             # What has survived since is not told again.
-            containment.note_ended(self.send(), is_whole=True)
+            containment.record_end(self.send(), is_whole=True)
             self.fleet.members.remove(second)
             await containment._give_evidence()
             _, message = self.fleet.peers.messages[-1]
@@ -237,10 +237,10 @@
             containment = self.containment()
             since_ms = containment.judge.now_ms()
             self.fleet.now += 1.0
-            containment.note_ended(self.send(), is_whole=True)
-            item = Quarantined("q", since_ms, since_ms + 600_000)
+            containment.record_end(self.send(), is_whole=True)
+            item = QuarantineEntry("q", since_ms, since_ms + 600_000)
             await containment._serve_news(QuarantineNews((item,)))
-            self.assertIsNone(containment.seconds_left("q"))
+            self.assertIsNone(containment.quarantine_seconds_left("q"))
             await containment._give_evidence()
             _, message = self.fleet.peers.messages[-1]
             self.assertEqual(("q",), message.survived)
@@ -252,11 +252,11 @@
             containment = self.containment()
             until_ms = containment.judge.now_ms() + 5_000
             await containment._serve_news(
-                QuarantineNews((Quarantined("q", 0, until_ms),))
+                QuarantineNews((QuarantineEntry("q", 0, until_ms),))
             )
-            left = containment.seconds_left("q")
+            left = containment.quarantine_seconds_left("q")
             self.assertTrue(4.9 < left <= 5.0, left)
             self.fleet.now += 5.1
-            self.assertIsNone(containment.seconds_left("q"))
+            self.assertIsNone(containment.quarantine_seconds_left("q"))
 
         self.run_async(work())
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -189,10 +189,10 @@
             self.assertEqual(503, (await caller.send("GET", "/public/x"))[0])
             # Whoever comes later does not wait: a few turns of the loop are enough.
             configurations = deployment.routers["b-1"].configurations
-            arrival = asyncio.create_task(configurations.arrival())
+            wait_loaded = asyncio.create_task(configurations.wait_loaded())
             for _ in range(20):
                 await asyncio.sleep(0)
-            self.assertTrue(arrival.done())
+            self.assertTrue(wait_loaded.done())
 
         self.with_platform(scenario, routers=("a-1",))
 
@@ -251,7 +251,7 @@
             for port in deployment.store_ports.values():
                 deployment.store.faults_by_port[port].outage = Outage.SILENT
             # Its entry lapses meanwhile, which says nothing of whether it is back.
-            router.directory.remove(leaving.id, 0.0, lapses_at=float("inf"))
+            router.directory.remove(leaving.id, 0.0, expires_at=float("inf"))
             caller = PlatformCaller(deployment)
             for _ in range(10):
                 await caller.send("GET", "/safe/x")
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from testtools import TestCase
 
-from lynxchute.budgets.rows import HolderRow, RowUnreadable, Totals
+from lynxchute.budgets.rows import HolderRow, RowDecodeError, Totals
 from lynxchute.config.document import Version
 from lynxchute.edge.upstreams import UpstreamWatcher
 from lynxchute.fleet.members import Member
@@ -80,14 +80,14 @@
 def decode_holder(value):
     try:
         HolderRow.decode(value)
-    except RowUnreadable:
+    except RowDecodeError:
         return
 
 
 def decode_totals(value):
     try:
         Totals.decode(value)
-    except RowUnreadable:
+    except RowDecodeError:
         return
 
 
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -43,9 +43,9 @@
     def test_a_later_order_than_the_one_that_was_taken_back_stands(self):
         evacuations = Evacuations()
         evacuations.order("a", 1, 0.0)
-        evacuations.take_back("a", 2)
+        evacuations.revoke("a", 2)
         self.assertTrue(evacuations.order("a", 3, 2.0))
-        self.assertFalse(evacuations.take_back("a", 2))
+        self.assertFalse(evacuations.revoke("a", 2))
         self.assertTrue(evacuations.is_evacuated("a"))
         self.assertFalse(evacuations.is_evacuated("b"))
 
@@ -54,8 +54,8 @@
         evacuations.listeners.append(heard.append)
         for version in (1, 2, 2):
             evacuations.order("a", version, 0.0)
-        evacuations.take_back("b", 3)
-        evacuations.take_back("a", 3)
+        evacuations.revoke("b", 3)
+        evacuations.revoke("a", 3)
         self.assertEqual(["a", "a"], heard)
 
     @given(
@@ -74,7 +74,7 @@
             if is_order:
                 evacuations.order(place, version, 0.0)
             else:
-                evacuations.take_back(place, version)
+                evacuations.revoke(place, version)
         for place, is_order in expected.items():
             self.assertEqual(is_order, evacuations.is_evacuated(place), heard)
 
@@ -85,7 +85,7 @@
     )
 
 
-async def take_back(deployment, data_centre):
+async def revoke(deployment, data_centre):
     return await deployment.store.drop(OPERATOR_TABLE, EVACUATION_PREFIX + data_centre)
 
 
@@ -138,7 +138,7 @@
             before = len(arrivals_in(deployment, "a"))
             self.assertEqual({200}, set(await send_all_kinds(caller)))
             self.assertEqual(before, len(arrivals_in(deployment, "a")))
-            await take_back(deployment, "a")
+            await revoke(deployment, "a")
             await heard(deployment, "a", False)
             await send_all_kinds(caller)
             self.assertGreater(len(arrivals_in(deployment, "a")), before)
@@ -237,7 +237,7 @@
             for vm in deployment.routers:
                 deployment.faults(vm).hides_changes = True
             await order(deployment, "a")
-            await take_back(deployment, "a")
+            await revoke(deployment, "a")
             await order(deployment, "b")
             deployment.store.forget_history()
             for vm in deployment.routers:
@@ -266,7 +266,7 @@
             await heard(deployment, "a")
             for vm in deployment.routers:
                 scheduler = deployment.routers[vm].relay._sender._generations
-                sources = scheduler.placing._sources("pool", "key")
+                sources = scheduler.placing._fetch_sources("pool", "key")
                 inside = [e.id for e in deployment.engines if e.data_centre == "a"]
                 self.assertEqual(set(), set(sources) & set(inside))
                 if scheduler._scheduling_vm("pool") == vm:
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -11,13 +11,13 @@
 from lynxchute.config.from_document import configuration_of
 from lynxchute.operators.changes import change_for
 from lynxchute.operators.language import parse, to_text
-from lynxchute.overload.drain import Drain
+from lynxchute.overload.drain import DrainRate
 from lynxchute.overload.fair_shares import (
     FADE_SECONDS,
     SHARES_BY_NAME,
     EqualDivision,
 )
-from lynxchute.overload.returns import Returns
+from lynxchute.overload.returns import ExpectedRetries
 from lynxchute.overload.ticket import Ticket
 from lynxchute.overload.ticket_queue import LATE_SECONDS, FairTicketQueue
 from lynxchute.overload.weights import usable_weight
@@ -37,7 +37,7 @@
         "rank": 3,
         "cost": 1.0,
         "arrived_at": 0.0,
-        "leaves_at": 60.0,
+        "expires_at": 60.0,
     }
     return Ticket(run_id, **{**values, **more})
 
@@ -49,7 +49,7 @@
     def test_a_lone_account_is_within_its_share_whatever_it_uses(self):
         for name, shares in self.each():
             for number in range(1_000):
-                shares.note_use("a", 100.0, number * 0.01)
+                shares.record_use("a", 100.0, number * 0.01)
             self.assertLessEqual(shares.excess("a", 10.0), 1.0, name)
 
     def test_who_uses_more_than_the_others_is_beyond_its_share(self):
@@ -57,49 +57,49 @@
             for number in range(500):
                 now = number * 0.05
                 for account in "abcd":
-                    shares.note_use(account, 1.0, now)
-                shares.note_use("big", 7.5, now)
+                    shares.record_use(account, 1.0, now)
+                shares.record_use("big", 7.5, now)
             self.assertGreater(shares.excess("big", 25.0), 2.0, name)
             self.assertLessEqual(shares.excess("a", 25.0), 1.0, name)
 
     def test_a_weight_allows_for_more(self):
         for name, shares in self.each(weight_of=lambda a: 4.0 if a == "big" else 1.0):
             for number in range(500):
-                shares.note_use("a", 1.0, number * 0.05)
-                shares.note_use("big", 4.0, number * 0.05)
+                shares.record_use("a", 1.0, number * 0.05)
+                shares.record_use("big", 4.0, number * 0.05)
             self.assertAlmostEqual(1.0, shares.excess("big", 25.0), 1, name)
 
     def test_what_was_used_is_forgotten(self):
         for name, shares in self.each():
-            shares.note_use("big", 1_000.0, 0.0)
-            shares.note_use("a", 1.0, 0.0)
+            shares.record_use("big", 1_000.0, 0.0)
+            shares.record_use("a", 1.0, 0.0)
             later = 5 * FADE_SECONDS
-            shares.note_use("a", 1.0, later)
+            shares.record_use("a", 1.0, later)
             self.assertEqual(0.0, shares.excess("big", later), name)
             self.assertLessEqual(shares.excess("a", later), 1.0, name)
 
     def test_the_state_is_bounded_and_the_large_one_stays_known(self):
         for name, shares in self.each(most=64):
             for number in range(5_000):
-                shares.note_use(f"a{number}", 1.0, number * 0.0005)
-                shares.note_use("big", 10.0, number * 0.0005)
+                shares.record_use(f"a{number}", 1.0, number * 0.0005)
+                shares.record_use("big", 10.0, number * 0.0005)
             self.assertEqual(64, len(shares))
             self.assertGreater(shares.excess("big", 2.5), 4.0, name)
 
     def test_what_is_no_cost_counts_nothing(self):
         for name, shares in self.each():
             for cost in (0.0, -5.0, math.nan, math.inf):
-                shares.note_use("a", cost, 0.0)
+                shares.record_use("a", cost, 0.0)
             self.assertEqual(0.0, shares.excess("a", 0.0), name)
 
     def test_a_changed_weight_counts_at_once(self):
         weights = {"a": 1.0}
         shares = EqualDivision(lambda account: weights.get(account, 1.0))
-        shares.note_use("a", 3.0, 0.0)
-        shares.note_use("b", 1.0, 0.0)
+        shares.record_use("a", 3.0, 0.0)
+        shares.record_use("b", 1.0, 0.0)
         self.assertAlmostEqual(1.5, shares.excess("a", 0.0))
         weights["a"] = 3.0
-        shares.note_use("a", 0.001, 0.0)
+        shares.record_use("a", 0.001, 0.0)
         self.assertAlmostEqual(1.0, shares.excess("a", 0.0), 2)
 
     def test_a_weight_that_is_none_counts_as_the_usual_one(self):
@@ -202,13 +202,13 @@
     def setUp(self):
         super().setUp()
         self.shares = EqualDivision()
-        self.queue = FairTicketQueue(self.shares, Drain(FAST))
+        self.queue = FairTicketQueue(self.shares, DrainRate(FAST))
 
     def order(self, *tickets, now=0.0):
         for item in tickets:
             self.assertIsNone(self.queue.put(item, now))
         found = []
-        while (taken := self.queue.take(now)) is not None:
+        while (taken := self.queue.consume(now)) is not None:
             found.append(taken.run_id)
         return found
 
@@ -225,7 +225,7 @@
 
     def test_who_uses_most_goes_last_among_its_kind(self):
         for account, cost in (("a", 1.0), ("b", 1.0), ("c", 1.0), ("big", 9.0)):
-            self.shares.note_use(account, cost, 0.0)
+            self.shares.record_use(account, cost, 0.0)
         found = self.order(ticket("big"), ticket("a"), ticket("low", rank=5))
         self.assertEqual(["a", "big", "low"], found)
 
@@ -233,7 +233,7 @@
         found = self.order(
             ticket("urgent", rank=2),
             ticket("a"),
-            ticket("back", arrived_at=0.1, is_return=True),
+            ticket("back", arrived_at=0.1, is_timely_retry=True),
             now=0.2,
         )
         self.assertEqual(["urgent", "back", "a"], found)
@@ -254,7 +254,7 @@
             self.queue.put(ticket(f"u{number}", arrived_at=now), now)
             self.queue.put(ticket(f"v{number}", arrived_at=now), now)
             self.queue.put(ticket(f"l{number}", rank=5, arrived_at=now), now)
-            served.append(self.queue.take(now).run_id[0])
+            served.append(self.queue.consume(now).run_id[0])
         self.assertGreater(served.count("l"), 40)
         self.assertGreater(served.count("u") + served.count("v"), 250)
 
@@ -262,12 +262,12 @@
 class RefusalTest(QueueTestCase):
     def setUp(self):
         super().setUp()
-        self.queue = FairTicketQueue(self.shares, Drain(10.0))
+        self.queue = FairTicketQueue(self.shares, DrainRate(10.0))
 
     def test_what_would_wait_longer_than_its_caller_is_refused_at_once(self):
         for number in range(20):
             self.assertIsNone(self.queue.put(ticket(f"a{number}"), 0.0))
-        after = self.queue.put(ticket("x", leaves_at=1.0), 0.0)
+        after = self.queue.put(ticket("x", expires_at=1.0), 0.0)
         self.assertGreater(after, 0.0)
         self.assertNotIn("x", self.queue)
         self.assertEqual(20, len(self.queue))
@@ -276,7 +276,7 @@
         for number in range(40):
             self.queue.put(ticket(f"a{number}"), 0.0)
         told = [
-            self.queue.put(ticket(f"x{number}", leaves_at=3.6), 0.0)
+            self.queue.put(ticket(f"x{number}", expires_at=3.6), 0.0)
             for number in range(5)
         ]
         # Four seconds of work are ahead, and such a caller waits for 2.9 s of them.
@@ -284,13 +284,13 @@
         self.assertTrue(all(0.9 < after < 1.7 for after in told), told)
 
     def test_a_full_queue_makes_room_for_what_is_more_urgent(self):
-        queue = FairTicketQueue(self.shares, Drain(FAST), most=2)
+        queue = FairTicketQueue(self.shares, DrainRate(FAST), most=2)
         for name in "ab":
             self.assertIsNone(queue.put(ticket(name, rank=5), 0.0))
         self.assertIsNotNone(queue.put(ticket("c", rank=5), 0.0))
         self.assertIsNone(queue.put(ticket("urgent", rank=3), 0.0))
         self.assertEqual(2, len(queue))
-        self.assertEqual("urgent", queue.take(0.0).run_id)
+        self.assertEqual("urgent", queue.consume(0.0).run_id)
 
     def test_a_ticket_that_waits_is_put_once(self):
         self.queue.put(ticket("a"), 0.0)
@@ -298,38 +298,38 @@
         self.assertEqual(1, len(self.queue))
         self.queue.drop("a")
         self.queue.drop("a")
-        self.assertIsNone(self.queue.take(0.2))
+        self.assertIsNone(self.queue.consume(0.2))
 
     def test_nothing_is_told_that_is_longer_than_the_caller_has(self):
-        queue = FairTicketQueue(self.shares, Drain(0.0))
-        queue.put(ticket("first", leaves_at=9.0), 0.0)
+        queue = FairTicketQueue(self.shares, DrainRate(0.0))
+        queue.put(ticket("first", expires_at=9.0), 0.0)
         for left in (0.0, 0.2, 5.0):
-            after = queue.put(ticket(f"x{left}", leaves_at=left), 0.0)
+            after = queue.put(ticket(f"x{left}", expires_at=left), 0.0)
             self.assertLessEqual(after, left)
 
 
 class ReturnsTest(testtools.TestCase):
     def test_who_keeps_to_the_told_time_is_known_once(self):
-        returns = Returns()
-        returns.note_told("a", "content", 0.5, 10.0)
-        self.assertTrue(returns.take("a", "content", 10.6))
-        self.assertFalse(returns.take("a", "content", 10.7))
+        returns = ExpectedRetries()
+        returns.record_refusal("a", "content", 0.5, 10.0)
+        self.assertTrue(returns.consume("a", "content", 10.6))
+        self.assertFalse(returns.consume("a", "content", 10.7))
 
     def test_who_comes_early_or_for_something_else_is_none(self):
-        returns = Returns()
-        returns.note_told("a", "content", 0.5, 10.0)
-        self.assertFalse(returns.take("b", "content", 10.6))
-        self.assertFalse(returns.take("a", "other", 10.6))
-        self.assertFalse(returns.take("a", "content", 10.1))
-        self.assertFalse(returns.take("a", "content", 10.6))
+        returns = ExpectedRetries()
+        returns.record_refusal("a", "content", 0.5, 10.0)
+        self.assertFalse(returns.consume("b", "content", 10.6))
+        self.assertFalse(returns.consume("a", "other", 10.6))
+        self.assertFalse(returns.consume("a", "content", 10.1))
+        self.assertFalse(returns.consume("a", "content", 10.6))
 
     def test_the_state_is_bounded(self):
-        returns = Returns(most=3)
+        returns = ExpectedRetries(most=3)
         for number in range(10):
-            returns.note_told("a", str(number), 0.5, 10.0)
+            returns.record_refusal("a", str(number), 0.5, 10.0)
         self.assertEqual(3, len(returns))
-        returns.note_told("a", "", 0.5, 10.0)
-        returns.note_told("a", "x", math.nan, 10.0)
+        returns.record_refusal("a", "", 0.5, 10.0)
+        returns.record_refusal("a", "x", math.nan, 10.0)
         self.assertEqual(3, len(returns))
 
 
@@ -340,14 +340,14 @@
 
 class DrainTest(testtools.TestCase):
     def test_the_guess_gives_way_to_what_is_seen(self):
-        drain = Drain(50.0)
+        drain = DrainRate(50.0)
         self.assertEqual(50.0, drain.per_second(0.0))
         for number in range(200):
-            drain.note_freed(number * 0.1)
+            drain.record_freed(number * 0.1)
         self.assertAlmostEqual(10.0, drain.per_second(20.0), delta=1.0)
 
     def test_a_stop_is_noticed(self):
-        drain = Drain(50.0)
+        drain = DrainRate(50.0)
         for number in range(200):
-            drain.note_freed(number * 0.1)
+            drain.record_freed(number * 0.1)
         self.assertLess(drain.per_second(40.0), 0.1)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -160,7 +160,7 @@
             caller = Caller(deployment, "kyu-a-1")
             await deployment.start_router("kyu-a-1")
             await deployment.wait_until_ready()
-            old.keeper.want()
+            old.keeper.request_write()
             await until(lambda: old.keeper.ledger.fenced)
             ran = len(runs(deployment))
             self.assertEqual(0, old.keeper.ledger.available(ACCOUNT, 10**15))
--- a/tests/test_hedging.py
+++ b/tests/test_hedging.py
@@ -14,11 +14,11 @@
 from lynxchute.relay import hedge_rules, hedging, sender
 from lynxchute.relay.hedge_rules import has_room, hedge_delay
 from lynxchute.relay.hedging import Hedger
-from lynxchute.relay.refusal import Reason, Refusal, Run
+from lynxchute.relay.refusal import Reason, Refusal, RunStatus
 from lynxchute.standins.upstream_run import Fault
 from lynxchute.telemetry import Metrics
 from lynxchute.upstreams.expected_finish import UpstreamState
-from lynxchute.upstreams.learned_speed import TwoMemories
+from lynxchute.upstreams.learned_speed import TwoTimescaleSpeeds
 from lynxchute.upstreams.retry_budget import RetryBudget
 from lynxchute.upstreams.service_times import ServiceTimes
 from tests.platform_support import PlatformCaller, PlatformTestCase
@@ -69,11 +69,11 @@
     def test_hedges_leave_most_of_it_to_tries_after_failures(self):
         budget = RetryBudget(share=0.2, extra=0.0, window=10.0)
         for _ in range(100):
-            budget.note_request("app", 1.0)
+            budget.record_request("app", 1.0)
         share = hedge_rules.BUDGET_SHARE
-        hedges = sum(budget.take("app", 1.0, used_share=share) for _ in range(50))
+        hedges = sum(budget.spend("app", 1.0, used_share=share) for _ in range(50))
         self.assertEqual(8, hedges)
-        tries = sum(budget.take("app", 1.0) for _ in range(50))
+        tries = sum(budget.spend("app", 1.0) for _ in range(50))
         self.assertEqual(8, tries)
 
 
@@ -84,7 +84,7 @@
     for route in ("safe", "unsafe"):
         for app in deployment.apps:
             for _ in range(25):
-                times.note("app", route, app.id, 0.02, now - 5.0)
+                times.record("app", route, app.id, 0.02, now - 5.0)
 
 
 class UsedUpTest(PlatformTestCase):
@@ -234,11 +234,11 @@
             router = deployment.routers["a-1"]
             asked = []
 
-            def seconds_left(content):
+            def quarantine_seconds_left(content):
                 asked.append(content)
                 return 5.0
 
-            router.containment.seconds_left = seconds_left
+            router.containment.quarantine_seconds_left = quarantine_seconds_left
             await until(lambda: asked or far.arrivals, timeout=2)
             await near.stop()
             status, _, _ = await call
@@ -330,7 +330,7 @@
     service: str = "app"
     sends: int = 0
     sent_at: float = 0.0
-    run: Run = Run.NOT_RUN
+    run: RunStatus = RunStatus.NOT_RUN
     tried: set = attrs.Factory(set)
 
     def refuse(self, reason, title, now):
@@ -354,7 +354,7 @@
 
 
 class FakeDirectory:
-    def of_service(self, service, now):
+    def available(self, service, now):
         return ENTRIES
 
 
@@ -370,7 +370,7 @@
         self.hedger = Hedger(
             FakeChooser(),
             FakeDirectory(),
-            ServiceTimes(TwoMemories()),
+            ServiceTimes(TwoTimescaleSpeeds()),
             RetryBudget(share=0.0, extra=10.0, window=10.0),
             lambda entry, now: UpstreamState(slots=6),
             Metrics(),
@@ -382,7 +382,7 @@
         self.open[name] = asyncio.get_running_loop().create_future()
         exchange.sends += 1
         exchange.sent_at = self.clock()
-        exchange.run = Run.UNKNOWN
+        exchange.run = RunStatus.UNKNOWN
         try:
             end = await self.open[name]
         finally:
@@ -391,7 +391,7 @@
             return None
         if end == "too late":
             # Made before the other send began to leave.
-            raise Refusal(Reason.TOO_LATE, "late", run=Run.NOT_RUN)
+            raise Refusal(Reason.TOO_LATE, "late", run=RunStatus.NOT_RUN)
         status = 200 if end == "good" else 500
         answer = FakeAnswer(choice.entry, FakeResponse(status))
         self.answers.append(answer)
@@ -452,7 +452,7 @@
     else:
         case.assertIsNone(answer)
     if isinstance(error, Refusal):
-        case.assertIsNot(Run.NOT_RUN, error.run)
+        case.assertIsNot(RunStatus.NOT_RUN, error.run)
 
 
 def all_races():
@@ -486,7 +486,7 @@
 
 def believe_an_old_refusal():
     def nothing_answered(exchange, now):
-        return Refusal(Reason.TOO_LATE, "late", run=Run.NOT_RUN)
+        return Refusal(Reason.TOO_LATE, "late", run=RunStatus.NOT_RUN)
 
     return mock.patch.object(hedging, "nothing_answered", nothing_answered)
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -15,7 +15,7 @@
 )
 from lynxchute.budgets.demand import Demand
 from lynxchute.budgets.line import HORIZON_MS, SLOW_MS
-from lynxchute.budgets.rows import HolderRow, RowUnreadable, Totals, holder_id
+from lynxchute.budgets.rows import HolderRow, RowDecodeError, Totals, holder_id
 from lynxchute.budgets.share import Terms
 from lynxchute.store import Conflict, Row, StoreClock
 from tests import ledger_mutants
@@ -43,8 +43,8 @@
 
 class LineTest(testtools.TestCase):
     @given(AMOUNTS, AMOUNTS, AMOUNTS, st.integers(0, 10**7), st.integers(0, 10**8))
-    def test_a_line_never_falls_and_ends(self, base, rate, late_rate, start, later):
-        line = Line(base, rate, late_rate, start)
+    def test_a_line_never_falls_and_ends(self, base, rate, outage_rate, start, later):
+        line = Line(base, rate, outage_rate, start)
         self.assertLessEqual(line.at(start), line.at(start + later))
         self.assertEqual(base, line.at(0))
         end = line.at(start + HORIZON_MS)
@@ -114,7 +114,7 @@
             prepaid=self.GRANTED,
         )
         self.line = Line(
-            policy.burst(seen), policy.rate(seen), policy.late_rate(seen), start_ms=0
+            policy.burst(seen), policy.rate(seen), policy.outage_rate(seen), start_ms=0
         )
 
     def test_who_is_back_after_three_seconds_has_lost_nine_of_its_demand(self):
@@ -127,7 +127,9 @@
             self.assertGreaterEqual(self.line.at(ms), self.DEMAND * ms // 1000)
 
     def test_who_had_no_demand_may_serve_some_in_an_outage(self):
-        idle = DemandPolicy().late_rate(view(granted=self.GRANTED, used=0, demand=0.0))
+        idle = DemandPolicy().outage_rate(
+            view(granted=self.GRANTED, used=0, demand=0.0)
+        )
         self.assertGreaterEqual(idle, self.GRANTED // 20)
         self.assertLess(idle, self.GRANTED // 10)
 
@@ -144,7 +146,7 @@
         for cls in (HolderRow, Totals):
             try:
                 cls.decode(value)
-            except RowUnreadable:
+            except RowDecodeError:
                 continue
 
 
@@ -218,7 +220,7 @@
         new = fleet.routers[0]
         fleet.write(new, "answered")
         plan = old.plan(now_ms=fleet.now_ms, now=fleet.seconds())
-        old.learn(fleet.store.write(plan.write))
+        old.apply_outcome(fleet.store.write(plan.write))
         self.assertTrue(old.fenced)
         self.assertEqual(
             ReserveProblem.CLOSED, old.reserve("r", "a", 1, now_ms=fleet.now_ms)
@@ -268,7 +270,9 @@
         before = ledger.share("a").terms
         ledger.plan(now_ms=fleet.now_ms, now=fleet.seconds())
         own = fleet.store.get(holder_id("x"))
-        ledger.learn(Conflict({holder_id("x"): Row(own.id, own.value, own.version)}))
+        ledger.apply_outcome(
+            Conflict({holder_id("x"): Row(own.id, own.value, own.version)})
+        )
         self.assertEqual(
             (before, []), (ledger.share("a").terms, ledger.share("a").uncertain)
         )
--- a/tests/test_memory_guard.py
+++ b/tests/test_memory_guard.py
@@ -9,16 +9,16 @@
 
 from lynxchute.edge.settings import Features
 from lynxchute.http import HttpServer, ServerLimits
-from lynxchute.overload import HeldBounds, Holder, MemoryGuard, UpstreamMemory
+from lynxchute.overload import AnswerBuffer, BufferBounds, MemoryGuard, UpstreamMemory
 from tests.platform_support import HOST, KEY, PlatformCaller, PlatformTestCase
 from tests.support import AsyncTestCase, until
 
-BOUNDS = HeldBounds(total=1000, by_account=400, by_connection=200)
+BOUNDS = BufferBounds(total=1000, by_account=400, by_connection=200)
 ACCOUNTS = ("", "a", "b", "c")
 SIZES = st.integers(1, 300)
 
 
-class FakeHolder(Holder):
+class FakeHolder(AnswerBuffer):
     def __init__(self, account=""):
         self.account = account
         self.written = 0
@@ -41,9 +41,9 @@
     """Return a holder that began to wait a while ago and has read some since."""
     holder = FakeHolder(account)
     holder.written = 1
-    guard.note(holder, since)
+    guard.update(holder, since)
     holder.written, holder.read = size + read, read
-    guard.note(holder, now)
+    guard.update(holder, now)
     return holder
 
 
@@ -79,7 +79,7 @@
         old = holding(self.guard, "a", 150, read=60)
         new = FakeHolder("a")
         new.written = 260
-        self.guard.note(new, 10.0)
+        self.guard.update(new, 10.0)
         self.assertEqual((True, False), (old.is_cut, new.is_cut))
 
     def test_what_was_read_meanwhile_is_no_reason_to_cut(self):
@@ -122,7 +122,7 @@
             elif not holder.is_cut:
                 holder.written += size
                 before[number] += size
-                guard.note(holder, now)
+                guard.update(holder, now)
                 self.check(holders, before, holder.account)
             for other, held in list(holders.items()):
                 if held.is_cut:
@@ -186,7 +186,7 @@
                 memory.note_sent("u", size)
                 open_sizes.append(size)
             elif step == "e" and open_sizes:
-                memory.note_ended("u", open_sizes.pop())
+                memory.record_end("u", open_sizes.pop())
             elif step == "c":
                 if sum(open_sizes) >= 65536:
                     least = min(sum(open_sizes), least or 10**12)
@@ -260,7 +260,7 @@
             self.assertEqual(PIECES * len(PIECE), data.count(b"x"))
             await until(lambda: not guard.held or guard.held < 65536)
 
-        self.serve(HeldBounds.of_total(32_000_000), work)
+        self.serve(BufferBounds.of_total(32_000_000), work)
 
     def test_without_a_guard_an_answer_waits_for_its_caller(self):
         async def work(server, guard, made):
@@ -281,7 +281,7 @@
             self.assertLess(data.count(b"x"), PIECES * len(PIECE))
             self.assertNotIn(b"0\r\n\r\n", data)
 
-        self.serve(HeldBounds(200_000, 200_000, 400_000), work)
+        self.serve(BufferBounds(200_000, 200_000, 400_000), work)
 
     def test_who_reads_nothing_is_ended_in_time(self):
         async def work(server, guard, made):
@@ -291,7 +291,7 @@
             self.assertEqual(0, guard.held)
             del reader
 
-        self.serve(HeldBounds.of_total(32_000_000), work)
+        self.serve(BufferBounds.of_total(32_000_000), work)
 
 
 class LoadTest(PlatformTestCase):
--- a/tests/test_neighbourhood.py
+++ b/tests/test_neighbourhood.py
@@ -13,12 +13,12 @@
 from lynxchute.fleet.members import Member, Members
 from lynxchute.fleet.messages import PlaceRequest
 from lynxchute.http import LinkMeter
-from lynxchute.scheduling.cold_placements import ColdPlacements
+from lynxchute.scheduling.cold_placements import ColdPlacementLimiter
 from lynxchute.scheduling.scheduler import Scheduler
 from lynxchute.upstreams.cold_admission import (
     ColdLimits,
     FirstRegistered,
-    StandingWatch,
+    RankWatch,
 )
 from lynxchute.upstreams.directory import Directory
 from lynxchute.upstreams.evacuations import Evacuations
@@ -100,8 +100,8 @@
     def test_load_is_spread_and_prompts_find_what_is_kept(self):
         directory = directory_of(MANY)
         limits = ColdLimits()
-        cold = ColdPlacements(
-            FirstRegistered(), StandingWatch(lambda s: 0), lambda s: limits
+        cold = ColdPlacementLimiter(
+            FirstRegistered(), RankWatch(lambda s: 0), lambda s: limits
         )
         scheduler = Scheduler(
             Members(Member("a-1", "a", "run", "127.0.0.1:1")),
@@ -125,7 +125,7 @@
                 request = PlaceRequest(
                     f"r{number}", "pool", "a", (), 3_500, 60, parts, "run"
                 )
-                reply = await scheduler._serve_place(request)
+                reply = await scheduler._handle_place_request(request)
                 chosen[reply.upstream] += 1
                 parts_asked[part] += 1
                 if not number:
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -8,10 +8,10 @@
 from lynxchute.scheduling.caller_weights import CallerWeights
 from lynxchute.scheduling.crowding import (
     LateCallers,
-    LateCallersUnlessStrained,
+    LoadAdaptiveCost,
     late_share,
 )
-from lynxchute.scheduling.newcomer import Newcomer
+from lynxchute.scheduling.newcomer import PendingRequest
 from lynxchute.scheduling.pauses import PauseRecord
 from lynxchute.scheduling.reading_speed import ReadingSpeed
 from lynxchute.scheduling.readings import RATE_AGE_SECONDS, SETTLE_SECONDS, PauseWatch
@@ -25,7 +25,7 @@
 
 def newcomer(run_id, tokens, output=300):
     parts = (PromptPart(f"own.{run_id}", tokens),)
-    return Newcomer(run_id, Generation("m", tokens, output, parts, output), AIMS)
+    return PendingRequest(run_id, Generation("m", tokens, output, parts, output), AIMS)
 
 
 def candidates(*ids):
@@ -97,7 +97,7 @@
 
     def test_a_run_that_becomes_a_stream_meanwhile_is_beside_it(self):
         self.watch.add(0.0, 24_000, (), 0.0)
-        self.watch.note_begun("late", 0.2)
+        self.watch.record_first_event("late", 0.2)
         self.watch.note_pause("late", 0.9)
         self.settle(2.0)
         supposed = PauseRecord().share(4.0)
@@ -198,19 +198,19 @@
 
 class StrainTest(testtools.TestCase):
     def test_engines_that_cannot_keep_up_are_placed_on_by_length(self):
-        crowding = LateCallersUnlessStrained()
+        crowding = LoadAdaptiveCost()
         for number in range(20):
-            crowding.note_placed(newcomer(str(number), SHORT), 3_000.0)
+            crowding.record_placement(newcomer(str(number), SHORT), 3_000.0)
         self.assertTrue(crowding.is_strained)
         for number in range(200):
-            crowding.note_placed(newcomer(str(number), SHORT), 100.0)
+            crowding.record_placement(newcomer(str(number), SHORT), 100.0)
         self.assertFalse(crowding.is_strained)
 
     def test_a_few_late_ones_are_no_strain(self):
-        crowding = LateCallersUnlessStrained()
+        crowding = LoadAdaptiveCost()
         for number in range(300):
             expected_ms = 3_000.0 if number % 40 == 0 else 100.0
-            crowding.note_placed(newcomer(str(number), SHORT), expected_ms)
+            crowding.record_placement(newcomer(str(number), SHORT), expected_ms)
         self.assertFalse(crowding.is_strained)
 
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -17,13 +17,13 @@
 import json
 
 from lynxchute.config.role import Role
-from lynxchute.containment.judge import HOME_KEY, ROW_ID
+from lynxchute.containment.judge import HOME_KEY, QUARANTINE_ROW_ID
 from lynxchute.edge.state import state_of
 from lynxchute.fleet.client import PeerUnreachable
 from lynxchute.http import ExchangeFailed
 from lynxchute.operators.runner import StatementRunner
 from lynxchute.platform.daemon import make_platform
-from lynxchute.quarantine import Record
+from lynxchute.quarantine import QuarantineRecord
 from lynxchute.standins.platform_store import Outage
 from lynxchute.standins.upstream_run import Fault
 from tests.platform_support import ACCOUNT, PlatformCaller, PlatformTestCase, ids_of
@@ -448,10 +448,10 @@
 
 
 def row_of(deployment):
-    value = deployment.store.value(ROW_ID.table, ROW_ID.key)
+    value = deployment.store.value(QUARANTINE_ROW_ID.table, QUARANTINE_ROW_ID.key)
     if value is None:
         return None
-    record = Record.decode(value).ok
+    record = QuarantineRecord.decode(value).ok
     return record if record.quarantined else None
 
 
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -7,9 +7,9 @@
 from lynxchute.fleet.members import Member, Members
 from lynxchute.reachability import EVIDENCE_SECONDS, Reachability
 from lynxchute.upstreams.directory import Directory
-from lynxchute.upstreams.engines import Engines, EngineSilent, Probe
+from lynxchute.upstreams.engines import EngineClient, EngineUnavailable, Probe
 from lynxchute.upstreams.entry import OpenSend
-from lynxchute.upstreams.health import Fate
+from lynxchute.upstreams.health import SendOutcome
 from lynxchute.upstreams.silence import SilenceWatch
 from lynxchute.upstreams.upstream import Upstream
 from tests.support import AsyncTestCase
@@ -66,7 +66,7 @@
         self.assertEqual(2, len(members.homes_elsewhere("account")))
 
 
-class FakeEngines(Engines):
+class FakeEngines(EngineClient):
     def __init__(self, cut):
         self.cut = cut
         self.probed = []
@@ -74,7 +74,7 @@
     async def probe(self, upstream):
         self.probed.append(upstream.id)
         if upstream.data_centre in self.cut:
-            raise EngineSilent(upstream.id, is_silence=True)
+            raise EngineUnavailable(upstream.id, is_silence=True)
         return Probe()
 
     async def cached_parts(self, upstream):
@@ -133,7 +133,7 @@
         async def work():
             for name in ("b1", "b2"):
                 self.reach.note_silent("b", name, self.now, is_upstream=True)
-                self.entry(name).health.note(Fate.UNREACHED, self.now)
+                self.entry(name).health.record(SendOutcome.UNREACHED, self.now)
             for _ in range(10):
                 self.now += 0.1
                 await self.look()
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -291,7 +291,7 @@
                 deployment.store.faults_by_port[port].outage = Outage.SILENT
             # Whatever it has heard since, what confirms is too old to deny by.
             router.configurations.feed.confirmed_at = float("-inf")
-            router.configurations.unconfirmed_for = lambda: 0.0
+            router.configurations.unconfirmed_seconds = lambda: 0.0
             self.assertEqual(503, (await caller.send("GET", "/none/x"))[0])
             self.assertEqual(503, (await stranger.send("GET", "/safe/x"))[0])
             self.assertEqual(200, (await caller.send("GET", "/safe/x"))[0])
@@ -509,7 +509,7 @@
         async def scenario(deployment):
             told = []
             for router in deployment.routers.values():
-                router.relay._sender._generations.note_paused = (
+                router.relay._sender._generations.record_pause = (
                     lambda run_id, upstream_id: told.append((run_id, upstream_id))
                 )
             caller = PlatformCaller(deployment)
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -6,12 +6,12 @@
 from testtools import TestCase
 
 from lynxchute.scheduling.board import Candidate, EngineBoard
-from lynxchute.scheduling.newcomer import Newcomer
+from lynxchute.scheduling.newcomer import PendingRequest
 from lynxchute.upstreams.aims import NO_AIMS
 from lynxchute.upstreams.directory import Directory
 from lynxchute.upstreams.entry import OpenSend
 from lynxchute.upstreams.generation import Generation, PromptPart
-from lynxchute.upstreams.health import Fate
+from lynxchute.upstreams.health import SendOutcome
 from lynxchute.upstreams.upstream import Upstream
 from tests.platform_support import (
     PlatformCaller,
@@ -35,7 +35,7 @@
         self.directory.put(FIRST)
         self.aborted = 0
         self.ended = []
-        self.directory.start_listeners.append(self.ended.append)
+        self.directory.restart_listeners.append(self.ended.append)
 
     @property
     def entry(self):
@@ -52,14 +52,14 @@
     def test_a_new_start_keeps_nothing_of_the_one_before(self):
         before = self.entry
         self.open_sends()
-        before.health.note(Fate.UNREACHED, 10.0)
+        before.health.record(SendOutcome.UNREACHED, 10.0)
         self.assertTrue(self.directory.put(started(2000, address="10.0.0.2:80")))
         self.assertEqual((2, [FIRST]), (self.aborted, self.ended))
         self.assertEqual((0, set()), (self.entry.open_requests, self.entry.open_sends))
         self.assertFalse(self.entry.health.is_paused(10.0))
         self.assertEqual("10.0.0.2:80", self.entry.upstream.address)
         # What still comes of the runs there is of the old start.
-        before.health.note(Fate.BROKEN, 11.0)
+        before.health.record(SendOutcome.BROKEN, 11.0)
         before.open_requests -= 2
         self.assertEqual(0, self.entry.open_requests)
         self.assertFalse(self.entry.health.is_paused(11.0))
@@ -76,14 +76,14 @@
         self.directory.put(started(2000))
         self.open_sends()
         self.assertFalse(self.directory.put(started(1000, is_leaving=True)))
-        self.assertFalse(self.directory.note_started(self.entry, 1000))
+        self.assertFalse(self.directory.record_start(self.entry, 1000))
         self.assertEqual(2000, self.entry.upstream.started_ms)
         self.assertTrue(self.entry.takes_work)
         self.assertEqual(0, self.aborted)
 
     def test_a_start_whose_clock_was_set_back_is_taken_and_breaks_nothing(self):
         self.open_sends()
-        self.entry.health.note(Fate.UNREACHED, 10.0)
+        self.entry.health.record(SendOutcome.UNREACHED, 10.0)
         self.assertTrue(self.directory.put(started(400, is_leaving=True)))
         self.assertFalse(self.entry.takes_work)
         self.assertFalse(self.entry.health.is_paused(10.0))
@@ -100,11 +100,11 @@
 
     def test_a_start_that_a_report_tells_first_is_the_one_of_the_entry_later(self):
         self.open_sends()
-        self.directory.remove("i-1", 5.0, lapses_at=7.0)
-        self.assertTrue(self.directory.note_started(self.entry, 2000))
+        self.directory.remove("i-1", 5.0, expires_at=7.0)
+        self.assertTrue(self.directory.record_start(self.entry, 2000))
         self.assertEqual(2, self.aborted)
-        self.assertEqual((5.0, 7.0), (self.entry.gone_at, self.entry.lapses_at))
-        self.assertFalse(self.directory.note_started(self.entry, 2000))
+        self.assertEqual((5.0, 7.0), (self.entry.removed_at, self.entry.expires_at))
+        self.assertFalse(self.directory.record_start(self.entry, 2000))
         # The store has the old entry still, and then the new one.
         self.assertFalse(self.directory.put(started(1000)))
         self.directory.put(started(2000))
@@ -114,8 +114,8 @@
     def test_a_report_of_an_entry_that_was_replaced_changes_nothing(self):
         before = self.entry
         self.directory.put(started(2000))
-        self.assertFalse(self.directory.note_started(before, 3000))
-        self.assertFalse(self.directory.note_started(self.entry, None))
+        self.assertFalse(self.directory.record_start(before, 3000))
+        self.assertFalse(self.directory.record_start(self.entry, None))
 
 
 class BoardTest(TestCase):
@@ -123,8 +123,10 @@
         board = EngineBoard()
         candidate = Candidate("i-1", 64, 400_000, False)
         generation = Generation("m", 500, 60, (PromptPart("aa", 400),))
-        board.place(Newcomer("r1.0", generation, NO_AIMS, "run"), [candidate], 1.0)
-        board.forget("i-1")
+        board.place(
+            PendingRequest("r1.0", generation, NO_AIMS, "run"), [candidate], 1.0
+        )
+        board.discard_upstream("i-1")
         board.unknown([candidate])
         board.failed("i-1", "r1.0", 2.0)
         board.begun("i-1", "r1.0", 2.0)
--- a/tests/test_router_load.py
+++ b/tests/test_router_load.py
@@ -14,19 +14,19 @@
 from lynxchute.edge.state import state_of
 from lynxchute.http import ExchangeFailed
 from lynxchute.overload import (
-    LINK,
-    MEMORY,
-    PROCESSOR,
-    Guard,
+    LINK_LIMITS,
+    MEMORY_LIMITS,
+    PROCESSOR_LIMITS,
+    CallbackLoadSource,
     Load,
     LocalShares,
-    MeasuredSource,
+    OverloadGuard,
     ProcessorMeter,
     Resource,
 )
 from lynxchute.overload.guard import LONGEST_SPELL, REST_SECONDS, SPELL_SECONDS
 from lynxchute.overload.local_shares import fair_level
-from lynxchute.relay.guarded_load import LAG_KEPT_SECONDS, GuardedLoad
+from lynxchute.relay.guarded_load import LAG_HOLD_SECONDS, GuardedLoad
 from lynxchute.relay.load import RouterLoad
 from lynxchute.relay.own_delay import OwnDelayMeter
 from lynxchute.relay.sender import Answer
@@ -57,7 +57,7 @@
         for _ in range(count):
             began = self.clock.now + work
             self.clock.now = began + sleep + late
-            self.meter.note_sleep(began, self.clock.now, sleep)
+            self.meter.record_sleep(began, self.clock.now, sleep)
 
     def test_the_use_is_the_share_of_the_time_outside_sleeps(self):
         self.turns(400, work=0.003, sleep=0.007)
@@ -86,13 +86,13 @@
     def test_a_suspension_is_no_load(self):
         self.turns(10, work=0.001, sleep=0.1)
         self.turns(1, work=30.0, sleep=0.1)
-        self.assertLess(self.meter.load().use, PROCESSOR.least_use)
+        self.assertLess(self.meter.load().use, PROCESSOR_LIMITS.least_use)
 
     @given(st.lists(st.tuples(FIGURES, FIGURES, FIGURES), max_size=20))
     def test_odd_times_give_a_load_that_can_be_compared(self, sleeps):
         meter = ProcessorMeter(lambda: 5.0)
         for began, ended, asked in sleeps:
-            meter.note_sleep(began, ended, asked)
+            meter.record_sleep(began, ended, asked)
         load = meter.load()
         for figure in (load.use, load.delay):
             self.assertGreaterEqual(figure, 0.0)
@@ -102,7 +102,7 @@
     def shares(self, kept, **uses):
         shares = LocalShares(lambda: kept)
         for account, use in uses.items():
-            shares.note_use(account, use, 0.0)
+            shares.record_use(account, use, 0.0)
         return shares
 
     def test_small_accounts_stay_and_the_excess_of_a_large_one_goes(self):
@@ -133,7 +133,7 @@
         shares = LocalShares(lambda: kept)
         now = 0.0
         for account, cost, passed in uses:
-            shares.note_use(account, cost, now)
+            shares.record_use(account, cost, now)
             now += passed if 0 <= passed <= 3 else 0.0
         for account in "abc":
             self.assertGreaterEqual(shares.excess(account, now), 0.0)
@@ -144,7 +144,7 @@
 
     def __init__(self, name, limits):
         self.now = Load()
-        source = MeasuredSource(name, lambda: self.now.use, lambda: self.now.delay)
+        source = CallbackLoadSource(name, lambda: self.now.use, lambda: self.now.delay)
         self.resource = Resource(source, limits)
 
 
@@ -152,23 +152,23 @@
     def setUp(self):
         super().setUp()
         self.clock = Clock()
-        self.processor = Source("processor", PROCESSOR)
-        self.link = Source("link", LINK)
-        self.memory = Source("memory", MEMORY)
+        self.processor = Source("processor", PROCESSOR_LIMITS)
+        self.link = Source("link", LINK_LIMITS)
+        self.memory = Source("memory", MEMORY_LIMITS)
         resources = [s.resource for s in (self.processor, self.link, self.memory)]
-        self.shares = LocalShares(lambda: self.guard.kept_share())
-        self.guard = Guard(resources, self.clock, random.Random(1), self.shares)
+        self.shares = LocalShares(lambda: self.guard.sustainable_share())
+        self.guard = OverloadGuard(resources, self.clock, random.Random(1), self.shares)
 
-    def look(self):
-        self.guard.note_request("small")
-        return self.guard.look()
+    def poll(self):
+        self.guard.record_request("small")
+        return self.guard.poll()
 
     def test_a_vm_with_room_serves_all(self):
         self.processor.now = Load(0.5, 0.004)
-        self.assertEqual("", self.look())
+        self.assertEqual("", self.poll())
         self.assertTrue(self.guard.is_ready)
         self.assertEqual("", self.guard.full)
-        self.assertEqual("", self.guard.refuses(0.1, "small"))
+        self.assertEqual("", self.guard.shed_reason(0.1, "small"))
         self.assertFalse(self.guard.ends_connection("small"))
 
     def test_each_resource_alone_makes_it_full(self):
@@ -178,16 +178,16 @@
             (self.memory, Load(0.9, 0.0)),
         ):
             source.now = load
-            self.look()
+            self.poll()
             self.assertEqual(source.resource.name, self.guard.full)
             source.now = Load()
-            self.look()
+            self.poll()
             self.assertEqual("", self.guard.full)
 
     def test_the_more_connections_are_closed_the_longer_work_waits(self):
         closed = []
         for times in (0.5, 1.0, 1.5):
-            self.processor.now = Load(0.9, times * PROCESSOR.full_delay)
+            self.processor.now = Load(0.9, times * PROCESSOR_LIMITS.full_delay)
             closed.append(sum(self.guard.closes_connection() for _ in range(1000)))
         self.assertEqual(0, closed[0])
         self.assertAlmostEqual(500, closed[1], delta=60)
@@ -195,20 +195,20 @@
 
     def test_one_long_event_sends_nobody_elsewhere(self):
         self.processor.now = Load(0.3, 0.1)
-        self.assertEqual("", self.look())
+        self.assertEqual("", self.poll())
         self.assertTrue(self.guard.is_ready)
         self.assertEqual("", self.guard.full)
 
     def test_work_that_nobody_asked_for_sends_nobody_elsewhere(self):
         self.processor.now = Load(1.0, 0.2)
-        self.guard.look()
+        self.guard.poll()
         self.assertTrue(self.guard.is_ready)
 
     def test_it_is_ready_again_and_again_while_the_load_lasts(self):
         self.processor.now = Load(1.0, 0.05)
         ready = 0
         for _ in range(1000):
-            self.look()
+            self.poll()
             ready += self.guard.is_ready
             self.clock.now += 0.05
         share = REST_SECONDS / (REST_SECONDS + LONGEST_SPELL)
@@ -216,22 +216,22 @@
 
     def test_it_is_ready_once_the_load_is_over_and_the_balancer_has_seen(self):
         self.processor.now = Load(0.9, 0.01)
-        self.assertEqual("processor", self.look())
+        self.assertEqual("processor", self.poll())
         self.processor.now = Load(0.1, 0.001)
         self.clock.now += SPELL_SECONDS - 0.1
-        self.look()
+        self.poll()
         self.assertFalse(self.guard.is_ready)
         self.clock.now += 0.2
-        self.look()
+        self.poll()
         self.assertTrue(self.guard.is_ready)
 
     def test_only_the_excess_ends_and_the_account_in_excess_first(self):
         self.processor.now = Load(1.6, 0.01)
-        self.look()
+        self.poll()
         for _ in range(90):
-            self.guard.note_request("hot")
+            self.guard.record_request("hot")
         for _ in range(10):
-            self.guard.note_request("small")
+            self.guard.record_request("small")
         ended = sum(self.guard.ends_connection("hot") for _ in range(1000))
         kept = (100 * 0.5 - 11) / 90
         self.assertAlmostEqual(1000 * (1 - kept), ended, delta=60)
@@ -240,28 +240,28 @@
     def test_a_lone_account_keeps_what_the_vm_carries(self):
         self.processor.now = Load(1.6, 0.01)
         for _ in range(90):
-            self.guard.note_request("hot")
-        self.guard.look()
+            self.guard.record_request("hot")
+        self.guard.poll()
         ended = sum(self.guard.ends_connection("hot") for _ in range(1000))
         self.assertAlmostEqual(500, ended, delta=60)
 
     def test_what_would_be_late_by_far_is_refused_whoever_asks(self):
         self.processor.now = Load(1.0, 0.2)
-        self.assertEqual("processor", self.guard.refuses_all(0.2))
-        self.assertEqual("processor", self.guard.refuses(0.2, "small"))
+        self.assertEqual("processor", self.guard.shed_reason_for_all(0.2))
+        self.assertEqual("processor", self.guard.shed_reason(0.2, "small"))
         # A call needs fewer events.
-        self.assertEqual("", self.guard.refuses_all(0.2, is_brief=True))
-        self.assertEqual("", self.guard.refuses(2.0, "small"))
+        self.assertEqual("", self.guard.shed_reason_for_all(0.2, is_brief=True))
+        self.assertEqual("", self.guard.shed_reason(2.0, "small"))
 
     def test_accounts_within_their_share_are_refused_last(self):
         self.link.now = Load(1.0, 0.4)
         self.processor.now = Load(1.6, 0.0)
         for _ in range(90):
-            self.guard.note_request("hot")
-        self.guard.note_request("small")
-        asked = [self.guard.refuses(1.0, "small") for _ in range(100)]
+            self.guard.record_request("hot")
+        self.guard.record_request("small")
+        asked = [self.guard.shed_reason(1.0, "small") for _ in range(100)]
         self.assertEqual({""}, set(asked))
-        hot = sum(bool(self.guard.refuses(1.0, "hot")) for _ in range(1000))
+        hot = sum(bool(self.guard.shed_reason(1.0, "hot")) for _ in range(1000))
         self.assertGreater(hot, 300)
 
     @given(
@@ -273,23 +273,23 @@
     )
     def test_odd_figures_break_no_decision(self, steps, has_shares):
         clock = Clock()
-        source = Source("processor", PROCESSOR)
-        shares = LocalShares(lambda: guard.kept_share()) if has_shares else None
-        guard = Guard([source.resource], clock, random.Random(1), shares)
+        source = Source("processor", PROCESSOR_LIMITS)
+        shares = LocalShares(lambda: guard.sustainable_share()) if has_shares else None
+        guard = OverloadGuard([source.resource], clock, random.Random(1), shares)
         for use, delay, objective, account in steps:
             source.now = Load(use, delay)
             clock.now += 0.05
-            guard.look()
-            self.assertTrue(0.0 <= guard.kept_share() <= 1.0)
-            self.assertIn(guard.refuses(objective, account), ("", "processor"))
+            guard.poll()
+            self.assertTrue(0.0 <= guard.sustainable_share() <= 1.0)
+            self.assertIn(guard.shed_reason(objective, account), ("", "processor"))
             self.assertIn(guard.ends_connection(account), (True, False))
-            guard.note_request(account)
+            guard.record_request(account)
         source.now = Load(math.nan, -math.inf)
         clock.now += 20.0
-        guard.look()
+        guard.poll()
         self.assertTrue(guard.is_ready)
         self.assertEqual("", guard.full)
-        self.assertEqual("", guard.refuses(0.1, "a"))
+        self.assertEqual("", guard.shed_reason(0.1, "a"))
 
 
 class OwnDelayTest(testtools.TestCase):
@@ -301,26 +301,26 @@
         self.assertEqual(meter.link_delay(), meter.delay())
         for _ in range(50):
             clock.now += 0.1
-            processor.note_sleep(clock.now, clock.now, 0.0)
+            processor.record_sleep(clock.now, clock.now, 0.0)
         self.assertEqual(0.0, meter.link_delay())
         self.assertGreater(meter.own_delay(), 0.2)
         self.assertEqual(meter.own_delay(), meter.delay())
 
     def test_a_router_knows_for_a_while_that_it_was_late(self):
         clock = Clock()
-        source = Source("processor", PROCESSOR)
-        guard = Guard([source.resource], clock, random.Random(1))
+        source = Source("processor", PROCESSOR_LIMITS)
+        guard = OverloadGuard([source.resource], clock, random.Random(1))
         meter = OwnDelayMeter(8.0, source.resource.source, clock)
         load = GuardedLoad(guard, meter, clock, Metrics())
-        load.look()
+        load.poll()
         self.assertFalse(load.has_lagged())
         source.now = Load(1.0, 0.1)
-        load.look()
+        load.poll()
         source.now = Load()
-        clock.now += LAG_KEPT_SECONDS / 2
-        load.look()
+        clock.now += LAG_HOLD_SECONDS / 2
+        load.poll()
         self.assertTrue(load.has_lagged())
-        clock.now += LAG_KEPT_SECONDS
+        clock.now += LAG_HOLD_SECONDS
         self.assertFalse(load.has_lagged())
 
 
@@ -328,7 +328,7 @@
     """A link with room, of a router that is late by so many seconds."""
 
     def __init__(self, seconds):
-        super().__init__(1e6, MeasuredSource("processor", float), Clock())
+        super().__init__(1e6, CallbackLoadSource("processor", float), Clock())
         self.seconds = seconds
 
     def own_delay(self):
@@ -347,13 +347,13 @@
             router = deployment.routers["a-1"]
             told = []
             sender = router.relay._sender
-            note = sender._generations.note_begun
+            note = sender._generations.record_first_event
 
             def spy(run_id, upstream_id, *, took_ms):
                 told.append(took_ms)
                 note(run_id, upstream_id, took_ms=took_ms)
 
-            sender._generations.note_begun = spy
+            sender._generations.record_first_event = spy
             caller = PlatformCaller(deployment)
             for seconds in (0.0, 5.0):
                 router.clients.meter = Busy(seconds)
@@ -368,13 +368,13 @@
             router = deployment.routers["a-1"]
             told = []
             sender = router.relay._sender
-            sender._generations.note_paused = lambda *run: told.append(run)
+            sender._generations.record_pause = lambda *run: told.append(run)
             entry = next(iter(router.directory.entries_by_id.values()))
             answer = Answer(None, entry, 0, "run", None, 0.0)
             router.clients.meter = Busy(0.3)
-            sender.note_paused(answer, 0.6, 0.4)
+            sender.record_pause(answer, 0.6, 0.4)
             self.assertEqual([], told)
-            sender.note_paused(answer, 0.8, 0.4)
+            sender.record_pause(answer, 0.8, 0.4)
             self.assertEqual([("run", entry.upstream.id)], told)
 
         self.with_platform(scenario, routers=("a-1",))
@@ -459,12 +459,12 @@
 
     def test_nobody_is_late_at_one_and_a_half_times_what_a_vm_carries(self):
         for seed in (1, 2):
-            play = self.played(seed, 60.0, PROCESSOR)
+            play = self.played(seed, 60.0, PROCESSOR_LIMITS)
             self.assertGreater(play.share("served", 2.0, 24.0), 0.97)
 
     def test_small_accounts_and_the_time_after_are_spared_beyond(self):
         for peak in (120.0, 200.0):
-            play = self.played(1, peak, PROCESSOR)
+            play = self.played(1, peak, PROCESSOR_LIMITS)
             without = self.played(1, peak, None)
             begin, end = 10.0, 16.0
             self.assertGreater(
@@ -479,7 +479,7 @@
             self.assertLess(without.share("served", 18.0, 24.0), 0.6)
 
     def test_a_lone_account_uses_several_vms(self):
-        play = self.played(1, 120.0, PROCESSOR)
+        play = self.played(1, 120.0, PROCESSOR_LIMITS)
         busy = [vm for vm in play.vms if vm.worked > 5.0]
         self.assertGreaterEqual(len(busy), 2)
 
@@ -505,8 +505,10 @@
             finally:
                 busy.cancel()
             await until(router.is_ready)
-            await until(router.load.takes_connection)
-            await until(lambda: not router.load.refuses_all(0.4, is_brief=False))
+            await until(router.load.may_accept)
+            await until(
+                lambda: not router.load.shed_reason_for_all(0.4, is_brief=False)
+            )
             stranger = PlatformCaller(deployment)
             answer = await stranger.stream(deadline_ms=8000)
             self.assertEqual(200, answer[0], answer)
@@ -517,10 +519,10 @@
     def test_new_connections_are_closed_unread_and_open_ones_served(self):
         async def scenario(deployment, router, kept):
             await until(lambda: not router.is_ready())
-            most = 1.5 * PROCESSOR.full_delay
+            most = 1.5 * PROCESSOR_LIMITS.full_delay
             await until(lambda: router.load.loads()["processor"].delay > most)
             load = state_of(router)["load"]["processor"]
-            self.assertGreater(load["use"], PROCESSOR.least_use)
+            self.assertGreater(load["use"], PROCESSOR_LIMITS.least_use)
             stranger = PlatformCaller(deployment)
             arrived = sum(len(app.arrivals) for app in deployment.apps)
             with self.assertRaises(ExchangeFailed):
@@ -540,7 +542,9 @@
                 r for r in router.configurations.current.routes if r.name == stream
             )
             await until(
-                lambda: router.load.refuses_all(route.latency_objective, is_brief=False)
+                lambda: router.load.shed_reason_for_all(
+                    route.latency_objective, is_brief=False
+                )
             )
             status, headers, body = await kept.stream(deadline_ms=8000)
             self.assertEqual(503, status)
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -16,14 +16,14 @@
 )
 from lynxchute.http import LinkMeter
 from lynxchute.scheduling.board import Candidate, EngineBoard
-from lynxchute.scheduling.cold_placements import ColdPlacements
+from lynxchute.scheduling.cold_placements import ColdPlacementLimiter
 from lynxchute.scheduling.engine_state import MAX_OVERDUE_MS
-from lynxchute.scheduling.newcomer import Newcomer
+from lynxchute.scheduling.newcomer import PendingRequest
 from lynxchute.scheduling.scheduler import Scheduler
 from lynxchute.upstreams.cold_admission import (
     ColdLimits,
     FirstRegistered,
-    StandingWatch,
+    RankWatch,
 )
 from lynxchute.upstreams.directory import Directory
 from lynxchute.upstreams.evacuations import Evacuations
@@ -46,7 +46,7 @@
 
 class BoardTest(testtools.TestCase):
     def place(self, board, run_id, now, *ids, **more):
-        newcomer = Newcomer(run_id, generation(**more))
+        newcomer = PendingRequest(run_id, generation(**more))
         return board.place(newcomer, candidates(*(ids or ("e1",))), now)
 
     def test_a_shared_part_is_read_once(self):
@@ -91,7 +91,7 @@
     def test_runs_of_routers_that_are_gone_are_dropped(self):
         board = EngineBoard()
         for run_id, router in (("r1", "old"), ("r2", "new")):
-            newcomer = Newcomer(run_id, generation(), router=router)
+            newcomer = PendingRequest(run_id, generation(), router=router)
             board.place(newcomer, candidates("e1"), 0.0)
         board.keep_runs_of({"new"})
         self.assertEqual({"r2"}, set(board.engines_by_id["e1"].runs_by_id))
@@ -147,9 +147,9 @@
             self.evacuations, lambda service: self.limits, no_limits_kept()
         )
         self.rank = 0
-        self.cold = ColdPlacements(
+        self.cold = ColdPlacementLimiter(
             FirstRegistered(),
-            StandingWatch(lambda service: self.rank),
+            RankWatch(lambda service: self.rank),
             lambda service: self.limits,
         )
         self.directory = Directory()
@@ -219,10 +219,10 @@
                 request = PlaceRequest(
                     "r1", "pool", "a", passed_over, PROMPT, 60, (("own", 10),), "x"
                 )
-                reply = await scheduler._serve_place(request)
+                reply = await scheduler._handle_place_request(request)
                 self.assertEqual(expected, reply.upstream)
             request = attrs.evolve(request, passed_over=("e1", "e2"))
-            reply = await scheduler._serve_place(request)
+            reply = await scheduler._handle_place_request(request)
             self.assertEqual("", reply.upstream)
 
         self.run_async(scenario())
@@ -233,15 +233,15 @@
             request = PlaceRequest(
                 "r1", "pool", "a", (), PROMPT, 60, (("own", 10),), "run-of-a-3"
             )
-            await scheduler._serve_place(request)
+            await scheduler._handle_place_request(request)
             engine = scheduler.board.engines_by_id["e1"]
             self.assertEqual({"r1"}, set(engine.runs_by_id))
             news = RunNews("r1", "", RunStage.UNPLACED)
             await scheduler._serve_news(RunNewsRequest((news,)))
             self.assertEqual({}, engine.runs_by_id)
-            await scheduler._serve_place(request)
+            await scheduler._handle_place_request(request)
             # That router is not, or no longer, a member.
-            scheduler.look()
+            scheduler.refresh()
             self.assertEqual({}, engine.runs_by_id)
 
         self.run_async(scenario())
@@ -264,7 +264,7 @@
             first_event_ms=1_000.0,
             pause_ms=300.0,
         )
-        run_loop(scheduler._serve_place(request))
+        run_loop(scheduler._handle_place_request(request))
         return scheduler, scheduler.board.engines_by_id["e1"]
 
     def tell(self, scheduler, *news):
--- a/tests/test_spending.py
+++ b/tests/test_spending.py
@@ -18,7 +18,7 @@
 from lynxchute.config import ClientAccount
 from lynxchute.fleet.messages import LendRequest
 from lynxchute.relay.budgets import BudgetExhausted, BudgetUnreachable
-from lynxchute.spending.keeper import Keeper
+from lynxchute.spending.keeper import LedgerSync
 from lynxchute.standins.platform_store import Outage
 from lynxchute.store import (
     Committed,
@@ -83,7 +83,7 @@
             reservation = await reserve(other, 500, "r1")
             self.assertEqual(["r1"], open_requests(home))
             reservation.settle(200)
-            await until(lambda: not home.keeper.ledger.open_by_request)
+            await until(lambda: not home.keeper.ledger.reservations_by_id)
             self.assertEqual(200, home.keeper.ledger.share(ACCOUNT).settled)
 
         self.with_platform(scenario, routers=ROUTERS)
@@ -180,7 +180,7 @@
             own = home.keeper.ledger.share(ACCOUNT)
             own.settled = own.terms.granted
             # As after spending it: no line is below what is used.
-            home.keeper.want()
+            home.keeper.request_write()
             await until(lambda: own.terms.line.base >= own.settled)
             cut_off_all(deployment, Outage.SILENT)
             # Nobody knows yet that the store is away, so that the lender tries
@@ -203,7 +203,7 @@
             await until(lambda: own.terms.granted > 300_000)
             # All that is here is used; the rest lies in the other data centre.
             own.settled = own.terms.granted
-            home.keeper.want()
+            home.keeper.request_write()
             await until(lambda: own.terms.line.base >= own.settled)
             cut_off_all(deployment)
             (far,) = [r for vm, r in deployment.routers.items() if vm[0] == "b"]
@@ -254,7 +254,7 @@
             home, other = home_of(deployment, "a"), home_of(deployment, "b")
             await until(lambda: other.settings.vm in granted(deployment))
             home.keeper.look_soon()
-            home.keeper.want()
+            home.keeper.request_write()
             known = home.keeper.ledger.totals_by_account
             await until(
                 lambda: other.settings.vm in known[ACCOUNT].totals.granted_by_vm
@@ -304,7 +304,7 @@
                     server.answers_by_class[cls] = reserve_and_hang
             await reserve(other, 3_000, "r1")
             self.assertEqual(["r1"], open_requests(other))
-            await until(lambda: not home.keeper.ledger.open_by_request, timeout=5)
+            await until(lambda: not home.keeper.ledger.reservations_by_id, timeout=5)
 
         self.with_platform(scenario, routers=ROUTERS)
 
@@ -501,7 +501,7 @@
 
             ledger = Ledger("a-1", "now", DemandPolicy(), parts=2, store_part="a-1")
             ledger.prepaid_by_account[ACCOUNT] = 1_000_000
-            keeper = Keeper(
+            keeper = LedgerSync(
                 ledger,
                 store,
                 lambda account: ["a-1"],
@@ -525,5 +525,5 @@
 
 def open_requests(router):
     """Return the requests for which a router holds reservations."""
-    reservations = router.keeper.ledger.open_by_request
+    reservations = router.keeper.ledger.reservations_by_id
     return [reservation_id.partition(".")[0] for reservation_id in reservations]
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -9,7 +9,11 @@
 from hypothesis import given
 
 from lynxchute.budgets import DemandLinePolicy, DemandPolicy, ShareView
-from lynxchute.budgets.standing import StandingRule, StandingView, lent_to_keep
+from lynxchute.budgets.standing import (
+    LocalReservePolicy,
+    LocalReserveView,
+    lent_to_keep,
+)
 from lynxchute.edge.settings import Features
 from lynxchute.fleet.messages import LendRequest
 from lynxchute.relay.budgets import BudgetUnreachable
@@ -21,9 +25,9 @@
 AMOUNTS = st.integers(0, 10**9)
 
 
-def kept(**more):
+def retained(**more):
     values = {"demand": 500.0, "requests": 2.0, "at_hand": 0, "prepaid": 10**6}
-    return StandingView(**{**values, **more})
+    return LocalReserveView(**{**values, **more})
 
 
 def share(**more):
@@ -43,18 +47,18 @@
 
 class RuleTest(testtools.TestCase):
     def test_callers_who_come_regularly_are_kept_tokens_for_a_cut(self):
-        self.assertEqual(3_000, StandingRule().missing(kept()))
+        self.assertEqual(3_000, LocalReservePolicy().shortfall(retained()))
 
     def test_nothing_is_kept_for_a_request_now_and_then(self):
-        self.assertEqual(0, StandingRule().missing(kept(requests=0.1)))
-        self.assertEqual(0, StandingRule().kept(kept(requests=0.1)))
+        self.assertEqual(0, LocalReservePolicy().shortfall(retained(requests=0.1)))
+        self.assertEqual(0, LocalReservePolicy().retained(retained(requests=0.1)))
 
     def test_who_has_enough_asks_nobody(self):
-        self.assertEqual(0, StandingRule().missing(kept(at_hand=1_500)))
-        self.assertEqual(1_501, StandingRule().missing(kept(at_hand=1_499)))
+        self.assertEqual(0, LocalReservePolicy().shortfall(retained(at_hand=1_500)))
+        self.assertEqual(1_501, LocalReservePolicy().shortfall(retained(at_hand=1_499)))
 
     def test_a_small_budget_is_not_cut_into_pieces(self):
-        self.assertEqual(100, StandingRule().full(kept(prepaid=3_200)))
+        self.assertEqual(100, LocalReservePolicy().full(retained(prepaid=3_200)))
 
     @given(AMOUNTS, st.integers(-(10**9), 10**9))
     def test_a_lender_gives_a_part_of_what_it_can_spare(self, wanted, spare):
@@ -110,7 +114,7 @@
     def lend(self, name, wanted, now=1.0):
         now_ms = self.fleet.now_ms
         return self.ledger.lend(
-            name, "a", needed=0, wanted=wanted, now_ms=now_ms, now=now, to_keep=True
+            name, "a", needed=0, wanted=wanted, now_ms=now_ms, now=now, for_reserve=True
         )
 
     def test_what_others_keep_counts_as_the_lenders_demand_and_may_be_unused(self):
@@ -178,7 +182,7 @@
                 sock.sendall(request.encode())
             await asyncio.sleep(0.2)
             self.assertEqual([], [run for e in deployment.engines for run in e.runs])
-            self.assertEqual({}, ledger.open_by_request)
+            self.assertEqual({}, ledger.reservations_by_id)
 
         self.with_platform(scenario, routers=("a-1",), features=self.FEATURES)
 
--- a/tests/test_stated_backoff.py
+++ b/tests/test_stated_backoff.py
@@ -42,7 +42,7 @@
         backpressure = Backpressure()
         for backoff, now in ((3.0, 1.0), (0.5, 2.0), (0.0, 3.0)):
             statement = Statement(backoff=backoff)
-            backpressure.note_answer(statement, asked_at=now, now=now, clock_ms=0)
+            backpressure.record_answer(statement, asked_at=now, now=now, clock_ms=0)
         backpressure.note_report(NOTHING_STATED, 3.5, 0)
         self.assertTrue(backpressure.is_backing_off(3.9))
         self.assertFalse(backpressure.is_backing_off(4.0))
@@ -127,7 +127,9 @@
             for router in deployment.routers.values():
                 entry = router.directory.entries_by_id[idle.id]
                 statement = Statement(backoff=BACKOFF_SECONDS)
-                router.directory.note_statement(entry, statement, asked_at=now, now=now)
+                router.directory.record_statement(
+                    entry, statement, asked_at=now, now=now
+                )
             await busy.stop()
             with contextlib.suppress(ExchangeFailed):
                 await stream_
--- a/tests/test_stated_leaving.py
+++ b/tests/test_stated_leaving.py
@@ -18,7 +18,10 @@
 import testtools
 
 from lynxchute.http import ExchangeFailed
-from lynxchute.scheduling.backpressure_news import backpressure_of, take_backpressure
+from lynxchute.scheduling.backpressure_news import (
+    known_backpressure,
+    merge_backpressure,
+)
 from lynxchute.upstreams.directory import Directory
 from lynxchute.upstreams.statement import NOTHING_STATED, Statement
 from lynxchute.upstreams.upstream import Upstream
@@ -43,24 +46,24 @@
         directory = Directory()
         directory.put(ENGINE)
         entry = directory.entries_by_id["e"]
-        directory.note_statement(entry, LEAVING, asked_at=0.0, now=1.0)
+        directory.record_statement(entry, LEAVING, asked_at=0.0, now=1.0)
         return directory
 
     def test_neither_a_later_entry_nor_a_later_answer_takes_it_back(self):
         directory = self.leaving()
         entry = directory.entries_by_id["e"]
         directory.put(attrs.evolve(ENGINE, slots=2), 2.0)
-        directory.note_statement(entry, NOTHING_STATED, asked_at=2.0, now=3.0)
+        directory.record_statement(entry, NOTHING_STATED, asked_at=2.0, now=3.0)
         directory.note_report(entry, NOTHING_STATED, 4.0)
         self.assertFalse(entry.takes_work)
-        self.assertEqual([], list(directory.of_service("pool", 4.0)))
+        self.assertEqual([], list(directory.available("pool", 4.0)))
 
     def test_an_entry_that_lapses_meanwhile_brings_nothing_back(self):
         directory = self.leaving()
-        directory.remove("e", 2.0, lapses_at=9.0)
-        self.assertEqual([], list(directory.of_service("pool", 3.0)))
+        directory.remove("e", 2.0, expires_at=9.0)
+        self.assertEqual([], list(directory.available("pool", 3.0)))
         directory.put(ENGINE, 4.0)
-        self.assertEqual([], list(directory.of_service("pool", 5.0)))
+        self.assertEqual([], list(directory.available("pool", 5.0)))
 
     def test_another_process_under_its_id_takes_work(self):
         for started_ms in (2, 0):
@@ -71,12 +74,12 @@
     def test_the_other_routers_hear_of_it(self):
         heard, other = self.leaving(), Directory()
         other.put(ENGINE)
-        told = backpressure_of(heard, "pool", 1.0)
-        take_backpressure(other, told, 1.0)
+        told = known_backpressure(heard, "pool", 1.0)
+        merge_backpressure(other, told, 1.0)
         self.assertFalse(other.entries_by_id["e"].takes_work)
         later = Directory()
         later.put(attrs.evolve(ENGINE, started_ms=2))
-        take_backpressure(later, told, 1.0)
+        merge_backpressure(later, told, 1.0)
         self.assertTrue(later.entries_by_id["e"].takes_work)
 
 
@@ -89,7 +92,7 @@
         choice = await choose(exchange)
         if choice.entry.upstream.id == upstream_id:
             now = asyncio.get_running_loop().time()
-            router.directory.note_statement(
+            router.directory.record_statement(
                 choice.entry, statement, asked_at=now, now=now
             )
         return choice
@@ -141,7 +144,7 @@
                 hear_after_each_choice(router, idle.id, LEAVING)
                 if not is_gate_asked:
                     gate = router.relay._sender._gate
-                    self.patch(gate, "withholds", lambda entry, **more: None)
+                    self.patch(gate, "withheld_reason", lambda entry, **more: None)
             await busy.stop()
             with contextlib.suppress(ExchangeFailed):
                 await stream_
--- a/tests/test_stated_limits.py
+++ b/tests/test_stated_limits.py
@@ -83,8 +83,8 @@
         self.assertEqual(3.0, self.decode(("Retry-After", "3"), status=503).backoff)
 
 
-def note_answer(backpressure, statement, *, asked_at, now):
-    backpressure.note_answer(
+def record_answer(backpressure, statement, *, asked_at, now):
+    backpressure.record_answer(
         statement, asked_at=asked_at, now=now, clock_ms=int(now * 1000)
     )
 
@@ -92,32 +92,32 @@
 class BackpressureTest(testtools.TestCase):
     def backpressure(self, limit=2.0):
         backpressure = Backpressure()
-        note_answer(backpressure, Statement(limit), asked_at=0.9, now=1.0)
+        record_answer(backpressure, Statement(limit), asked_at=0.9, now=1.0)
         return backpressure
 
     def test_a_lower_limit_counts_at_once_and_a_higher_one_once_it_is_newer(self):
         backpressure = self.backpressure()
-        note_answer(backpressure, Statement(1.0), asked_at=0.1, now=1.1)
+        record_answer(backpressure, Statement(1.0), asked_at=0.1, now=1.1)
         self.assertEqual(1.0, backpressure.rate(1.1))
-        note_answer(backpressure, Statement(4.0), asked_at=1.05, now=1.2)
+        record_answer(backpressure, Statement(4.0), asked_at=1.05, now=1.2)
         self.assertEqual(1.0, backpressure.rate(1.2))
-        note_answer(backpressure, Statement(4.0), asked_at=1.15, now=1.3)
+        record_answer(backpressure, Statement(4.0), asked_at=1.15, now=1.3)
         self.assertEqual(4.0, backpressure.rate(1.3))
 
     def test_a_limit_ends_by_a_newer_answer_without_it_and_work_comes_back_by_steps(
         self,
     ):
         backpressure = self.backpressure()
-        note_answer(backpressure, NOTHING_STATED, asked_at=0.5, now=1.5)
+        record_answer(backpressure, NOTHING_STATED, asked_at=0.5, now=1.5)
         self.assertEqual(2.0, backpressure.rate(1.5))
-        note_answer(backpressure, NOTHING_STATED, asked_at=1.2, now=2.0)
+        record_answer(backpressure, NOTHING_STATED, asked_at=1.2, now=2.0)
         rates = [backpressure.rate(2.0 + later) for later in (0.0, 0.5, 1.0, 2.9)]
         self.assertEqual([2.0, 4.0, 8.0, 64.0], rates)
         self.assertIsNone(backpressure.rate(2.0 + RAMP_SECONDS))
 
     def test_a_refusal_that_names_no_limit_ends_none(self):
         backpressure = self.backpressure()
-        backpressure.note_answer(
+        backpressure.record_answer(
             Statement(backoff=1.0),
             asked_at=1.2,
             now=2.0,
@@ -140,7 +140,7 @@
 
         def told(limit, heard_ms, now):
             clock_ms = int(now * 1000)
-            return backpressure.note_told(
+            return backpressure.record_peer_limit(
                 limit, heard_ms=heard_ms, now=now, clock_ms=clock_ms
             )
 
@@ -157,7 +157,7 @@
         backpressure.note_report(NOTHING_STATED, 2.0, 2000)
         for later in range(10):
             now = 2.0 + later
-            backpressure.note_told(
+            backpressure.record_peer_limit(
                 0.0, heard_ms=1000, now=now, clock_ms=int(now * 1000)
             )
         self.assertEqual(TRIAL_RATE, backpressure.rate(12.0))
@@ -167,9 +167,9 @@
         upstream = Upstream("e", "pool", "127.0.0.1:1", "a", started_ms=1)
         directory.put(upstream)
         entry = directory.entries_by_id["e"]
-        directory.note_statement(entry, Statement(1.0), asked_at=0.0, now=1.0)
+        directory.record_statement(entry, Statement(1.0), asked_at=0.0, now=1.0)
         self.assertEqual([entry], directory.throttled("pool", 1.0))
-        directory.note_started(entry, 2, 2.0)
+        directory.record_start(entry, 2, 2.0)
         self.assertEqual([], directory.throttled("pool", 2.0))
         self.assertIsNone(directory.entries_by_id["e"].backpressure.rate(2.0))
 
@@ -288,7 +288,7 @@
             for router in deployment.routers.values():
                 entry = router.directory.entries_by_id[idle.id]
                 now = asyncio.get_running_loop().time()
-                router.directory.note_statement(
+                router.directory.record_statement(
                     entry, Statement(0.0), asked_at=now, now=now
                 )
             await until(lambda: busy.runs[0].events_sent > 3)
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -99,7 +99,7 @@
         async def scenario(deployment):
             router = deployment.routers["a-1"]
             self.clocks.suspend()
-            return router.configurations.unconfirmed_for()
+            return router.configurations.unconfirmed_seconds()
 
         self.assertGreaterEqual(self.with_platform(scenario), SUSPENDED_SECONDS)
 
--- a/tests/test_suspicion.py
+++ b/tests/test_suspicion.py
@@ -11,8 +11,8 @@
     BrokenRun,
     Progress,
     Quarantine,
-    Quarantined,
-    Record,
+    QuarantineEntry,
+    QuarantineRecord,
     Suspect,
     Suspicion,
     Verdict,
@@ -200,10 +200,12 @@
 
     def test_no_more_requests_are_quarantined_than_a_row_holds(self):
         suspicion = self.fleet.suspicion
-        items = [Quarantined(f"q{n}", 0, 1_000 + n) for n in range(MAX_QUARANTINED + 9)]
-        suspicion.adopt(Record(tuple(items)))
+        items = [
+            QuarantineEntry(f"q{n}", 0, 1_000 + n) for n in range(MAX_QUARANTINED + 9)
+        ]
+        suspicion.adopt(QuarantineRecord(tuple(items)))
         self.assertEqual(MAX_QUARANTINED, len(suspicion.record().quarantined))
-        suspicion.take_over(Quarantined("late", 0, 9_000))
+        suspicion.take_over(QuarantineEntry("late", 0, 9_000))
         for _ in range(3):
             self.fleet.end(q=BEGUN)
         kept = {item.content for item in suspicion.record().quarantined}
@@ -218,7 +220,7 @@
         row = self.fleet.suspicion.record().encode()
         successor = Fleet()
         successor.ends, successor.now_ms = 10, self.fleet.now_ms
-        successor.suspicion.adopt(Record.decode(row).ok)
+        successor.suspicion.adopt(QuarantineRecord.decode(row).ok)
         successor.end(q=BEGUN)
         self.assertEqual({"q"}, successor.quarantined)
 
@@ -235,7 +237,7 @@
         for _ in range(3):
             self.fleet.end(q=BEGUN)
         self.fleet.suspicion.note_written(self.fleet.suspicion.record())
-        self.fleet.suspicion.adopt(Record())
+        self.fleet.suspicion.adopt(QuarantineRecord())
         self.assertEqual(set(), self.fleet.quarantined)
 
     def test_what_was_taken_back_stays_so_while_something_else_is_found(self):
@@ -246,7 +248,7 @@
         for _ in range(3):
             self.fleet.end(q=BEGUN)
         # An operator was faster with the row than the judge.
-        self.fleet.suspicion.adopt(Record())
+        self.fleet.suspicion.adopt(QuarantineRecord())
         self.assertEqual({"q"}, self.fleet.quarantined)
 
 
@@ -282,13 +284,13 @@
         for open_runs in ends:
             fleet.end(**open_runs)
         record = fleet.suspicion.record()
-        self.assertEqual(record, Record.decode(record.encode()).ok)
+        self.assertEqual(record, QuarantineRecord.decode(record.encode()).ok)
 
 
 class RecordTest(TestCase):
     @given(st.binary(max_size=60))
     def test_no_bytes_break_the_reader(self, value):
-        Record.decode(value)
+        QuarantineRecord.decode(value)
 
     @given(
         st.recursive(
@@ -301,17 +303,17 @@
     )
     def test_no_entry_breaks_the_reader(self, entry):
         value = json.dumps({"quarantined": [entry], "suspects": entry}).encode()
-        self.assertTrue(Record.decode(value).is_error())
+        self.assertTrue(QuarantineRecord.decode(value).is_error())
 
     def test_the_fullest_row_fits_into_the_store(self):
         content = "f" * 32
-        item = Quarantined(content, 10**12, 10**12, 10)
+        item = QuarantineEntry(content, 10**12, 10**12, 10)
         suspect = Suspect(content, (f"i-{'f' * 10}/{10**12}",) * ENDS_IN_COMPANY, 5)
         suspects = [
             attrs.evolve(suspect, content=f"{number:032x}") for number in range(400)
         ]
         suspicion = Suspicion()
-        suspicion.adopt(Record((), tuple(suspects)))
+        suspicion.adopt(QuarantineRecord((), tuple(suspects)))
         quarantined = (item,) * MAX_QUARANTINED
         full = attrs.evolve(suspicion.record(), quarantined=quarantined)
         self.assertLess(len(full.encode()), 65_536)
@@ -319,7 +321,7 @@
 
 class QuarantineTest(TestCase):
     def item(self, content, until_ms=10_000):
-        return Quarantined(content, 0, until_ms)
+        return QuarantineEntry(content, 0, until_ms)
 
     def test_the_store_decides(self):
         quarantine = Quarantine()
