--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -16,25 +16,30 @@
     RunNewsRequest,
 )
 from lynxchute.http import LinkMeter
-from lynxchute.overload.claim import Claim, NoTurn, NotYet
+from lynxchute.overload.claim import AdmissionPending, AdmissionRefused, Claim
 from lynxchute.scheduling.alone import (
     most_own,
     two_at_random,
     with_most_room,
 )
 from lynxchute.scheduling.asking import ASK_SECONDS
-from lynxchute.scheduling.cold_placements import ColdPlacements
+from lynxchute.scheduling.cold_placements import ColdPlacementLimiter
 from lynxchute.scheduling.scheduler import Scheduler
-from lynxchute.scheduling.turns import GRACE_SECONDS, MOST_AGAIN, TOLD_ACCOUNTS, Turns
+from lynxchute.scheduling.turns import (
+    GRACE_SECONDS,
+    MOST_AGAIN,
+    TOLD_ACCOUNTS,
+    AdmissionQueue,
+)
 from lynxchute.telemetry import Metrics
 from lynxchute.upstreams.aims import Aims
 from lynxchute.upstreams.cold_admission import (
     ColdLimits,
     FirstRegistered,
-    StandingWatch,
+    RankWatch,
 )
 from lynxchute.upstreams.directory import Directory
-from lynxchute.upstreams.entry import STATED_SECONDS, Entry
+from lynxchute.upstreams.entry import REPORT_VALID_SECONDS, Entry
 from lynxchute.upstreams.evacuations import Evacuations
 from lynxchute.upstreams.send_gate import SendGate
 from lynxchute.upstreams.upstream import Upstream
@@ -80,7 +85,7 @@
         message = from_json(to_json(message), type(message))
         if isinstance(message, RunNewsRequest):
             return await scheduler._serve_news(message)
-        reply = await scheduler._serve_place(message)
+        reply = await scheduler._handle_place_request(message)
         if fate == "slow":
             await asyncio.sleep(10 * ASK_SECONDS)
         if fate == "cut":
@@ -105,7 +110,7 @@
         for vm in VMS:
             self.fleet[vm] = self.scheduler(vm)
         for scheduler in self.fleet.values():
-            scheduler.look()
+            scheduler.refresh()
         first = self.fleet["a-1"]._scheduling_vm("pool")
         self.order = [first, *[vm for vm in VMS if vm != first]]
         self.first, self.asker = self.fleet[first], self.fleet[self.order[1]]
@@ -130,12 +135,12 @@
             lambda service: None,
             None,
             SendGate(Evacuations(), lambda service: limits, no_limits_kept()),
-            ColdPlacements(
-                FirstRegistered(), StandingWatch(lambda s: 0), lambda s: limits
+            ColdPlacementLimiter(
+                FirstRegistered(), RankWatch(lambda s: 0), lambda s: limits
             ),
             LinkMeter(1e6),
             lambda: self.now,
-            turns=Turns(lambda account: 1.0, self.metrics_by_vm[vm]),
+            turns=AdmissionQueue(lambda account: 1.0, self.metrics_by_vm[vm]),
         )
 
     async def choose(self, scheduler, run_id, **more):
@@ -144,7 +149,7 @@
         aims = Aims(claim=claim(**more))
         try:
             return await scheduler.choose(run_id, generation(), entries, aims)
-        except (NotYet, NoTurn) as turn:
+        except (AdmissionPending, AdmissionRefused) as turn:
             return turn
 
     async def fill(self):
@@ -153,7 +158,7 @@
             self.assertIsNotNone(choice.entry)
 
     async def free(self, run_id="full0", upstream="e0"):
-        self.asker.note_ended(run_id, upstream, failed=False)
+        self.asker.record_end(run_id, upstream, failed=False)
         await until(
             lambda: run_id not in self.first.board.engines_by_id[upstream].runs_by_id
         )
@@ -179,13 +184,13 @@
     def test_what_finds_all_engines_full_waits_and_is_placed_in_its_turn(self):
         async def scenario():
             await self.fill()
-            self.assertIsInstance(await self.choose(self.asker, "r1"), NotYet)
+            self.assertIsInstance(await self.choose(self.asker, "r1"), AdmissionPending)
             later = await self.choose(self.asker, "r2")
             self.assertEqual(1, later.ahead)
             await self.free()
             # A newcomer and the second one leave the place to the first one.
-            self.assertIsInstance(await self.choose(self.first, "r3"), NotYet)
-            self.assertIsInstance(await self.choose(self.asker, "r2"), NotYet)
+            self.assertIsInstance(await self.choose(self.first, "r3"), AdmissionPending)
+            self.assertIsInstance(await self.choose(self.asker, "r2"), AdmissionPending)
             choice = await self.choose(self.asker, "r1")
             self.assertEqual("e0", choice.entry.upstream.id)
             self.assertEqual(2, self.waiting())
@@ -201,7 +206,7 @@
             await self.fill()
             await self.choose(self.asker, "r1")
             self.assertEqual(1, self.waiting())
-            self.asker.note_ended("r1", "", failed=False)
+            self.asker.record_end("r1", "", failed=False)
             await until(lambda: not self.waiting())
 
         self.run_fleet(scenario)
@@ -221,7 +226,7 @@
             await self.fill()
             await self.choose(self.asker, "r1")
             self.members_by_vm[self.order[0]].remove(self.order[1])
-            self.first.look()
+            self.first.refresh()
             self.assertEqual(0, self.waiting())
 
         self.run_fleet(scenario)
@@ -233,7 +238,7 @@
             aims = Aims(claim=claim())
             choice = await self.asker.choose("big", big, entries, aims)
             self.assertIsNotNone(choice.entry)
-            self.assertIsInstance(await self.choose(self.asker, "r1"), NotYet)
+            self.assertIsInstance(await self.choose(self.asker, "r1"), AdmissionPending)
 
         self.run_fleet(scenario)
 
@@ -257,7 +262,7 @@
             refused = await self.choose(
                 self.asker, "short", account="b", content="c", left=0.5
             )
-            self.assertIsInstance(refused, NoTurn)
+            self.assertIsInstance(refused, AdmissionRefused)
             self.assertLess(0.0, refused.retry_after)
             self.now += refused.retry_after
             back = await self.choose(self.asker, "back", account="b", content="c")
@@ -305,7 +310,7 @@
                 refused = await self.choose(
                     self.asker, f"r{number}", account=account, left=0.0
                 )
-                self.assertIsInstance(refused, NoTurn)
+                self.assertIsInstance(refused, AdmissionRefused)
             text, _ = self.metrics_by_vm[self.order[0]].exposition()
             lines = [
                 line
@@ -329,7 +334,7 @@
     def test_what_no_router_asks_is_refused_and_harms_nothing(self):
         async def scenario():
             await self.fill()
-            self.assertIsInstance(await self.choose(self.asker, "r1"), NotYet)
+            self.assertIsInstance(await self.choose(self.asker, "r1"), AdmissionPending)
             good = claim()
             bad = [
                 attrs.evolve(good, left=value)
@@ -358,7 +363,7 @@
     def test_a_router_that_is_not_known_yet_places_by_itself(self):
         async def scenario():
             self.members_by_vm[self.order[0]].remove(self.order[1])
-            self.first.look()
+            self.first.refresh()
             choice = await self.choose(self.asker, "r1")
             self.assertEqual(self.order[1], choice.placed_by)
 
@@ -382,7 +387,9 @@
             heir = self.fleet[line[0]]
             asker = self.fleet[line[1]]
             for run_id in runs:
-                self.assertIsInstance(await self.choose(asker, run_id), NotYet)
+                self.assertIsInstance(
+                    await self.choose(asker, run_id), AdmissionPending
+                )
             entries = list(heir._directory.entries_by_id.values())
             for number in range(self.SLOTS):
                 request = asker._asking.request(
@@ -394,17 +401,17 @@
             # Those that came later ask first.
             for waited, run_id in ((0.1, "r2"), (0.2, "r1"), (0.3, "r0")):
                 turn = await self.choose(asker, run_id, waited=waited)
-                self.assertIsInstance(turn, NotYet, run_id)
+                self.assertIsInstance(turn, AdmissionPending, run_id)
             self.assertIn((line[0], "r0"), self.asked)
             tickets = heir.placing.turns._queue_by_service["pool"].queue
-            order = sorted(runs, key=lambda r: tickets.ahead_of(r, self.now + 1.0))
+            order = sorted(runs, key=lambda r: tickets.position_of(r, self.now + 1.0))
             self.assertEqual(runs, order)
-            heir.note_ended("other0", "e0", failed=False)
+            heir.record_end("other0", "e0", failed=False)
             heir.board.ended("e0", "other0", self.now)
             self.now += 0.1
             for run_id in reversed(runs):
                 result = await self.choose(asker, run_id)
-                is_placed = not isinstance(result, NotYet)
+                is_placed = not isinstance(result, AdmissionPending)
                 self.assertEqual(run_id == "r0", is_placed, run_id)
             placed = [s for s in self.fleet.values() if self.runs(s, "r0")]
             self.assertEqual([heir], placed)
@@ -468,15 +475,15 @@
                 choice.entry.open_requests += 1
             self.assertEqual({most}, {e.open_requests for e in self.entries})
             refused = await self.choose(self.asker, "more")
-            self.assertIsInstance(refused, NoTurn)
+            self.assertIsInstance(refused, AdmissionRefused)
 
         self.run_fleet(scenario)
 
     def test_engines_that_say_that_they_are_busy_are_passed_over(self):
         busy, idle = self.entries[:2]
-        busy.note_work(12, self.now)
+        busy.record_active_requests(12, self.now)
         self.assertEqual([idle], with_most_room([busy, idle], self.now))
-        later = self.now + STATED_SECONDS + 0.1
+        later = self.now + REPORT_VALID_SECONDS + 0.1
         self.assertEqual([busy, idle], with_most_room([busy, idle], later))
 
     def test_engines_that_fare_badly_are_a_last_resort(self):
@@ -497,7 +504,7 @@
     def test_a_first_of_the_registered_that_nobody_asks_still_waits(self):
         async def scenario():
             await self.fill_first()
-            self.assertIsInstance(await self.choose(self.first, "r1"), NotYet)
+            self.assertIsInstance(await self.choose(self.first, "r1"), AdmissionPending)
 
         self.run_fleet(scenario)
 
@@ -514,7 +521,7 @@
 class StatedWorkTest(testtools.TestCase):
     def test_a_word_of_what_is_in_work_ages(self):
         entry = Entry(Upstream("e", "pool", "127.0.0.1:1", "a", slots=8))
-        self.assertEqual(0.0, entry.stated_use(5.0))
-        entry.note_work(4, 5.0)
-        self.assertEqual(0.5, entry.stated_use(5.0 + STATED_SECONDS))
-        self.assertEqual(0.0, entry.stated_use(5.1 + STATED_SECONDS))
+        self.assertEqual(0.0, entry.reported_load(5.0))
+        entry.record_active_requests(4, 5.0)
+        self.assertEqual(0.5, entry.reported_load(5.0 + REPORT_VALID_SECONDS))
+        self.assertEqual(0.0, entry.reported_load(5.1 + REPORT_VALID_SECONDS))
--- a/tests/test_uneven.py
+++ b/tests/test_uneven.py
@@ -14,7 +14,7 @@
 from lynxchute.edge.settings import Features
 from lynxchute.http import AbortHandle
 from lynxchute.scheduling.board import Candidate, EngineBoard
-from lynxchute.scheduling.newcomer import Newcomer
+from lynxchute.scheduling.newcomer import PendingRequest
 from lynxchute.upstreams.cold_admission import ColdLimits
 from lynxchute.upstreams.directory import Directory
 from lynxchute.upstreams.entry import OpenSend
@@ -25,12 +25,12 @@
     weights,
 )
 from lynxchute.upstreams.generation import Generation
-from lynxchute.upstreams.health import Fate
+from lynxchute.upstreams.health import SendOutcome
 from lynxchute.upstreams.learned_speed import (
     MAX_SLOWNESS,
     MIN_SLOWNESS,
     ChangeDetector,
-    TwoMemories,
+    TwoTimescaleSpeeds,
 )
 from lynxchute.upstreams.permits import Permits
 from lynxchute.upstreams.placement import LeastOpen
@@ -39,7 +39,7 @@
 from lynxchute.upstreams.upstream import Upstream
 from tests.support import no_limits_kept
 
-WAYS = (TwoMemories, ChangeDetector)
+WAYS = (TwoTimescaleSpeeds, ChangeDetector)
 WORK = 0.045
 # What a clock or a configuration that is wrong may bring.
 ANY = st.one_of(
@@ -64,15 +64,15 @@
                 speeds, rng = way(), random.Random(1)
                 for number in range(10):
                     seconds = WORK * ratio * rng.uniform(0.95, 1.05)
-                    speeds.note("u", WORK, seconds, number * 0.2)
+                    speeds.record("u", WORK, seconds, number * 0.2)
                 seen = speeds.slowness("u", 2.0)
                 self.assertTrue(abs(seen - ratio) < 0.1 * ratio, (way, ratio, seen))
 
     def test_a_slow_moment_counts_at_once_and_has_passed_a_second_later(self):
-        speeds = TwoMemories()
+        speeds = TwoTimescaleSpeeds()
         for number in range(20):
-            speeds.note("u", WORK, WORK, number * 0.1)
-        speeds.note("u", WORK, 2.5 * WORK, 2.0)
+            speeds.record("u", WORK, WORK, number * 0.1)
+        speeds.record("u", WORK, 2.5 * WORK, 2.0)
         self.assertGreater(speeds.slowness("u", 2.01), 1.8)
         self.assertLess(speeds.slowness("u", 3.0), 1.1)
 
@@ -85,7 +85,7 @@
                 for _ in range(3):
                     now += 0.1
                     ratio = 2.5 if now < slow_until else 1.0
-                    speeds.note("u", WORK, ratio * WORK, now)
+                    speeds.record("u", WORK, ratio * WORK, now)
                 seen.append(speeds.slowness("u", now + 1.5))
             self.assertLess(sorted(seen)[int(0.9 * len(seen))], 1.3, way)
 
@@ -93,10 +93,10 @@
         for way in WAYS:
             speeds = way()
             for number in range(40):
-                speeds.note("u", WORK, 8 * WORK, number * 0.05)
+                speeds.record("u", WORK, 8 * WORK, number * 0.05)
             self.assertGreater(speeds.slowness("u", 2.0), 6)
             self.assertLess(speeds.slowness("u", 30.0), 1.2, way)
-            speeds.note("u", WORK, WORK, 30.0)
+            speeds.record("u", WORK, WORK, 30.0)
             self.assertLess(speeds.slowness("u", 30.5), 1.2, way)
 
     @settings(max_examples=300, deadline=None)
@@ -107,56 +107,56 @@
     )
     def test_it_is_always_positive_and_finite(self, way, notes, now):
         speeds = way()
-        for work, seconds, at in notes:
-            speeds.note("u", work, seconds, at)
+        for typical_seconds, seconds, at in notes:
+            speeds.record("u", typical_seconds, seconds, at)
             seen = speeds.slowness("u", at)
             self.assertTrue(MIN_SLOWNESS <= seen <= MAX_SLOWNESS, seen)
         seen = speeds.slowness("u", now)
         self.assertTrue(MIN_SLOWNESS <= seen <= MAX_SLOWNESS, seen)
-        speeds.forget("u")
+        speeds.discard_upstream("u")
         self.assertEqual(1.0, speeds.slowness("u", 1.0))
 
 
 class ServiceTimesTest(testtools.TestCase):
     def test_what_is_usual_is_the_median_of_a_route_over_all_upstreams(self):
-        times = ServiceTimes(TwoMemories())
-        self.assertIsNone(times.usual("app", "look"))
+        times = ServiceTimes(TwoTimescaleSpeeds())
+        self.assertIsNone(times.median_latency("app", "look"))
         for number in range(30):
             for upstream_id, ratio in (("a", 1.0), ("b", 1.0), ("c", 3.0)):
                 seconds = WORK * ratio
-                times.note("app", "look", upstream_id, seconds, number * 0.1)
-        self.assertEqual(WORK, times.usual("app", "look"))
-        self.assertIsNone(times.usual("app", "book"))
+                times.record("app", "look", upstream_id, seconds, number * 0.1)
+        self.assertEqual(WORK, times.median_latency("app", "look"))
+        self.assertIsNone(times.median_latency("app", "book"))
         self.assertAlmostEqual(3.0, times.speeds.slowness("c", 2.9), 1)
-        self.assertEqual(3 * WORK, times.longest("c", 0.95))
+        self.assertEqual(3 * WORK, times.latency_quantile("c", 0.95))
 
     def test_a_call_broken_off_early_tells_nothing_and_a_late_one_does(self):
-        times = ServiceTimes(TwoMemories())
-        times.note_left("a", WORK, 0.5 * WORK, 1.0)
+        times = ServiceTimes(TwoTimescaleSpeeds())
+        times.record_abort("a", WORK, 0.5 * WORK, 1.0)
         self.assertEqual(1.0, times.speeds.slowness("a", 1.0))
-        times.note_left("a", WORK, 5 * WORK, 1.0)
+        times.record_abort("a", WORK, 5 * WORK, 1.0)
         self.assertGreater(times.speeds.slowness("a", 1.0), 2)
 
     def test_bad_times_are_not_taken_and_few_routes_are_kept(self):
-        times = ServiceTimes(TwoMemories())
+        times = ServiceTimes(TwoTimescaleSpeeds())
         for seconds in (math.nan, math.inf, -1.0):
-            times.note("app", "look", "a", seconds, 1.0)
-        self.assertFalse(times.knows("a"))
+            times.record("app", "look", "a", seconds, 1.0)
+        self.assertFalse(times.has_samples("a"))
         for number in range(MAX_ROUTES + 50):
             for _ in range(6):
-                times.note("app", f"r{number}", "a", 0.0, 1.0)
-        self.assertIsNone(times.usual("app", "r0"))
-        self.assertGreater(times.usual("app", f"r{MAX_ROUTES + 49}"), 0)
+                times.record("app", f"r{number}", "a", 0.0, 1.0)
+        self.assertIsNone(times.median_latency("app", "r0"))
+        self.assertGreater(times.median_latency("app", f"r{MAX_ROUTES + 49}"), 0)
 
     def test_what_was_learned_goes_with_the_process(self):
-        times = ServiceTimes(TwoMemories())
+        times = ServiceTimes(TwoTimescaleSpeeds())
         for _ in range(30):
-            times.note("app", "look", "a", WORK, 1.0)
-            times.note("app", "look", "b", 3 * WORK, 1.0)
-        times.forget("b")
+            times.record("app", "look", "a", WORK, 1.0)
+            times.record("app", "look", "b", 3 * WORK, 1.0)
+        times.discard_upstream("b")
         self.assertEqual(1.0, times.speeds.slowness("b", 1.0))
         times.keep_only({"b"})
-        self.assertFalse(times.knows("a"))
+        self.assertFalse(times.has_samples("a"))
 
 
 class WeightsTest(testtools.TestCase):
@@ -169,16 +169,16 @@
             self.assertTrue(math.isfinite(part) and part > 0, parts)
 
     def test_a_slow_a_full_and_a_failing_one_get_less(self):
-        usual = UpstreamState(slots=6)
+        median_latency = UpstreamState(slots=6)
         for worse in (
             UpstreamState(slots=6, slowness=2.5),
             UpstreamState(slots=6, overdue=2.5),
             UpstreamState(slots=6, open_requests=6),
             UpstreamState(slots=6, lost_share=0.5),
         ):
-            part = weights([usual, worse])[1]
+            part = weights([median_latency, worse])[1]
             self.assertLess(part, 0.05, worse)
-        far = weights([usual, UpstreamState(slots=6, is_far=True)])[1]
+        far = weights([median_latency, UpstreamState(slots=6, is_far=True)])[1]
         self.assertTrue(0.02 < far < 0.1, far)
 
     def test_a_far_one_gets_more_than_a_near_one_that_is_slow(self):
@@ -241,10 +241,10 @@
         for _ in range(count):
             self.clock.now += every
             seconds = ratio * WORK
-            self.calls.times.note("app", "look", name, seconds, self.clock.now)
+            self.calls.times.record("app", "look", name, seconds, self.clock.now)
 
     def open(self, name, sent_ago):
-        send = OpenSend(AbortHandle(), lambda: True, work=WORK)
+        send = OpenSend(AbortHandle(), lambda: True, typical_seconds=WORK)
         send.sent_at = self.clock.now - sent_ago
         self.entry(name).open_sends.add(send)
         return send
@@ -298,17 +298,19 @@
         self.assertLess(fleet.calls.slowness(fleet.entry("a"), fleet.clock.now), 1.01)
         self.assertGreater(fleet.chosen()["a"], 250)
         entry = fleet.entry("a")
-        fleet.directory.note_started(entry, 2, fleet.clock.now)
-        self.assertFalse(fleet.calls.times.knows("a"))
+        fleet.directory.record_start(entry, 2, fleet.clock.now)
+        self.assertFalse(fleet.calls.times.has_samples("a"))
         for _ in range(4):
-            fleet.entry("a").health.note(Fate.UNREACHED, fleet.clock.now)
+            fleet.entry("a").health.record(SendOutcome.UNREACHED, fleet.clock.now)
         self.assertLess(fleet.chosen()["a"], 60)
 
     def test_one_that_declined_for_seconds_gets_its_part_again(self):
         fleet = Fleet()
         before = fleet.chosen()["a"]
         for number in range(50):
-            fleet.entry("a").health.note(Fate.DECLINED, fleet.clock.now + number * 0.1)
+            fleet.entry("a").health.record(
+                SendOutcome.DECLINED, fleet.clock.now + number * 0.1
+            )
         fleet.clock.now += 5.0
         self.assertGreater(fleet.chosen()["a"], 0.8 * before)
 
@@ -336,7 +338,7 @@
 
     def setUp(self):
         super().setUp()
-        self.board = EngineBoard(tells_apart=True)
+        self.board = EngineBoard(tracks_transients=True)
         self.now = 10.0
         self.count = 0
 
@@ -346,7 +348,9 @@
         run_id = f"r{self.count}"
         generation = Generation("m", prompt, answer, (), expected_output_tokens=answer)
         candidate = attrs.evolve(ENGINE_SHAPE, upstream_id=name)
-        place = self.board.place(Newcomer(run_id, generation), [candidate], self.now)
+        place = self.board.place(
+            PendingRequest(run_id, generation), [candidate], self.now
+        )
         took_ms = 35.0 + prompt / (TOKENS_PER_MS * speed)
         self.now += took_ms / 1000.0
         self.board.begun(name, run_id, self.now, took_ms=took_ms)
@@ -363,19 +367,19 @@
                 self.run_alone(name, speed)
             expected, took = self.run_alone(name, speed)
             self.assertTrue(abs(expected - took) < 0.15 * took, (name, expected, took))
-            told = self.state(name).token_seconds * speed
+            told = self.state(name).seconds_per_token * speed
             self.assertTrue(abs(told - TOKEN_SECONDS) < 0.12 * TOKEN_SECONDS, told)
 
     def test_a_slow_moment_fades_and_a_lasting_speed_does_not(self):
         for _ in range(30):
             self.run_alone("e", 1.0)
-        usual = self.state("e").slowness_now(self.now)
+        median_latency = self.state("e").slowness_now(self.now)
         for _ in range(3):
             self.run_alone("e", 0.4, answer=1)
         slow = self.state("e").slowness_now(self.now)
-        self.assertGreater(slow, 1.4 * usual)
+        self.assertGreater(slow, 1.4 * median_latency)
         later = self.state("e").slowness_now(self.now + 4.0)
-        self.assertLess(later, 1.25 * usual)
+        self.assertLess(later, 1.25 * median_latency)
         for _ in range(40):
             self.run_alone("e", 0.4, answer=1)
         expected, took = self.run_alone("e", 0.4)
@@ -390,7 +394,7 @@
                 self.run_alone(name, 1.0)
         expected, took = self.run_alone("new", 1.0)
         self.assertTrue(abs(expected - took) < 0.2 * took, (expected, took))
-        self.board.forget("a")
+        self.board.discard_upstream("a")
         expected, took = self.run_alone("a", 1.0)
         self.assertTrue(abs(expected - took) < 0.2 * took, (expected, took))
 
@@ -406,12 +410,12 @@
     @settings(max_examples=200, deadline=None)
     @given(st.lists(st.tuples(st.integers(0, 30_000), ANY, ANY), max_size=30))
     def test_bad_times_leave_expectations_finite(self, runs):
-        board = EngineBoard(tells_apart=True)
+        board = EngineBoard(tracks_transients=True)
         for number, (prompt, took_ms, at) in enumerate(runs):
             now = at if math.isfinite(at) else 1.0
             generation = Generation("m", prompt, 10, ())
             run_id = str(number)
-            newcomer = Newcomer(run_id, generation)
+            newcomer = PendingRequest(run_id, generation)
             place = board.place(newcomer, [ENGINE_SHAPE], now)
             self.assertTrue(math.isfinite(place.expected_ms), place)
             if math.isfinite(took_ms):
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -101,7 +101,7 @@
 def open_reservations(deployment):
     found = {}
     for router in deployment.routers_by_vm.values():
-        found.update(router.keeper.ledger.open_by_request)
+        found.update(router.keeper.ledger.reservations_by_id)
     return found
 
 
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -65,10 +65,12 @@
             self.assertEqual(0, self.waiting(deployment))
 
         with_deployment(self, scenario, **SHAPE)
-        self.assertEqual(ASKED - PLACES, self.events.count("waits for an engine"))
         self.assertEqual(
-            self.events.count("has waited for an engine"),
-            self.events.count("waits for an engine"),
+            ASKED - PLACES, self.events.count("request queued for an engine")
+        )
+        self.assertEqual(
+            self.events.count("queued request assigned to an engine"),
+            self.events.count("request queued for an engine"),
         )
 
     def test_a_caller_who_leaves_while_it_waits_has_no_turn_and_no_run(self):
--- a/tests/tickets_machine.py
+++ b/tests/tickets_machine.py
@@ -8,9 +8,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from lynxchute.overload.drain import Drain
+from lynxchute.overload.drain import DrainRate
 from lynxchute.overload.fair_shares import FADE_SECONDS, FADES_KEPT, EqualDivision
-from lynxchute.overload.returns import EARLY_SECONDS, KEPT_SECONDS, Returns
+from lynxchute.overload.returns import EARLY_SECONDS, KEPT_SECONDS, ExpectedRetries
 from lynxchute.overload.ticket import Ticket
 from lynxchute.overload.ticket_queue import (
     LATE_SECONDS,
@@ -36,9 +36,9 @@
         self.shares = EqualDivision(
             lambda account: WEIGHTS.get(account, 1.0), most=MOST_ACCOUNTS
         )
-        drain = Drain(PLACES_A_SECOND)
+        drain = DrainRate(PLACES_A_SECOND)
         self.queue = FairTicketQueue(self.shares, drain, most=MOST_TICKETS)
-        self.returns = Returns(most=8)
+        self.returns = ExpectedRetries(most=8)
         self.waiting = {}
         self.gone = set()
         self.count = 0
@@ -59,14 +59,16 @@
     def put(self, account, rank, patience, due, cost):
         """Let a request come."""
         self.count += 1
-        is_return = self.returns.take(account, "content", self.now)
+        is_timely_retry = self.returns.consume(account, "content", self.now)
         back_at = self.told.pop(account, None)
         if back_at is None:
-            assert not is_return, "a return that was not told"
+            assert not is_timely_retry, "a return that was not told"
         else:
             early = back_at - EARLY_SECONDS - self.now
-            assert is_return == (early <= 0 and self.now <= back_at + KEPT_SECONDS)
-        self.shares.note_use(account, cost, self.now)
+            assert is_timely_retry == (
+                early <= 0 and self.now <= back_at + KEPT_SECONDS
+            )
+        self.shares.record_use(account, cost, self.now)
         if cost > 0.0:
             self.uses.append((account, cost, self.now))
         ticket = Ticket(
@@ -76,8 +78,8 @@
             rank=rank,
             cost=1.0,
             arrived_at=self.now,
-            leaves_at=self.now + patience,
-            is_return=is_return,
+            expires_at=self.now + patience,
+            is_timely_retry=is_timely_retry,
             due_at=self.now + due,
         )
         after = self.queue.put(ticket, self.now)
@@ -86,7 +88,7 @@
             self.waiting = {r: t for r, t in self.waiting.items() if r in self.queue}
             return
         assert 0.0 <= after <= patience, "told to come back when it is too late"
-        self.returns.note_told(account, "content", after, self.now)
+        self.returns.record_refusal(account, "content", after, self.now)
         self.told[account] = self.now + after
 
     @rule(data=st.data())
@@ -116,14 +118,14 @@
         self.advance(5.0)
         self.put("b", rank, 60.0, math.inf, 0.0)
         self.advance(0.06)
-        self.take(1)
+        self.consume(1)
 
     @rule(count=st.integers(1, 3))
-    def take(self, count):
+    def consume(self, count):
         """Let places become free."""
         for _ in range(count):
-            self.queue.drain.note_freed(self.now)
-            ticket = self.queue.take(self.now)
+            self.queue.drain.record_freed(self.now)
+            ticket = self.queue.consume(self.now)
             if ticket is None:
                 return
             assert ticket.run_id not in self.gone, "a ticket whose caller has left"
@@ -133,12 +135,12 @@
 
     def check_nobody_was_passed(self, taken):
         """Check that no ticket like the taken one came long before it."""
-        if taken.is_return or self.excess(taken) > 0.9 * SHARE_SLACK:
+        if taken.is_timely_retry or self.excess(taken) > 0.9 * SHARE_SLACK:
             return
         for ticket in self.waiting.values():
             if ticket.run_id not in self.queue or ticket.rank != taken.rank:
                 continue
-            if ticket.is_return or self.excess(ticket) > 0.9 * SHARE_SLACK:
+            if ticket.is_timely_retry or self.excess(ticket) > 0.9 * SHARE_SLACK:
                 continue
             margin = LATE_SECONDS + ORDER_SECONDS
             waited_longer = taken.arrived_at - ticket.arrived_at
@@ -153,7 +155,7 @@
         known = sorted(r for r in self.waiting if r in self.queue)
         if known:
             run_id = data.draw(st.sampled_from(known))
-            after = self.queue.refusal(run_id, self.now)
+            after = self.queue.reject_if_late(run_id, self.now)
             if after is not None:
                 assert run_id not in self.queue
                 self.gone.add(run_id)
--- a/tests/tickets_mutants.py
+++ b/tests/tickets_mutants.py
@@ -4,7 +4,7 @@
 
 from lynxchute.overload import returns, ticket_queue
 from lynxchute.overload.fair_shares import FadingUse
-from lynxchute.overload.returns import Returns
+from lynxchute.overload.returns import ExpectedRetries
 from lynxchute.overload.ticket_queue import FairTicketQueue
 
 
@@ -61,11 +61,11 @@
 
 
 def know_a_return_again_and_again():
-    def take(self, account, content, now):
+    def consume(self, account, content, now):
         told = self._told_by_caller.get((account, content))
         return told is not None and now >= told.back_at - returns.EARLY_SECONDS
 
-    return mock.patch.object(Returns, "take", take)
+    return mock.patch.object(ExpectedRetries, "consume", consume)
 
 
 MUTANTS = (
--- a/tests/turns_machine.py
+++ b/tests/turns_machine.py
@@ -15,14 +15,14 @@
 
 from lynxchute.fleet.messages import PlaceRequest
 from lynxchute.overload.claim import Claim
-from lynxchute.scheduling.cold_placements import ColdPlacements
+from lynxchute.scheduling.cold_placements import ColdPlacementLimiter
 from lynxchute.scheduling.placing import EnginePlacing
-from lynxchute.scheduling.turns import GRACE_SECONDS, MOST_AGAIN, Turns
+from lynxchute.scheduling.turns import GRACE_SECONDS, MOST_AGAIN, AdmissionQueue
 from lynxchute.telemetry import Metrics
 from lynxchute.upstreams.cold_admission import (
     ColdLimits,
     FirstRegistered,
-    StandingWatch,
+    RankWatch,
 )
 from lynxchute.upstreams.directory import Directory
 from lynxchute.upstreams.evacuations import Evacuations
@@ -47,14 +47,14 @@
         self.directory = Directory()
         self.entries = []
         gate = SendGate(Evacuations(), lambda service: LIMITS, no_limits_kept())
-        watch = StandingWatch(lambda service: 0)
-        self.turns = Turns(lambda account: 1.0, Metrics())
+        watch = RankWatch(lambda service: 0)
+        self.turns = AdmissionQueue(lambda account: 1.0, Metrics())
         self.placing = EnginePlacing(
             self.directory,
             Neighbourhood(self.directory),
             lambda service: None,
             gate,
-            ColdPlacements(FirstRegistered(), watch, lambda service: LIMITS),
+            ColdPlacementLimiter(FirstRegistered(), watch, lambda service: LIMITS),
             self.turns,
             lambda: self.now,
         )
@@ -126,7 +126,7 @@
         """Let a run end."""
         run_id = data.draw(st.sampled_from(sorted(self.engine_by_run)))
         self.placing.board.ended(self.engine_by_run.pop(run_id), run_id, self.now)
-        self.turns.note_freed(SERVICE, self.now)
+        self.turns.record_freed(SERVICE, self.now)
         self.gone.add(run_id)
 
     @precondition(lambda self: self.waiting)
--- a/tests/turns_mutants.py
+++ b/tests/turns_mutants.py
@@ -4,26 +4,28 @@
 
 from lynxchute.overload.ticket_queue import FairTicketQueue
 from lynxchute.scheduling.board import EngineBoard
-from lynxchute.scheduling.turns import Turns
+from lynxchute.scheduling.turns import AdmissionQueue
 
 
 def keep_the_turn_of_who_has_left():
-    return mock.patch.object(Turns, "drop", lambda self, run_id: None)
+    return mock.patch.object(AdmissionQueue, "drop", lambda self, run_id: None)
 
 
 def keep_the_turns_of_a_process_that_has_ended():
     def keep_routers(self, incarnations):
         self._routers = incarnations
 
-    return mock.patch.object(Turns, "keep_routers", keep_routers)
+    return mock.patch.object(AdmissionQueue, "keep_routers", keep_routers)
 
 
 def believe_a_process_that_has_ended():
-    return mock.patch.object(Turns, "check", lambda self, request, claim: None)
+    return mock.patch.object(AdmissionQueue, "check", lambda self, request, claim: None)
 
 
 def keep_the_turn_of_who_was_placed():
-    return mock.patch.object(Turns, "note_placed", lambda self, *args: None)
+    return mock.patch.object(
+        AdmissionQueue, "record_placement", lambda self, *args: None
+    )
 
 
 def give_no_room_back():
--- a/tests/words_machine.py
+++ b/tests/words_machine.py
@@ -46,7 +46,7 @@
     def answer(self, backoff, is_leaving, asked):
         """Bring an answer to a request that was sent a while ago."""
         statement = Statement(backoff=backoff, is_leaving=is_leaving)
-        self.directory.note_statement(
+        self.directory.record_statement(
             self.entry, statement, asked_at=self.now - asked, now=self.now
         )
         self.backoff_until = max(self.backoff_until, self.now + backoff)
@@ -76,7 +76,7 @@
     @rule()
     def lapse(self):
         """Have the entry vanish and come back."""
-        self.directory.remove("e", self.now, lapses_at=self.now + 9.0)
+        self.directory.remove("e", self.now, expires_at=self.now + 9.0)
         self.send()
         self.put_entry(1)
 
@@ -87,13 +87,13 @@
         if is_told_by_entry:
             self.put_entry(1)
         else:
-            self.directory.note_started(self.entry, self.started_ms, self.now)
+            self.directory.record_start(self.entry, self.started_ms, self.now)
         self.backoff_until, self.is_leaving = 0.0, False
 
     @rule()
     def send(self):
         """Send a request that was placed before anything was said."""
-        withheld = self.gate.withholds(self.entry, permit_until=0.0, now=self.now)
+        withheld = self.gate.withheld_reason(self.entry, permit_until=0.0, now=self.now)
         must_not = self.is_leaving or self.now < self.backoff_until
         if withheld is None and must_not:
             self.wrong.append(self.now)
