--- a/lynxchute/budgets/__init__.py
+++ b/lynxchute/budgets/__init__.py
@@ -1,14 +1,14 @@
-"""Who may spend which tokens: pure decisions, without I/O or clocks.
+"""Budget decisions: which router may spend which tokens, without I/O or clocks.
 
-The store keeps, for each client account, how many of its paid tokens each
-router has been granted, and for each router a line that its use does not
-pass. A router reserves only what its grant and its line allow, so that it
-needs nobody's consent to spend, and whoever finds its row after its death
-knows what it can have used at most.
+The store records how many of each client account's prepaid tokens every
+router has been granted, and for every router a limit line: an upper bound on
+its use that grows with time. A router reserves only what its grant and its
+limit line allow, so it can spend without asking anyone, and whoever reads its
+row after it has crashed knows the most that it can have used.
 """
 
 from lynxchute.budgets.ledger import Ledger, ReserveProblem
-from lynxchute.budgets.line import Line
+from lynxchute.budgets.line import LimitLine
 from lynxchute.budgets.policy import (
     DemandLinePolicy,
     DemandPolicy,
@@ -22,7 +22,7 @@
     "DemandPolicy",
     "GrantPolicy",
     "Ledger",
-    "Line",
+    "LimitLine",
     "Release",
     "ReserveProblem",
     "Share",
--- a/lynxchute/budgets/demand.py
+++ b/lynxchute/budgets/demand.py
@@ -1,4 +1,4 @@
-"""Estimate how many tokens a second are asked for."""
+"""Estimate the rate at which tokens are requested."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 import attrs
 
-# Seconds over which the past fades: short enough to follow a burst of a few
-# seconds, long enough to see several requests of a small account.
-MEMORY = 4.0
-# Seconds over which the largest request fades.
-LARGEST_MEMORY = 20.0
+# Time constant of the exponential decay, in seconds: short enough to follow a
+# burst of a few seconds, long enough to cover several requests of a small account.
+DECAY_SECONDS = 4.0
+# Time constant with which the largest request decays, in seconds.
+LARGEST_DECAY_SECONDS = 20.0
 
 
 @attrs.define
-class Demand:
-    """A running rate of tokens, and the largest request of late.
+class DemandEstimate:
+    """An exponentially decaying token rate, and the largest recent request.
 
     Examples
     --------
-    >>> demand = Demand()
+    >>> demand = DemandEstimate()
     >>> for second in range(40):
     ...     demand.add(100, float(second))
     >>> 90 < demand.rate(39.0) < 130
@@ -27,30 +27,32 @@
     """
 
     _weight: float = 0.0
-    _at: float = 0.0
+    _updated_at: float = 0.0
     _largest: float = 0.0
     _largest_at: float = 0.0
 
     def add(self, tokens: int, now: float) -> None:
-        """Take a request; `now` is in seconds."""
-        self._weight = self._faded(now) + tokens
-        self._at = now
+        """Record a request; `now` is in seconds."""
+        self._weight = self._decayed_weight(now) + tokens
+        self._updated_at = now
         if tokens >= self.largest(now):
             self._largest = float(tokens)
             self._largest_at = now
 
     def rate(self, now: float) -> float:
-        """Return the tokens a second of late."""
-        return self._faded(now) / MEMORY
+        """Return the recent rate, in tokens per second."""
+        return self._decayed_weight(now) / DECAY_SECONDS
 
-    def weight(self, now: float) -> int:
-        """Return the tokens of late, the older ones in part."""
-        return int(self._faded(now))
+    def recent_tokens(self, now: float) -> int:
+        """Return the recent tokens, older ones weighted by their decay."""
+        return int(self._decayed_weight(now))
 
     def largest(self, now: float) -> float:
-        """Return the size of the largest request of late, in tokens."""
+        """Return the size of the largest recent request, in tokens."""
         age = max(now - self._largest_at, 0.0)
-        return self._largest * math.exp(-age / LARGEST_MEMORY)
+        return self._largest * math.exp(-age / LARGEST_DECAY_SECONDS)
 
-    def _faded(self, now: float) -> float:
-        return self._weight * math.exp(-max(now - self._at, 0.0) / MEMORY)
+    def _decayed_weight(self, now: float) -> float:
+        return self._weight * math.exp(
+            -max(now - self._updated_at, 0.0) / DECAY_SECONDS
+        )
--- a/lynxchute/budgets/ledger.py
+++ b/lynxchute/budgets/ledger.py
@@ -1,4 +1,4 @@
-"""What a router may spend, what it has promised, and what it writes of that."""
+"""A router's ledger: reservations, loans, and the store writes that cover them."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 import attrs
 
-from lynxchute.budgets.line import Line
+from lynxchute.budgets.line import LimitLine
 from lynxchute.budgets.plan import KnownTotals, Plan
 from lynxchute.budgets.policy import GrantPolicy, ShareView
-from lynxchute.budgets.recent import Recent
+from lynxchute.budgets.recent import RecentIds
 from lynxchute.budgets.rows import (
     HolderRow,
     RowDecodeError,
@@ -18,8 +18,8 @@
     holder_id,
     totals_id,
 )
-from lynxchute.budgets.share import RELEASE_PAUSE, Release, Share, Terms
-from lynxchute.budgets.standing import lent_to_keep
+from lynxchute.budgets.share import RELEASE_PAUSE_SECONDS, Release, Share, Terms
+from lynxchute.budgets.standing import reserve_loan_size
 from lynxchute.store import (
     Committed,
     Conflict,
@@ -31,21 +31,29 @@
     Write,
 )
 
-# Seconds of its own demand that a router keeps when another one would like
-# more; as many as the longest outages of the store last, but for a few.
-KEPT_SECONDS = 8.0
-# Seconds of it that a router keeps when another one would keep some for its callers:
-# its own demand is for the most part that of those callers, who come through the other.
-KEEP_SECONDS = 2.0
-# Budgets whose division one write may change; a write takes 100 entries.
+# Seconds of its own demand that a router holds back when another one asks for more
+# than its requests need; all but a few outages of the store are shorter.
+LENDER_RESERVE_SECONDS = 8.0
+# The same when another router asks for its local reserve: this router's demand is
+# then mostly that of the other router's callers.
+RESERVE_LOAN_MARGIN_SECONDS = 2.0
+# Budgets whose totals one write may change; a write holds at most 100 entries.
 MAX_GRANTS_PER_WRITE = 40
-# Milliseconds between two moments at which it is looked whether a line has grown
-# enough: a request hardly notices them.
-LINE_STEP_MS = 20
+# Resolution in milliseconds when computing how soon a limit line covers a request:
+# too small for a caller to notice.
+LINE_RESOLUTION_MS = 20
 
 
 class ReserveProblem(enum.Enum):
-    """Why tokens were not reserved."""
+    """Reason why tokens were not reserved.
+
+    Attributes
+    ----------
+    SHORT
+        Too few tokens are available.
+    CLOSED
+        The ledger or the request accepts no reservations.
+    """
 
     SHORT = "short"
     CLOSED = "closed"
@@ -53,42 +61,48 @@
 
 @attrs.frozen
 class OpenReservation:
-    """Tokens that are set aside for a request."""
+    """Tokens reserved for an open request."""
 
     account: str
     tokens: int
 
 
 class Ledger:
-    """Reserve, settle, lend and borrow for one run of a router's process.
+    """Token bookkeeping of one router process: reserve, settle, lend and borrow.
 
-    Times are milliseconds on the store's clock, never later than it shows, and
-    seconds on the own steady clock for the demand.
+    Times named ``now_ms`` are milliseconds and a lower bound of the store's clock;
+    times named ``now`` are seconds on the local steady clock and serve for demand.
 
     Parameters
     ----------
     vm
         The router's VM.
     incarnation
-        Names the run.
+        Id of the router process.
     policy
-        Sizes grants and lines.
+        Decides the size of grants and limit lines.
     parts
-        Data centres that share the budgets.
+        Number of data centres that share the budgets.
     store_part
-        The store's part for the router's own row.
+        Partition of the store that holds the router's own row.
 
     Attributes
     ----------
     is_open
-        Whether the store has the router's row as this run wrote it.
+        Whether this process has written the router's row; it may spend only then.
+    is_closing
+        Whether the router is stopping and makes no more reservations.
     fenced
-        Whether another run of the same VM has taken the row.
+        Whether another process of the same VM has taken over the row.
     slack_by_account
-        Tokens that the last run may have used along its lines after it had written
-        them; they count as used, though most of them may be lost.
+        Tokens that the previous process may have used along its limit lines after
+        its last write. They count as used, so most of them may be lost.
     unreadable_accounts
-        Budgets whose division in the store cannot be read.
+        Budgets whose totals row cannot be decoded.
+    predecessor
+        Incarnation of the previous process of this VM; empty if there was none.
+    pending
+        The write whose outcome is still awaited.
     """
 
     def __init__(
@@ -120,21 +134,21 @@
         self._predecessor_ended_ms = 0
         self._silent_ms: int | None = None
         self._sequence = 0
-        self._lent_by_id = Recent()
-        self._gifts_by_id = Recent()
-        self._ended_by_request = Recent()
+        self._lent_by_id = RecentIds()
+        self._gifts_by_id = RecentIds()
+        self._ended_by_request = RecentIds()
 
-    # Taking over.
+    # Taking over from the previous process.
 
     def take_over(self, row: Row | None, ended_ms: int) -> None:
-        """Begin where an earlier run of this VM's process has ended.
+        """Start from the row that the previous process of this VM left.
 
         Parameters
         ----------
         row
-            The row that it left; None where there is none.
+            The row; None if there is none.
         ended_ms
-            A time on the store's clock by which that run had ended.
+            A time by which that process had ended, on the store's clock.
         """
         self._predecessor_ended_ms = ended_ms
         self._silent_ms = None
@@ -147,40 +161,40 @@
         found = HolderRow.decode(row.value)
         self.predecessor = found.incarnation
         for account, terms in found.terms_by_account.items():
-            # All that the line allowed may have been used.
+            # Everything that the limit line allowed may have been used.
             used = terms.limit(ended_ms)
             slack = used - terms.limit(terms.line.start_ms)
             if slack > 0:
                 self.slack_by_account[account] = slack
                 self._silent_ms = ended_ms - terms.line.start_ms
-            share = Share(Terms(terms.granted, Line.flat(used)), settled=used)
+            share = Share(Terms(terms.granted, LimitLine.flat(used)), settled=used)
             self.shares_by_account[account] = share
 
     @property
     def silent_ms(self) -> int | None:
-        """Return for how long the last run may have spent along its lines.
+        """Return for how many ms the previous process may have spent unrecorded.
 
-        None where its use is known without them.
+        None if its use is known exactly.
         """
         return None if self.is_open else self._silent_ms
 
-    def learn_final_use(
+    def apply_final_use(
         self, incarnation: str, used_by_account: dict[str, int]
     ) -> None:
-        """Take what the run before said that it had used when it stopped."""
+        """Apply the final use that the previous process reported when it stopped."""
         if self.is_open or incarnation != self.predecessor:
             return
         for account, used in used_by_account.items():
             share = self.shares_by_account.get(account)
             if share is not None:
                 share.settled = min(share.settled, used)
-                share.terms = Terms(share.terms.granted, Line.flat(share.settled))
+                share.terms = Terms(share.terms.granted, LimitLine.flat(share.settled))
 
     def update_totals(self, rows: Iterable[Row]) -> None:
-        """Take divisions of budgets as they stand in the store.
+        """Apply budget totals read from the store.
 
-        One that cannot be read changes nothing: no grant of its budget can change
-        then, since that write expects the division that is known.
+        A row that cannot be decoded is skipped. No grant of its budget can change
+        then, because the write is conditional on the version last decoded.
         """
         for row in rows:
             known = self.totals_by_account.get(row.id.key)
@@ -197,7 +211,7 @@
     # Spending.
 
     def available(self, account: str, now_ms: int) -> int:
-        """Return the tokens of a budget that can be reserved."""
+        """Return the tokens of a budget that can be reserved now."""
         share = self.shares_by_account.get(account)
         if share is None or not self.is_open or self.fenced:
             return 0
@@ -206,7 +220,13 @@
     def reserve(
         self, request_id: str, account: str, tokens: int, *, now_ms: int
     ) -> ReserveProblem | None:
-        """Set tokens aside for a request, once however often it is asked."""
+        """Reserve tokens for a request; idempotent.
+
+        Returns
+        -------
+        ReserveProblem | None
+            Why nothing was reserved, or None if the tokens are reserved.
+        """
         if request_id in self.reservations_by_id:
             return None
         if self.fenced or self.is_closing or not self.is_open:
@@ -220,23 +240,23 @@
         self.reservations_by_id[request_id] = OpenReservation(account, tokens)
         return None
 
-    def ms_until(
+    def ms_until_available(
         self, account: str, tokens: int, *, now_ms: int, within_ms: int
     ) -> int | None:
-        """Return in how many ms the lines cover tokens by themselves.
+        """Return after how many ms the limit line will have grown enough.
 
-        None where they do not within the given time.
+        None if it does not cover the tokens within the given time.
         """
         if self.fenced or self.is_closing or not self.is_open:
             return None
         share = self.share(account)
-        for wait_ms in range(0, within_ms + 1, LINE_STEP_MS):
+        for wait_ms in range(0, within_ms + 1, LINE_RESOLUTION_MS):
             if share.available(now_ms + wait_ms) >= tokens:
                 return wait_ms
         return None
 
     def settle(self, request_id: str, used: int) -> None:
-        """Take what a request has used; the rest can be reserved again."""
+        """Record what a request has used and free the rest of its reservation."""
         self._ended_by_request.add(request_id, used)
         reservation = self.reservations_by_id.pop(request_id, None)
         if reservation is None:
@@ -256,38 +276,50 @@
         now: float,
         for_reserve: bool = False,
     ) -> int:
-        """Give tokens to another router; return how many.
+        """Lend tokens to another router; return how many.
 
-        They count as used here from now on. The same loan is given once. All
-        that there is goes for what a request needs; of what the borrower
-        would like, half of what the own demand leaves over, less of what it
-        would keep for later.
+        They count as used here from now on. Repeating a loan id returns the same
+        loan. All available tokens may go to what a request needs; of what the
+        borrower wants beyond that, at most half of what this router's own demand
+        leaves over, and less if it is for the borrower's local reserve.
+
+        Parameters
+        ----------
+        needed
+            Tokens that a waiting request needs.
+        wanted
+            Tokens that the borrower would like in all.
+        for_reserve
+            Whether the loan is for the borrower's local reserve.
         """
         if loan_id in self._lent_by_id:
             return self._lent_by_id.get(loan_id)
         share = self.shares_by_account.get(account)
-        if share is None or not self._may_give:
+        if share is None or not self._may_lend:
             return 0
         available = max(share.available(now_ms) - share.releasing, 0)
         if for_reserve:
-            spare = share.headroom - int(share.demand.rate(now) * KEEP_SECONDS)
-            tokens = min(lent_to_keep(wanted, spare), available)
+            spare = share.headroom - int(
+                share.demand.rate(now) * RESERVE_LOAN_MARGIN_SECONDS
+            )
+            tokens = min(reserve_loan_size(wanted, spare), available)
         else:
-            tokens = self._spare(share, available, needed, wanted, now)
+            tokens = self._lendable(share, available, needed, wanted, now)
         if tokens <= 0:
             return 0
         if for_reserve:
-            # Requests that the borrower serves do not ask here.
+            # Requests served from the borrower's reserve do not reach this router,
+            # so the loan stands in for their demand.
             share.demand.add(tokens, now)
-            share.kept_elsewhere.add(tokens, now)
+            share.lent_reserves.add(tokens, now)
         share.settled += tokens
         self._lent_by_id.add(loan_id, tokens)
         return tokens
 
     def void_loan(self, loan_id: str, account: str) -> int:
-        """Take back a loan whose answer never came; return its tokens.
+        """Cancel a loan whose reply was lost; return its tokens.
 
-        Asked for later, it is not given any more.
+        A request for the loan that arrives later gets nothing.
         """
         tokens = self._lent_by_id.get(loan_id) if loan_id in self._lent_by_id else 0
         self._lent_by_id.add(loan_id, 0)
@@ -298,17 +330,17 @@
     def release(
         self, account: str, *, needed: int, wanted: int, now: float
     ) -> Release | None:
-        """Mark tokens to be given back with the next write; None where none are.
+        """Mark tokens for return to the store with the next write; None if none.
 
-        All that is not used may go for what a request needs; of what the
-        other would like, half of what the own demand leaves over.
+        All unused tokens may go to what a request of another router needs; of what
+        that router wants beyond that, half of what the own demand leaves over.
         """
         share = self.shares_by_account.get(account)
-        if share is None or not self._may_give:
+        if share is None or not self._may_lend:
             return None
         unused = max(share.terms.granted - share.own_use - share.releasing, 0)
         unused = max(unused - share.waiting, 0)
-        tokens = self._spare(share, unused, needed, wanted, now)
+        tokens = self._lendable(share, unused, needed, wanted, now)
         if tokens <= 0:
             return None
         release = Release(tokens, tokens)
@@ -316,37 +348,37 @@
         share.released_at = now
         return release
 
-    def keep(self, account: str, release: Release) -> None:
-        """Take back what was marked to be given back and may not have been.
+    def cancel_release(self, account: str, release: Release) -> None:
+        """Cancel a release that the store has not confirmed.
 
-        Where the store has taken it all the same, the terms of that write are
-        still kept to until its outcome is known.
+        If the store has applied it all the same, the terms of that write still limit
+        spending until its outcome is known.
         """
         releases = self.share(account).releases
         if release in releases:
             releases.remove(release)
 
     @property
-    def _may_give(self) -> bool:
+    def _may_lend(self) -> bool:
         return self.is_open and not self.fenced and not self.is_closing
 
-    def _spare(
+    def _lendable(
         self, share: Share, unused: int, needed: int, wanted: int, now: float
     ) -> int:
-        spare = self._left_over(share, unused, now) // 2
+        spare = self._surplus(share, unused, now) // 2
         return max(min(needed, unused), min(wanted, spare))
 
-    def _left_over(self, share: Share, unused: int, now: float) -> int:
-        """Return what the own demand leaves over of what is not used."""
-        return max(unused - int(share.demand.rate(now) * KEPT_SECONDS), 0)
+    def _surplus(self, share: Share, unused: int, now: float) -> int:
+        """Return the unused tokens beyond those held back for own demand."""
+        return max(unused - int(share.demand.rate(now) * LENDER_RESERVE_SECONDS), 0)
 
     def leftover(self, account: str, now_ms: int, *, retained: int = 0) -> int:
-        """Return the borrowed tokens that are at hand and not asked for here.
+        """Return the borrowed tokens that this router does not need.
 
         Parameters
         ----------
-        kept
-            Tokens that the router keeps for its callers.
+        retained
+            Tokens to leave in the router's local reserve.
         """
         share = self.shares_by_account[account]
         if share.is_home or share.waiting:
@@ -355,39 +387,39 @@
         return max(min(unused, share.available(now_ms)), 0)
 
     def transfer_out(self, account: str, tokens: int) -> None:
-        """Count tokens as used that go to another router."""
+        """Count tokens that are sent to another router as used."""
         self.share(account).settled += tokens
 
-    def take_gift(self, gift_id: str, account: str, tokens: int) -> None:
-        """Take tokens that another router has no use for, once."""
+    def transfer_in(self, gift_id: str, account: str, tokens: int) -> None:
+        """Add tokens that another router has sent; idempotent by gift id."""
         if gift_id in self._gifts_by_id:
             return
         self._gifts_by_id.add(gift_id, tokens)
         self.borrow(account, tokens)
 
     def borrow(self, account: str, tokens: int) -> None:
-        """Take tokens that another router has lent."""
+        """Add tokens that another router has lent."""
         self.share(account).borrowed += tokens
 
     def unused(self, account: str) -> int:
-        """Return what of a grant is neither used nor, at present, reserved."""
+        """Return the tokens held that are not used, open reservations included."""
         share = self.shares_by_account.get(account)
         if share is None:
             return 0
         return max(share.terms.granted + share.borrowed - share.settled, 0)
 
-    def kept_elsewhere(self, account: str, now: float) -> int:
-        """Return what others were lent to keep and may not have used yet."""
+    def lent_reserves(self, account: str, now: float) -> int:
+        """Return the tokens lent to local reserves that may still be unused."""
         share = self.shares_by_account.get(account)
-        return share.kept_elsewhere.weight(now) if share is not None else 0
+        return share.lent_reserves.recent_tokens(now) if share is not None else 0
 
     @property
-    def holds_anything(self) -> bool:
-        """Return whether there is something that a death would lose."""
+    def has_headroom(self) -> bool:
+        """Return whether any grant has unused tokens, which a crash would lose."""
         return any(share.headroom for share in self.shares_by_account.values())
 
-    def is_wanting(self, now: float) -> bool:
-        """Return whether a part is smaller than the policy would have it."""
+    def is_below_target_grant(self, now: float) -> bool:
+        """Return whether any grant is smaller than the policy's target."""
         if not self.is_open or self.is_closing:
             return False
         for account, share in self.shares_by_account.items():
@@ -400,15 +432,15 @@
         return False
 
     def share(self, account: str) -> Share:
-        """Return the share of a budget, empty on first use."""
+        """Return this router's share of a budget, creating an empty one if needed."""
         share = self.shares_by_account.get(account)
         if share is None:
-            share = Share(Terms(0, Line.flat(0)))
+            share = Share(Terms(0, LimitLine.flat(0)))
             self.shares_by_account[account] = share
         return share
 
     def free(self, account: str) -> int:
-        """Return what of a budget nobody has been granted, as last known."""
+        """Return the ungranted tokens of a budget, as last read from the store."""
         known = self.totals_by_account.get(account)
         granted = known.totals.granted if known is not None else 0
         return self.prepaid_by_account.get(account, 0) - granted
@@ -416,13 +448,13 @@
     # Writing.
 
     def plan(self, *, now_ms: int, now: float, with_grants: bool = True) -> Plan:
-        """Return the next write: new lines everywhere, and grants where due.
+        """Plan the next write: new limit lines for all budgets, new grants if due.
 
         Parameters
         ----------
         with_grants
-            Whether grants may change. Only then can another router's write be
-            in the way.
+            Whether grants may change. Only then can the write conflict with another
+            router's write.
         """
         self._sequence += 1
         terms_by_account: dict[str, Terms] = {}
@@ -430,52 +462,55 @@
         for account, share in self.shares_by_account.items():
             granted = share.terms.granted
             if with_grants and len(totals_by_account) < MAX_GRANTS_PER_WRITE:
-                granted = self._granted(account, share, now)
+                granted = self._planned_grant(account, share, now)
             if granted != share.terms.granted:
                 known = self.totals_by_account.get(account)
                 totals = known.totals if known is not None else Totals()
                 totals_by_account[account] = totals.with_grant(self.vm, granted)
-            terms_by_account[account] = self._terms(
+            terms_by_account[account] = self._planned_terms(
                 account, share, granted, now_ms, now
             )
         row = HolderRow(self.incarnation, self._sequence, terms_by_account)
-        self.pending = Plan(self._write(row, totals_by_account), row, totals_by_account)
+        self.pending = Plan(
+            self._build_write(row, totals_by_account), row, totals_by_account
+        )
         for account, terms in terms_by_account.items():
-            # From now on the store may say either; both must be kept to.
-            self.shares_by_account[account].uncertain.append(terms)
+            # Until the outcome is known the store may hold the old or the new terms,
+            # so spending must respect both.
+            self.shares_by_account[account].unconfirmed.append(terms)
         return self.pending
 
     def apply_outcome(self, outcome: Outcome) -> bool:
-        """Take the outcome of the pending write; return whether it is in force."""
+        """Apply the outcome of the pending write; return whether it committed."""
         plan = self.pending
         assert plan is not None
         self.pending = None
         if isinstance(outcome, Committed):
-            self._adopt(plan.row, outcome.version)
+            self._confirm_row(plan.row, outcome.version)
             for account, totals in plan.totals_by_account.items():
                 known = KnownTotals(totals, outcome.version)
                 self.totals_by_account[account] = known
             self.is_open = True
             return True
-        self._learn_conflict(plan, outcome)
+        self._apply_conflict(plan, outcome)
         return False
 
     def record_write_failed(self) -> None:
-        """Note that the pending write had no effect and never will."""
+        """Record that the pending write has not taken effect and never will."""
         plan = self.pending
         assert plan is not None
         self.pending = None
-        self._withdraw(plan)
+        self._discard_terms(plan)
 
-    def unsure(self) -> None:
-        """Note that nobody knows whether the pending write had an effect.
+    def record_outcome_unknown(self) -> None:
+        """Record that it is unknown whether the pending write took effect.
 
-        The next one expects the same version of the row: one of the two is in
-        vain, and the outcome of the next tells which.
+        The next write expects the same row version, so only one of the two can
+        commit, and the outcome of the next one shows which.
         """
         self.pending = None
 
-    def _granted(self, account: str, share: Share, now: float) -> int:
+    def _planned_grant(self, account: str, share: Share, now: float) -> int:
         if account not in self.prepaid_by_account:
             return share.terms.granted
         view = self._view(account, share, share.terms.granted, now)
@@ -484,17 +519,17 @@
         if share.releasing:
             return max(view.granted - share.releasing, view.used)
         granted = self._policy.grant(view)
-        if now - share.released_at < RELEASE_PAUSE and not share.waiting:
+        if now - share.released_at < RELEASE_PAUSE_SECONDS and not share.waiting:
             granted = min(granted, view.granted)
         return granted
 
-    def _terms(
+    def _planned_terms(
         self, account: str, share: Share, granted: int, now_ms: int, now: float
     ) -> Terms:
         view = self._view(account, share, granted, now)
         if self.is_closing:
-            return Terms(granted, Line.flat(share.own_use))
-        line = Line(
+            return Terms(granted, LimitLine.flat(share.own_use))
+        line = LimitLine(
             base=share.own_use + self._policy.burst(view),
             rate=self._policy.rate(view),
             outage_rate=self._policy.outage_rate(view),
@@ -515,7 +550,9 @@
             parts=self._parts,
         )
 
-    def _write(self, row: HolderRow, totals_by_account: dict[str, Totals]) -> Write:
+    def _build_write(
+        self, row: HolderRow, totals_by_account: dict[str, Totals]
+    ) -> Write:
         own = holder_id(self.vm, self.store_part)
         expected = [Expected(own, self._row_version)]
         puts = [Put(own, row.encode())]
@@ -526,50 +563,51 @@
             puts.append(Put(totals_id(account), totals.encode()))
         return Write(tuple(expected), tuple(puts))
 
-    def _adopt(self, row: HolderRow, version: int) -> None:
-        """Take the own row as it stands in the store."""
+    def _confirm_row(self, row: HolderRow, version: int) -> None:
+        """Adopt the own row as the store holds it."""
         self._row_version = version
         for account, share in self.shares_by_account.items():
-            share.uncertain.clear()
+            share.unconfirmed.clear()
             terms = row.terms_by_account.get(account)
             if terms is None:
                 continue
-            share.note_given_back(share.terms.granted - terms.granted)
+            share.record_returned(share.terms.granted - terms.granted)
             share.terms = terms
 
-    def _learn_conflict(self, plan: Plan, conflict: Conflict) -> None:
+    def _apply_conflict(self, plan: Plan, conflict: Conflict) -> None:
         own_id = holder_id(self.vm, self.store_part)
         totals = []
         for row_id, row in conflict.rows_by_id.items():
             if row_id == own_id:
-                self._learn_own(plan, row)
+                self._apply_own_row(plan, row)
             elif row is None:
-                self._forget_totals(row_id)
+                self._discard_totals(row_id)
             else:
                 totals.append(row)
         self.update_totals(totals)
 
-    def _learn_own(self, plan: Plan, row: Row | None) -> None:
+    def _apply_own_row(self, plan: Plan, row: Row | None) -> None:
         if row is None or row.version == self._row_version:
-            # Only another row was in the way: the own one is as it was. An
-            # earlier write of unknown outcome may still change it.
-            self._withdraw(plan)
+            # The conflict is over another row; the own row is unchanged. An earlier
+            # write of unknown outcome may still change it.
+            self._discard_terms(plan)
             return
         found = HolderRow.decode(row.value)
         if found.incarnation == self.incarnation:
-            # An earlier write that gave no answer, or another router's trim.
-            self._adopt(found, row.version)
+            # An earlier write of this process whose reply was lost, or another
+            # router's change of this row.
+            self._confirm_row(found, row.version)
             self.is_open = True
             return
         if self.is_open:
             self.fenced = True
             return
-        # A late write of the run before.
+        # A write of the previous process that arrived late.
         self.take_over(row, self._predecessor_ended_ms)
 
-    def _withdraw(self, plan: Plan) -> None:
+    def _discard_terms(self, plan: Plan) -> None:
         for account, terms in plan.row.terms_by_account.items():
-            self.shares_by_account[account].uncertain.remove(terms)
+            self.shares_by_account[account].unconfirmed.remove(terms)
 
-    def _forget_totals(self, row_id: RowId) -> None:
+    def _discard_totals(self, row_id: RowId) -> None:
         self.totals_by_account.pop(row_id.key, None)
--- a/lynxchute/budgets/line.py
+++ b/lynxchute/budgets/line.py
@@ -1,39 +1,39 @@
-"""A bound on a router's use of a budget that grows with time."""
+"""An upper bound on a router's use of a budget that grows with time."""
 
 from __future__ import annotations
 
 import attrs
 
-# Milliseconds that a line grows after it was written: longer than the longest
-# outage that the fleet is meant to serve through, twelve seconds.
+# Milliseconds for which a limit line grows after it was written: longer than the
+# longest store outage that the fleet must serve through, 12 seconds.
 HORIZON_MS = 15_000
-# Milliseconds for which it grows slowly. While the store answers, lines are
-# written anew with each reservation, so that a router which dies and is back
-# within two seconds has not come past this; a router that has is cut off.
-SLOW_MS = 2_200
+# Milliseconds of the initial slow growth. While the store answers, limit lines are
+# rewritten with each reservation, so a router that crashes and restarts within two
+# seconds never leaves this phase; one that does is cut off from the store.
+SLOW_PHASE_MS = 2_200
 
 
 @attrs.frozen
-class Line:
-    """Say what a router has used at most, at each moment of the store's time.
+class LimitLine:
+    """Upper bound on a router's use, piecewise linear in the store's time.
 
     A fixed bound would have to be large to outlast an outage of the store,
-    and all of it would be lost with its router. This one grows, slowly at
-    first: a router that dies soon after it wrote the line loses little, and
-    one that is cut off may spend all that it was granted.
+    and all of it would be lost if its router crashed. This one grows, slowly
+    at first: a router that crashes soon after it wrote the line loses little,
+    and one that is cut off from the store may spend its whole grant.
 
     Attributes
     ----------
     base
-        Tokens at the start.
-    rate, late_rate
-        Tokens a second by which the bound grows, at first and then.
+        Bound at the start, in tokens.
+    rate, outage_rate
+        Growth of the bound in tokens per second, in the slow phase and after it.
     start_ms
-        Where it starts, on the store's clock.
+        Start of the growth, in milliseconds on the store's clock.
 
     Examples
     --------
-    >>> line = Line(base=100, rate=10, outage_rate=100, start_ms=1000)
+    >>> line = LimitLine(base=100, rate=10, outage_rate=100, start_ms=1000)
     >>> line.at(500), line.at(3000), line.at(4500), line.at(60_000)
     (100, 120, 252, 1402)
     """
@@ -44,13 +44,13 @@
     start_ms: int
 
     def at(self, now_ms: int) -> int:
-        """Return the bound at a moment."""
+        """Return the bound in tokens at a time on the store's clock."""
         age_ms = min(max(now_ms - self.start_ms, 0), HORIZON_MS)
-        slow_ms = min(age_ms, SLOW_MS)
+        slow_ms = min(age_ms, SLOW_PHASE_MS)
         grown = self.rate * slow_ms + self.outage_rate * (age_ms - slow_ms)
         return self.base + grown // 1000
 
     @classmethod
-    def flat(cls, base: int) -> Line:
-        """Return a bound that does not grow."""
+    def flat(cls, base: int) -> LimitLine:
+        """Return a constant bound."""
         return cls(base, 0, 0, 0)
--- a/lynxchute/budgets/plan.py
+++ b/lynxchute/budgets/plan.py
@@ -1,4 +1,4 @@
-"""A write of the ledger, and what it would make true."""
+"""Planned writes of the ledger, and budget totals as last read from the store."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 @attrs.frozen
 class Plan:
-    """A write and what it would make true.
+    """A planned store write, and the rows that it would put in place.
 
     Attributes
     ----------
     row
-        The router's own row as it would be.
+        The router's own row after the write.
     totals_by_account
-        The divisions that it would change.
+        The budget totals that the write changes.
     """
 
     write: Write
@@ -27,7 +27,7 @@
 
 @attrs.frozen
 class KnownTotals:
-    """A division as it last stood in the store; version 0 where there is none."""
+    """Budget totals as last read from the store; version 0 if there is no row."""
 
     totals: Totals
     version: int
--- a/lynxchute/budgets/recent.py
+++ b/lynxchute/budgets/recent.py
@@ -1,28 +1,28 @@
-"""Remember a bounded number of ids."""
+"""A bounded map of recent ids, for idempotent message handling."""
 
 from __future__ import annotations
 
 from collections import OrderedDict
 
-# Ended requests and loans that are remembered, so that a message which arrives
-# late or twice changes nothing: some minutes at full load.
-REMEMBERED = 20_000
+# Ended requests and loans kept, so that a message that arrives late or twice has no
+# effect: a few minutes' worth at full load.
+MAX_IDS = 20_000
 
 
-class Recent:
-    """Remember a bounded number of ids with an amount each."""
+class RecentIds:
+    """The most recent ids, each with an amount; the oldest are evicted."""
 
     def __init__(self) -> None:
         self._amounts_by_id: OrderedDict[str, int] = OrderedDict()
 
     def add(self, item: str, amount: int) -> None:
-        """Remember an id; the oldest is forgotten where there are too many."""
+        """Add an id, evicting the oldest one above the limit."""
         self._amounts_by_id[item] = amount
-        if len(self._amounts_by_id) > REMEMBERED:
+        if len(self._amounts_by_id) > MAX_IDS:
             self._amounts_by_id.popitem(last=False)
 
     def get(self, item: str) -> int:
-        """Return the amount of a remembered id."""
+        """Return the amount stored for an id."""
         return self._amounts_by_id[item]
 
     def __contains__(self, item: str) -> bool:
--- a/lynxchute/budgets/rows.py
+++ b/lynxchute/budgets/rows.py
@@ -1,4 +1,4 @@
-"""The rows in which the store keeps grants and lines."""
+"""Encoding of the store rows that hold grants and limit lines."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import attrs
 
-from lynxchute.budgets.line import Line
+from lynxchute.budgets.line import LimitLine
 from lynxchute.budgets.share import Terms
 from lynxchute.store import RowId
 from lynxchute.store.row_value import RowValue, ValueUnreadable, whole
@@ -16,61 +16,61 @@
 
 
 class RowDecodeError(Exception):
-    """Report a row that does not hold what its table holds."""
+    """Raised for a row whose value does not match the format of its table."""
 
 
 @attrs.frozen
 class Totals:
-    """How a budget is divided.
+    """How a budget is divided among the routers.
 
     Attributes
     ----------
     granted_by_vm
-        Tokens granted to each router, whether used or not.
+        Tokens granted to each router, used or unused.
     """
 
     granted_by_vm: dict[str, int] = attrs.Factory(dict)
 
     @property
     def granted(self) -> int:
-        """Return the tokens that are granted in all."""
+        """Return the tokens granted to all routers together."""
         return sum(self.granted_by_vm.values())
 
     def with_grant(self, vm: str, granted: int) -> Totals:
-        """Return the division with another grant for one router."""
+        """Return a copy in which one router's grant is replaced."""
         changed = {**self.granted_by_vm, vm: granted}
         return Totals({name: tokens for name, tokens in changed.items() if tokens})
 
     def encode(self) -> bytes:
-        """Return the value of the row."""
+        """Return the row's value as JSON."""
         return json.dumps(self.granted_by_vm, separators=(",", ":")).encode()
 
     @classmethod
     def decode(cls, value: bytes) -> Totals:
-        """Return what a row says.
+        """Parse a row's value.
 
         Raises
         ------
-        RowUnreadable
-            Where it says nothing of the kind.
+        RowDecodeError
+            If the value is not a JSON object of token counts by VM.
         """
         try:
             found = RowValue.decode(value).fields
             return cls({vm: whole(tokens, vm) for vm, tokens in found.items()})
         except ValueUnreadable as error:
-            raise RowDecodeError(f"no totals: {error}") from error
+            raise RowDecodeError(f"invalid budget totals: {error}") from error
 
 
 @attrs.frozen
 class HolderRow:
-    """What a router has been granted, and the lines that it keeps to.
+    """A router's grants, and the limit lines that bound its use of them.
 
     Attributes
     ----------
     incarnation
-        The run of the router's process that wrote the row.
+        Id of the router process that wrote the row.
     sequence
-        Counts the writes of that run.
+        Number of the write, counted within that process.
     """
 
     incarnation: str
@@ -78,11 +78,12 @@
     terms_by_account: dict[str, Terms]
 
     def encode(self) -> bytes:
-        """Return the value of the row."""
+        """Return the row's value as JSON."""
         shares = {}
         for account, terms in self.terms_by_account.items():
             line = terms.line
-            # By position: the row is written some times a second.
+            # A list without keys keeps the row short: it is written several times
+            # a second.
             shares[account] = [
                 terms.granted,
                 line.base,
@@ -99,29 +100,29 @@
 
     @classmethod
     def decode(cls, value: bytes) -> HolderRow:
-        """Return what a row says.
+        """Parse a row's value.
 
         Raises
         ------
-        RowUnreadable
-            Where it says nothing of the kind.
+        RowDecodeError
+            If the value is not a holder row.
         """
         try:
             row = RowValue.decode(value)
             terms_by_account = {}
             for account, numbers in row.mapping("shares").items():
                 granted, *line = (whole(number, account) for number in numbers)
-                terms_by_account[account] = Terms(granted, Line(*line))
+                terms_by_account[account] = Terms(granted, LimitLine(*line))
             return cls(row.text("incarnation"), row.count("sequence"), terms_by_account)
         except (ValueError, TypeError) as error:
-            raise RowDecodeError(f"no holder: {error!r}") from error
+            raise RowDecodeError(f"invalid holder row: {error!r}") from error
 
 
 def totals_id(account: str) -> RowId:
-    """Return where the division of a budget stands."""
+    """Return the id of the row that holds a budget's totals."""
     return RowId(TOTALS_TABLE, account)
 
 
 def holder_id(vm: str, part: str = "") -> RowId:
-    """Return where a router's grants and lines stand."""
+    """Return the id of the row that holds a router's grants and limit lines."""
     return RowId(HOLDERS_TABLE, vm, part)
--- a/lynxchute/budgets/share.py
+++ b/lynxchute/budgets/share.py
@@ -1,45 +1,47 @@
-"""A router's part of one budget."""
+"""A router's share of one budget: its grant, its reservations and its loans."""
 
 from __future__ import annotations
 
 import attrs
 
-from lynxchute.budgets.demand import Demand
-from lynxchute.budgets.line import Line
+from lynxchute.budgets.demand import DemandEstimate
+from lynxchute.budgets.line import LimitLine
 
-# Seconds after tokens were given back in which none are taken again, so that
-# the router they were meant for finds them.
-RELEASE_PAUSE = 1.0
+# Seconds after returning tokens to the store during which the grant is not raised
+# again, so that the router they were released for can claim them.
+RELEASE_PAUSE_SECONDS = 1.0
 
 
 @attrs.frozen
 class Terms:
-    """What the store says, or may say, of a router's part of a budget.
+    """A router's grant and limit line, as written or being written to the store.
 
     Attributes
     ----------
     granted
-        Tokens of the budget that nobody else may use.
+        Tokens of the budget that no other router may use.
     line
-        Bound on what the router has used of them.
+        Upper bound on the router's use of them.
     """
 
     granted: int
-    line: Line
+    line: LimitLine
 
     def limit(self, now_ms: int) -> int:
-        """Return how much may have been used at a moment."""
+        """Return the most that may have been used at a time, in tokens."""
         return min(self.granted, self.line.at(now_ms))
 
 
 @attrs.define(eq=False)
 class Release:
-    """Tokens on their way back to the store, for another router to take.
+    """Tokens being returned to the store for another router to claim.
 
     Attributes
     ----------
+    tokens
+        Tokens to return.
     left
-        Those of them that the store is not known to have.
+        Those whose return the store has not confirmed yet.
     """
 
     tokens: int
@@ -48,52 +50,54 @@
 
 @attrs.define(eq=False)
 class Share:
-    """Tokens of a budget in the hands of one router.
+    """One router's share of a budget; amounts in tokens.
 
     Attributes
     ----------
     terms
-        What the store is known to say.
-    uncertain
-        What it may say as well, while the outcome of writes is unknown.
+        Grant and limit line that the store is known to hold.
+    unconfirmed
+        Terms that it may hold instead, from writes whose outcome is unknown.
     settled
         Tokens used, lent to other routers, or counted as used.
     reserved
         Tokens set aside for open requests.
     borrowed
-        Tokens that other routers have lent and count as used themselves.
+        Tokens lent by other routers, which count them as used on their side.
     waiting
         Tokens that requests are waiting for.
     releases
-        What the next writes give back, the oldest first.
+        Tokens that the next writes return to the store, oldest first.
     released_at
-        When the last of them were given back, in seconds.
+        When tokens were last released, in seconds on the steady clock.
     is_home
-        Whether the router is the one of its data centre that requests of this
-        account go to.
-    kept_elsewhere
-        What others were lent to keep; it fades as they use it.
+        Whether the router is the account's home: the router of its data centre
+        to which the account's requests are sent for tokens.
+    demand
+        Recent demand for tokens at this router.
+    lent_reserves
+        Tokens lent to other routers' local reserves, decaying as they are used.
     """
 
     terms: Terms
-    uncertain: list[Terms] = attrs.Factory(list)
+    unconfirmed: list[Terms] = attrs.Factory(list)
     settled: int = 0
     reserved: int = 0
     borrowed: int = 0
     waiting: int = 0
     releases: list[Release] = attrs.Factory(list)
-    released_at: float = -RELEASE_PAUSE
+    released_at: float = -RELEASE_PAUSE_SECONDS
     is_home: bool = False
-    demand: Demand = attrs.Factory(Demand)
-    kept_elsewhere: Demand = attrs.Factory(Demand)
+    demand: DemandEstimate = attrs.Factory(DemandEstimate)
+    lent_reserves: DemandEstimate = attrs.Factory(DemandEstimate)
 
     @property
     def releasing(self) -> int:
-        """Return the tokens that the next write gives back."""
+        """Return the tokens that the next write returns to the store."""
         return sum(release.left for release in self.releases)
 
-    def note_given_back(self, tokens: int) -> None:
-        """Take that the store has tokens back; the oldest releases come first."""
+    def record_returned(self, tokens: int) -> None:
+        """Record that the store has tokens back, oldest releases first."""
         while tokens > 0 and self.releases:
             release = self.releases[0]
             given = min(tokens, release.left)
@@ -104,22 +108,22 @@
 
     @property
     def used(self) -> int:
-        """Return what counts as used, open requests at their most."""
+        """Return the tokens that count as used, with open reservations in full."""
         return self.settled + self.reserved
 
     @property
     def own_use(self) -> int:
-        """Return what counts as used of the own grant."""
+        """Return the tokens of the router's own grant that count as used."""
         return max(self.used - self.borrowed, 0)
 
     def available(self, now_ms: int) -> int:
-        """Return the tokens that can be reserved at a moment."""
+        """Return the tokens that can be reserved at a time on the store's clock."""
         limit = self.terms.limit(now_ms)
-        for terms in self.uncertain:
+        for terms in self.unconfirmed:
             limit = min(limit, terms.limit(now_ms))
         return limit + self.borrowed - self.used
 
     @property
     def headroom(self) -> int:
-        """Return the granted tokens that are not used."""
+        """Return the granted tokens that are unused."""
         return max(self.terms.granted - self.own_use, 0)
--- a/lynxchute/budgets/standing.py
+++ b/lynxchute/budgets/standing.py
@@ -1,80 +1,84 @@
-"""Decide what a router keeps of budgets whose home it is not."""
+"""Size the local reserves: tokens held at routers that are not an account's home."""
 
 from __future__ import annotations
 
 import attrs
 
-# Seconds of its callers' demand below which a router asks for more, and those that it
-# asks for: a VM that is cut off goes on for some seconds with them, and all that a
-# router has borrowed is lost with it.
-LOW_SECONDS = 3.0
-FULL_SECONDS = 6.0
-# Requests a second below which nothing is kept: two that happen to come together are
-# no stream of requests, and what is kept may be lost.
-LEAST_REQUESTS = 0.7
-# The part of what it has to spare that a lender gives to one router. Several ask.
-LENT_PART = 8
-# The part of a budget that one router keeps at most.
-PREPAID_PART = 32
+# Seconds of its callers' demand below which a router refills its reserve, and those
+# that it refills to. A VM that is cut off serves for some seconds from the reserve;
+# but whatever a router has borrowed is lost if it crashes.
+REFILL_BELOW_SECONDS = 3.0
+TARGET_SECONDS = 6.0
+# Requests per second below which no reserve is held: two requests that happen to
+# arrive together are not a steady stream, and a reserve may be lost.
+MIN_REQUEST_RATE = 0.7
+# A lender lends one router at most its spare tokens divided by this, because several
+# routers ask.
+LENDER_DIVISOR = 8
+# One router's reserve is at most the prepaid budget divided by this.
+PREPAID_DIVISOR = 32
 
 
 @attrs.frozen
 class LocalReserveView:
-    """What the decision goes by; amounts in tokens.
+    """Input for sizing a local reserve; amounts in tokens.
 
     Attributes
     ----------
     demand
-        Tokens a second that callers here ask for.
+        Tokens per second requested by callers of this router.
     requests
-        Requests a second that they send.
-    at_hand
-        What the router can reserve now without asking.
+        Requests per second from them.
+    available
+        Tokens that the router can reserve now without asking other routers.
     prepaid
-        What has been paid.
+        Prepaid budget of the account.
     """
 
     demand: float
     requests: float
-    at_hand: int
+    available: int
     prepaid: int
 
 
 class LocalReservePolicy:
-    """Keep tokens where an account's callers arrive.
+    """Hold tokens at the routers where an account's callers arrive.
 
-    The load that it answers: routers that cannot reach an account's home for some
-    seconds, or whose home is too busy to answer, while callers go on sending. What a
-    caller needs is its answer now; the tokens were paid for and lie elsewhere.
+    This is for routers that cannot reach an account's home for some seconds, or whose
+    home is too busy to answer, while callers keep sending. Without a reserve, callers
+    would be refused although their tokens are paid for and held by another router.
     """
 
-    def full(self, view: LocalReserveView) -> int:
-        """Return the tokens that the router keeps at most."""
-        if view.requests < LEAST_REQUESTS:
+    def target(self, view: LocalReserveView) -> int:
+        """Return the size to which the reserve is refilled, in tokens."""
+        if view.requests < MIN_REQUEST_RATE:
             return 0
-        return min(int(view.demand * FULL_SECONDS), view.prepaid // PREPAID_PART)
+        return min(int(view.demand * TARGET_SECONDS), view.prepaid // PREPAID_DIVISOR)
 
     def shortfall(self, view: LocalReserveView) -> int:
-        """Return the tokens to ask for; 0 while enough is at hand."""
-        full = self.full(view)
-        if view.at_hand >= full * LOW_SECONDS / FULL_SECONDS:
+        """Return the tokens to borrow; 0 while the reserve is large enough."""
+        target = self.target(view)
+        if view.available >= target * REFILL_BELOW_SECONDS / TARGET_SECONDS:
             return 0
-        return full - view.at_hand
+        return target - view.available
 
     def retained(self, view: LocalReserveView) -> int:
-        """Return what is not given back.
+        """Return the tokens that are not passed back to the account's home.
 
-        Twice what is asked for: demand that comes and goes moves nothing.
+        Twice the target, so that fluctuating demand does not move tokens back and
+        forth.
         """
-        return 2 * self.full(view)
+        return 2 * self.target(view)
 
 
-def lent_to_keep(wanted: int, spare: int) -> int:
-    """Return what a lender gives to a router for keeping.
+def reserve_loan_size(wanted: int, spare: int) -> int:
+    """Return the tokens that a lender lends to another router's reserve.
 
     Examples
     --------
-    >>> lent_to_keep(100, 4000), lent_to_keep(1000, 4000), lent_to_keep(10, -5)
-    (100, 500, 0)
+    >>> reserve_loan_size(100, 4000), reserve_loan_size(1000, 4000)
+    (100, 500)
+    >>> reserve_loan_size(10, -5)
+    0
     """
-    return max(min(wanted, spare // LENT_PART), 0)
+    return max(min(wanted, spare // LENDER_DIVISOR), 0)
--- a/lynxchute/spending/__init__.py
+++ b/lynxchute/spending/__init__.py
@@ -1,1 +1,1 @@
-"""Spend from budgets: the store's writes and the routers' messages."""
+"""Spending from budgets: writes to the store and messages between routers."""
--- a/lynxchute/spending/balance.py
+++ b/lynxchute/spending/balance.py
@@ -1,4 +1,4 @@
-"""Move unused tokens to where they are asked for, before a request needs them."""
+"""Move unused tokens to the routers that need them, ahead of requests."""
 
 from __future__ import annotations
 
@@ -17,58 +17,64 @@
 from lynxchute.spending.standing import LocalReserve
 from lynxchute.telemetry import log_event
 
-# Seconds between two looks.
+# Seconds between two rounds of rebalancing.
 STEP_SECONDS = 1.0
-# A home that holds less than this many seconds of its demand asks the others:
-# a cut of its data centre lasts about six.
-LOW_SECONDS = 6.0
-FILL_SECONDS = 8.0
+# A home that holds tokens for fewer seconds of its demand asks the other routers for
+# more: a network cut of its data centre lasts about six seconds.
+REFILL_BELOW_SECONDS = 6.0
+# Seconds of demand that it asks for.
+REFILL_SECONDS = 8.0
 
 
 @attrs.frozen
 class Gift:
-    """Tokens on their way to an account's home.
+    """Tokens that are being sent to an account's home.
 
     Attributes
     ----------
-    taker
-        The run of a router that may have them already; None before they were
-        sent.
+    recipient
+        The router process that may have received them already; None before the
+        first attempt.
     """
 
     gift_id: str
     account: str
     tokens: int
-    taker: Member | None = None
+    recipient: Member | None = None
 
 
 class Rebalancer:
-    """Fill a home that runs low, and pass on what a stand-in has left over.
+    """Refill homes that run low, and send leftover borrowed tokens to the home.
 
     Parameters
     ----------
-    keeper
-        This router's own grants.
+    ledger_sync
+        This router's ledger, kept in step with the store.
     lenders
-        The other holders.
+        The other routers that hold parts of budgets.
     members, peers
-        The other routers.
-    standing
-        What this router keeps for its callers; None where it keeps nothing.
+        The other routers, and the client to reach them.
+    local_reserve
+        Tokens held for this router's callers; None if the feature is off.
+
+    Attributes
+    ----------
+    loop
+        Runs the periodic rounds.
     """
 
     def __init__(
         self,
-        keeper: LedgerSync,
+        ledger_sync: LedgerSync,
         lenders: Lenders,
         members: Members,
         peers: Peers,
-        standing: LocalReserve | None = None,
+        local_reserve: LocalReserve | None = None,
     ) -> None:
-        self._standing = standing
+        self._local_reserve = local_reserve
         self.loop = Loop("balance", self._step, STEP_SECONDS)
-        self._keeper = keeper
-        self._ledger = keeper.ledger
+        self._ledger_sync = ledger_sync
+        self._ledger = ledger_sync.ledger
         self._lenders = lenders
         self._members = members
         self._peers = peers
@@ -80,43 +86,48 @@
         for account in list(self._ledger.shares_by_account):
             share = self._ledger.shares_by_account[account]
             if share.is_home:
-                await self._fill(account)
+                await self._refill_home(account)
                 continue
-            self._pass_on(account, retained=self._kept(account))
+            self._queue_leftover(account, retained=self._retained(account))
         for gift in list(self._gifts):
-            await self._send(gift)
+            await self._send_gift(gift)
 
-    async def _fill(self, account: str) -> None:
+    async def _refill_home(self, account: str) -> None:
         share = self._ledger.shares_by_account[account]
         demand = share.demand.rate(steady_seconds())
-        at_hand = share.terms.granted + share.borrowed - share.used
-        if demand <= 0 or at_hand >= demand * LOW_SECONDS:
+        held = share.terms.granted + share.borrowed - share.used
+        if demand <= 0 or held >= demand * REFILL_BELOW_SECONDS:
             return
-        if self._ledger.free(account) > 0 and self._keeper.store_answers:
-            self._keeper.request_write()
+        if self._ledger.free(account) > 0 and self._ledger_sync.store_answers:
+            self._ledger_sync.request_write()
             return
-        wanted = int(demand * FILL_SECONDS) - at_hand
+        wanted = int(demand * REFILL_SECONDS) - held
         gathered = await self._lenders.fill(account, wanted)
         if gathered.released:
-            self._keeper.look_soon()
-            self._keeper.request_write()
+            self._ledger_sync.request_refresh()
+            self._ledger_sync.request_write()
 
     async def transfer_borrowed(self) -> None:
-        """Pass on all that was lent to this router, before it ends.
+        """Send all unused borrowed tokens to the homes before this router stops.
 
-        The lenders count it as used, and no row says who has it: it would be lost.
+        The lenders count them as used and no store row records who holds them, so
+        they would be lost otherwise.
         """
         for account, share in list(self._ledger.shares_by_account.items()):
             share.is_home = False
-            self._pass_on(account)
-        await asyncio.gather(*(self._send(gift) for gift in list(self._gifts)))
-
-    def _kept(self, account: str) -> int:
-        return self._standing.retained(account) if self._standing is not None else 0
+            self._queue_leftover(account)
+        await asyncio.gather(*(self._send_gift(gift) for gift in list(self._gifts)))
+
+    def _retained(self, account: str) -> int:
+        return (
+            self._local_reserve.retained(account)
+            if self._local_reserve is not None
+            else 0
+        )
 
-    def _pass_on(self, account: str, *, retained: int = 0) -> None:
+    def _queue_leftover(self, account: str, *, retained: int = 0) -> None:
         tokens = self._ledger.leftover(
-            account, self._keeper.now_ms(), retained=retained
+            account, self._ledger_sync.now_ms(), retained=retained
         )
         if tokens <= 0:
             return
@@ -126,33 +137,34 @@
             "leftover tokens sent to the account's home", account=account, tokens=tokens
         )
 
-    async def _send(self, gift: Gift) -> None:
+    async def _send_gift(self, gift: Gift) -> None:
         self._gifts.remove(gift)
-        taker = gift.taker or self._taker_of(gift)
-        if taker is None:
-            # Nobody else to ask for it: it is spent here.
-            self._ledger.take_gift(gift.gift_id, gift.account, gift.tokens)
+        recipient = gift.recipient or self._recipient_of(gift)
+        if recipient is None:
+            # This router is the home itself, or there is none: spend it here.
+            self._ledger.transfer_in(gift.gift_id, gift.account, gift.tokens)
             return
-        member = self._members.by_vm.get(taker.vm)
-        if member is None or member.incarnation != taker.incarnation:
-            # A run that has ended may have taken it, so that nobody else may.
+        member = self._members.by_vm.get(recipient.vm)
+        if member is None or member.incarnation != recipient.incarnation:
+            # A process that has ended since may have received the tokens; sending
+            # them to another router could count them twice.
             log_event(
                 "leftover tokens lost",
                 account=gift.account,
                 tokens=gift.tokens,
-                peer=taker.vm,
+                peer=recipient.vm,
             )
             return
         try:
             await self._peers.ask(
-                taker.vm, GiveRequest(gift.gift_id, gift.account, gift.tokens)
+                recipient.vm, GiveRequest(gift.gift_id, gift.account, gift.tokens)
             )
         except PeerUnreachable:
-            # It is taken once, however often it is sent to the same run.
-            self._gifts.append(attrs.evolve(gift, taker=taker))
+            # Safe to retry with the same process: the transfer is idempotent there.
+            self._gifts.append(attrs.evolve(gift, recipient=recipient))
 
-    def _taker_of(self, gift: Gift) -> Member | None:
-        """Return the account's home; None where that is this router."""
+    def _recipient_of(self, gift: Gift) -> Member | None:
+        """Return the account's home; None if there is none or it is this router."""
         homes = self._members.homes(gift.account)
         if not homes or homes[0] == self._members.own.vm:
             return None
--- a/lynxchute/spending/final_use.py
+++ b/lynxchute/spending/final_use.py
@@ -1,4 +1,4 @@
-"""Pass on what a stopped router had used, where the store cannot be told."""
+"""Report a stopping router's final use to other routers if the store is unreachable."""
 
 from __future__ import annotations
 
@@ -20,119 +20,126 @@
 
 ReplyT = TypeVar("ReplyT")
 
-# Seconds for telling or asking all others at once.
-ALL_SECONDS = 0.3
-# Milliseconds between the last write of a run that told the others its use and the
-# start of the next one, at least: it serves for 2.5 s more after it was told to stop.
-# Who was killed has told nothing, and is mostly back sooner; asking 194 routers that
-# had all lost power took each of them up to `ALL_SECONDS` of its start.
-LEAST_SILENCE_MS = 2_500
-# Routers that are asked, of the own data centre and of each other one: all were told,
-# and a third of them may have started again since.
-NEAR_WITNESSES = 6
-FAR_WITNESSES = 2
+# Timeout in seconds for messages sent to many routers at once.
+BROADCAST_SECONDS = 0.3
+# Shortest time in milliseconds between the last write of a process that reported its
+# final use and the start of the next one: a stopping router serves for another 2.5 s.
+# A killed process has reported nothing and is mostly restarted sooner, so nobody is
+# asked then: with 194 routers restarting after a loss of power, asking delayed each
+# start by up to `BROADCAST_SECONDS`.
+MIN_SILENCE_MS = 2_500
+# Number of routers that are asked in the own data centre and in each other one. All
+# routers were sent the final use, and a third of them may have restarted since.
+LOCAL_VMS_ASKED = 6
+REMOTE_VMS_ASKED = 2
 
 
 class FinalUseExchange:
-    """Keep the others' last words, and exchange the own.
+    """Exchange the final use of stopped routers between routers.
 
-    A router that stops while it is cut off from the store cannot write down
-    what it has used; the next run would have to count all that its lines
-    allowed meanwhile.
+    A router that stops while it is cut off from the store cannot record what
+    it has used there; without this exchange, its next process would have to
+    count as used all that its limit lines allowed meanwhile.
 
     Parameters
     ----------
     ledger
-        The own grants.
+        This router's ledger.
     members, peers
-        The other routers.
+        The other routers, and the client to reach them.
     """
 
     def __init__(self, ledger: Ledger, members: Members, peers: Peers) -> None:
         self._ledger = ledger
         self._members = members
         self._peers = peers
-        self._kept_by_vm: dict[str, FinalUse] = {}
+        self._final_use_by_vm: dict[str, FinalUse] = {}
 
     def serve(self, server: PeerServer) -> None:
-        """Answer the questions of other routers."""
-        server.answers_by_class[FinalUse] = self._keep
-        server.answers_by_class[FinalUseRequest] = self._tell
+        """Register the handlers of final-use messages."""
+        server.answers_by_class[FinalUse] = self._handle_final_use
+        server.answers_by_class[FinalUseRequest] = self._handle_final_use_request
 
     async def announce(self) -> None:
-        """Tell the others what this router has used at most; it reserves no more.
+        """Close the ledger and send an upper bound of its use to all other routers.
 
-        Told again, it takes the place of what was told before.
+        A repeated announcement replaces the previous one.
         """
         ledger = self._ledger
         ledger.is_closing = True
         used = {name: s.own_use for name, s in ledger.shares_by_account.items()}
         final = FinalUse(ledger.vm, ledger.incarnation, used)
-        told = await self._ask_all(final, self._others())
-        log_event("final use sent to other routers", told=len(told), accounts=len(used))
+        replies = await self._broadcast(final, self._other_vms())
+        log_event(
+            "final use sent to other routers", told=len(replies), accounts=len(used)
+        )
 
     async def fetch_predecessor_use(self) -> None:
-        """Ask the others what the run before this one had used."""
+        """Ask other routers for the final use of the previous process of this VM."""
         ledger = self._ledger
         silent_ms = ledger.silent_ms
-        if silent_ms is None or silent_ms < LEAST_SILENCE_MS:
+        if silent_ms is None or silent_ms < MIN_SILENCE_MS:
             return
-        question = FinalUseRequest(ledger.vm, ledger.predecessor)
-        for reply in await self._ask_all(question, self._witnesses()):
+        request = FinalUseRequest(ledger.vm, ledger.predecessor)
+        for reply in await self._broadcast(request, self._vms_to_ask()):
             if reply.used_by_account is None:
                 continue
-            ledger.learn_final_use(question.incarnation, reply.used_by_account)
+            ledger.apply_final_use(request.incarnation, reply.used_by_account)
             log_event(
                 "final use of the previous run received",
-                incarnation=question.incarnation,
+                incarnation=request.incarnation,
                 accounts=len(reply.used_by_account),
             )
             return
 
-    def _others(self) -> list[str]:
-        """Return all other routers.
+    def _other_vms(self) -> list[str]:
+        """Return the VMs of all other routers.
 
-        Those of other data centres are among them: the near ones often stop next,
-        or are cut off with this one. So are those that were silent of late: a cut
-        may have just ended.
+        This includes other data centres, because routers of this one often stop next
+        or are cut off together with it, and routers that did not answer recently,
+        because a network cut may have just ended.
         """
         own = self._members.own
         return [vm for vm in self._members.by_vm if vm != own.vm]
 
-    def _witnesses(self) -> list[str]:
-        """Return some routers of each data centre, more of the own one."""
+    def _vms_to_ask(self) -> list[str]:
+        """Return a few VMs of each data centre to ask, more of the own one."""
         own = self._members.own
-        left_by_place: dict[str, int] = {own.data_centre: NEAR_WITNESSES}
+        left_by_place: dict[str, int] = {own.data_centre: LOCAL_VMS_ASKED}
         found = []
-        for vm in ranked(own.vm, self._others()):
+        for vm in ranked(own.vm, self._other_vms()):
             place = self._members.by_vm[vm].data_centre
-            left = left_by_place.setdefault(place, FAR_WITNESSES)
+            left = left_by_place.setdefault(place, REMOTE_VMS_ASKED)
             if left:
                 left_by_place[place] = left - 1
                 found.append(vm)
         return found
 
-    async def _ask_all(self, message: Message[ReplyT], vms: list[str]) -> list[ReplyT]:
-        """Return the answers of the routers that answer."""
+    async def _broadcast(
+        self, message: Message[ReplyT], vms: list[str]
+    ) -> list[ReplyT]:
+        """Send a message to several routers; return the replies that arrived."""
 
         async def ask(vm: str) -> ReplyT | None:
             try:
-                async with asyncio.timeout(ALL_SECONDS):
+                async with asyncio.timeout(BROADCAST_SECONDS):
                     return await self._peers.ask(vm, message)
             except (PeerUnreachable, TimeoutError):
-                # Whoever cannot be reached was cut off from this router, and
-                # would not have been told.
+                # A router that is unreachable from here has most likely not
+                # received the final use either.
                 return None
 
         replies = await asyncio.gather(*(ask(vm) for vm in vms))
         return [reply for reply in replies if reply is not None]
 
-    async def _keep(self, message: FinalUse) -> Done:
-        self._kept_by_vm[message.vm] = message
+    async def _handle_final_use(self, message: FinalUse) -> Done:
+        self._final_use_by_vm[message.vm] = message
         return Done()
 
-    async def _tell(self, message: FinalUseRequest) -> FinalUseReply:
-        kept = self._kept_by_vm.get(message.vm)
-        if kept is None or kept.incarnation != message.incarnation:
+    async def _handle_final_use_request(
+        self, message: FinalUseRequest
+    ) -> FinalUseReply:
+        final_use = self._final_use_by_vm.get(message.vm)
+        if final_use is None or final_use.incarnation != message.incarnation:
             return FinalUseReply(None)
-        return FinalUseReply(kept.used_by_account)
+        return FinalUseReply(final_use.used_by_account)
--- a/lynxchute/spending/grant_pause.py
+++ b/lynxchute/spending/grant_pause.py
@@ -1,36 +1,41 @@
-"""How long changes of grants wait after others came first."""
+"""Exponential backoff for changes of grants after write conflicts."""
 
 from __future__ import annotations
 
 import random
 
-# Seconds until grants are changed again after another router's write came
-# first, doubled with each time in a row; a write takes 5 ms, twice that over
-# several parts.
-FIRST_PAUSE = 0.02
-MAX_PAUSE = 0.3
-# Each pause is drawn from this share of it to that, so that routers which were in
-# each other's way are not again.
-SPREAD = (0.5, 1.5)
+# Seconds until grants are changed again after a conflict with another router's write,
+# doubled with each further conflict in a row. A write takes 5 ms, twice that if it
+# spans several partitions of the store.
+INITIAL_BACKOFF = 0.02
+MAX_BACKOFF = 0.3
+# Each delay is multiplied by a random factor from this range, so that routers whose
+# writes conflicted do not collide again.
+JITTER = (0.5, 1.5)
 
 
-class GrantPause:
-    """Let other routers change grants first; lines are written meanwhile.
+class GrantBackoff:
+    """Delay changes of grants after conflicts; limit lines are written meanwhile.
 
     Times are seconds on the steady clock.
 
     Parameters
     ----------
     rng
-        Spreads the pauses of several routers.
+        Source of the jitter.
+
+    Attributes
+    ----------
+    until
+        When grants may be changed again.
 
     Examples
     --------
-    >>> pause = GrantPause(random.Random(1))
-    >>> pause.is_over(10.0)
+    >>> backoff = GrantBackoff(random.Random(1))
+    >>> backoff.is_over(10.0)
     True
-    >>> seconds = pause.begin(10.0)
-    >>> pause.is_over(10.0), pause.is_over(10.0 + seconds)
+    >>> seconds = backoff.record_conflict(10.0)
+    >>> backoff.is_over(10.0), backoff.is_over(10.0 + seconds)
     (False, True)
     """
 
@@ -40,17 +45,17 @@
         self._random = rng
 
     def is_over(self, now: float) -> bool:
-        """Return whether grants may be changed."""
+        """Return whether the delay has passed and grants may be changed."""
         return now >= self.until
 
-    def begin(self, now: float) -> float:
-        """Note that another write came first; return the seconds to wait."""
-        seconds: float = min(FIRST_PAUSE * 2**self._conflicts, MAX_PAUSE)
-        seconds *= self._random.uniform(*SPREAD)
+    def record_conflict(self, now: float) -> float:
+        """Record a conflict with another router's write; return the delay."""
+        seconds: float = min(INITIAL_BACKOFF * 2**self._conflicts, MAX_BACKOFF)
+        seconds *= self._random.uniform(*JITTER)
         self._conflicts += 1
         self.until = now + seconds
         return seconds
 
-    def note_changed(self) -> None:
-        """Note that grants were changed."""
+    def record_success(self) -> None:
+        """Record a committed change of grants, which resets the backoff."""
         self._conflicts = 0
--- a/lynxchute/spending/keeper.py
+++ b/lynxchute/spending/keeper.py
@@ -1,4 +1,4 @@
-"""Keep this router's grants and lines in step with the store."""
+"""Synchronise this router's grants and limit lines with the store."""
 
 from __future__ import annotations
 
@@ -12,47 +12,47 @@
 from lynxchute.budgets.rows import HOLDERS_TABLE, TOTALS_TABLE
 from lynxchute.clock import steady_seconds
 from lynxchute.config import Configuration
-from lynxchute.spending.grant_pause import GrantPause
+from lynxchute.spending.grant_pause import GrantBackoff
 from lynxchute.store import Outcome, OutcomeUnknown, Store, StoreUnavailable
 from lynxchute.telemetry import log_event
 
-# Seconds until use that nothing waits for is written down, and the longest
-# between two writes of a router that holds anything: both bound what its
-# death loses, at a small part of a percent of what it serves.
+# Seconds until use is written when no request waits for it, and the longest time
+# between two writes of a router that holds unused tokens. Both bound what a crash
+# loses, to a small fraction of a percent of what the router serves.
 REFRESH_SECONDS = 0.5
 IDLE_SECONDS = 1.0
-# Seconds until the next try after the store did not answer.
+# Seconds until the next attempt after the store did not answer.
 RETRY_SECONDS = 0.2
-# A store that has not answered a write for this many seconds may be cut off;
-# requests do not wait for it then but look for tokens elsewhere.
+# Seconds after which a store that has not answered a write counts as unreachable;
+# requests then stop waiting for it and ask other routers for tokens.
 SLOW_WRITE_SECONDS = 0.12
-# Seconds that a lender waits for the store, less than its asker waits for it.
+# Seconds that a lender waits for the store; less than the borrower waits for it.
 RELEASE_SECONDS = 0.15
-# Seconds between two looks at what is free of the budgets.
-LOOK_SECONDS = 0.25
-# Seconds until a router that holds less than it should looks whether others
-# have given something back.
-TEND_SECONDS = 2.0
+# Minimum seconds between two reads of the budget totals while tokens are short.
+TOTALS_POLL_SECONDS = 0.25
+# Seconds after which a router whose grants are below target reads the totals again,
+# in case other routers have released tokens.
+UNDERGRANTED_POLL_SECONDS = 2.0
 
 
 class LedgerSync(Background):
-    """Write the ledger's plans, one at a time.
+    """Write the ledger's planned changes to the store, one write at a time.
 
     Parameters
     ----------
     ledger
-        What is planned and learned.
+        Plans the writes and applies their outcomes.
     store
-        Where it is written.
+        The store that holds grants and limit lines.
     homes
         Returns the VMs that hold an account's tokens, the home first.
     settled
-        Set once it is known who the other routers are.
+        Set once the other routers of the fleet are known.
     started_at
-        When this process began, on the steady clock in seconds; an earlier one
-        of this VM had ended by then.
+        When this process started, in seconds on the steady clock; any earlier
+        process of this VM had ended by then.
     before_first_write
-        Awaited once the row of the run before has been read.
+        Awaited once the previous process's row has been read.
     """
 
     def __init__(
@@ -69,21 +69,21 @@
         self.ledger = ledger
         self._store = store
         self._homes = homes
-        self._settled = settled
+        self._members_known = settled
         self._started_at = started_at
         self._before_first_write = before_first_write
-        self._stirred = asyncio.Event()
-        self._wanted = asyncio.Event()
+        self._write_due = asyncio.Event()
+        self._write_now = asyncio.Event()
         self._waiters: set[asyncio.Future[None]] = set()
         self._failures = 0
-        self._looked_at = 0.0
-        self._is_look_due = False
+        self._totals_read_at = 0.0
+        self._is_refresh_due = False
         self._writing_since: float | None = None
-        self._grant_pause = GrantPause(random.Random())
+        self._grant_backoff = GrantBackoff(random.Random())
 
     @property
     def store_answers(self) -> bool:
-        """Return whether the store answers, as far as is known."""
+        """Return whether the store is answering, as far as is known."""
         if self._failures:
             return False
         if self._writing_since is None:
@@ -92,27 +92,27 @@
 
     @property
     def is_opening(self) -> bool:
-        """Return whether this run is still taking over what the one before had."""
+        """Return whether this process is still taking over the previous one's row."""
         ledger = self.ledger
         return not (ledger.is_open or ledger.is_closing or ledger.fenced)
 
-    async def opened(self, until: float) -> None:
-        """Wait until this run may spend, as long as the store answers."""
+    async def wait_until_open(self, until: float) -> None:
+        """Wait until this process may spend; give up if the store does not answer."""
         while self.is_opening and self.store_answers:
-            if not await self._next_outcome(until):
+            if not await self._wait_for_outcome(until):
                 return
 
     @property
     def may_change_grants(self) -> bool:
-        """Return whether a grant can be changed with the next write."""
-        return self.store_answers and self._grant_pause.is_over(steady_seconds())
+        """Return whether the next write can change a grant."""
+        return self.store_answers and self._grant_backoff.is_over(steady_seconds())
 
     def now_ms(self) -> int:
-        """Return a time that the store's clock has reached, in milliseconds."""
+        """Return a lower bound of the store's clock, in milliseconds."""
         return self._store.clock.earliest_ms(steady_seconds())
 
     def configure(self, configuration: Configuration) -> None:
-        """Take what has been paid from a new version of the configuration."""
+        """Apply the prepaid budgets of a new configuration version."""
         ledger = self.ledger
         for account in configuration.accounts_by_name.values():
             if account.prepaid is None:
@@ -121,21 +121,24 @@
                 ledger.prepaid_by_account[account.name] = account.prepaid
                 self.request_write()
 
-    def touch(self) -> None:
-        """Note that tokens were used, so that the lines are to be renewed."""
-        self._stirred.set()
+    def record_use(self) -> None:
+        """Record that tokens were used; the limit lines are written again soon."""
+        self._write_due.set()
 
     def request_write(self) -> None:
-        """Have the ledger written without delay."""
-        self._wanted.set()
-        self._stirred.set()
+        """Request a write of the ledger without delay."""
+        self._write_now.set()
+        self._write_due.set()
 
-    def look_soon(self) -> None:
-        """Read the divisions again with the next write."""
-        self._is_look_due = True
+    def request_refresh(self) -> None:
+        """Request that the budget totals are read again before the next write."""
+        self._is_refresh_due = True
 
     async def release(self, account: str, needed: int, wanted: int) -> int:
-        """Give tokens back for another router; return how many the store has."""
+        """Return tokens to the store for another router; return how many.
+
+        0 if the store has not confirmed all of them in time.
+        """
         until = steady_seconds() + RELEASE_SECONDS
         release = self.ledger.release(
             account,
@@ -146,14 +149,14 @@
         if release is None:
             return 0
         while release.left:
-            if not await self._next_outcome(until) or not self.store_answers:
-                # Whether they went back is not known; they may yet.
-                self.ledger.keep(account, release)
+            if not await self._wait_for_outcome(until) or not self.store_answers:
+                # It is unknown whether the store has or will get the tokens.
+                self.ledger.cancel_release(account, release)
                 return 0
         return release.tokens
 
-    def settle_homes(self) -> None:
-        """Take who is home of what, after routers have come or gone."""
+    def refresh_homes(self) -> None:
+        """Update which accounts this router is home of, after membership changes."""
         for account in self.ledger.prepaid_by_account:
             is_home = self._homes(account)[:1] == [self.ledger.vm]
             if not is_home and account not in self.ledger.shares_by_account:
@@ -163,56 +166,58 @@
                 share.is_home = is_home
                 self.request_write()
 
-    async def cover(self, account: str, tokens: int, until: float) -> bool:
+    async def wait_until_covered(self, account: str, tokens: int, until: float) -> bool:
         """Wait until tokens can be reserved; return whether they can.
 
         Parameters
         ----------
         until
-            When to give up, on the steady clock in seconds.
+            When to give up, in seconds on the steady clock.
         """
         while not self.ledger.is_open:
-            # Until then an earlier run's shares may yet be taken over.
-            if not await self._next_outcome(until):
+            # Until then, the previous process's shares may still be taken over.
+            if not await self._wait_for_outcome(until):
                 return False
         share = self.ledger.share(account)
         share.waiting += tokens
         try:
             while self.ledger.available(account, self.now_ms()) < tokens:
                 if share.headroom < tokens:
-                    # Only a larger grant helps, which may have to wait.
-                    await self._until_grants_change(until)
-                if not await self._next_outcome(until):
+                    # This needs a larger grant, which may be delayed by the backoff.
+                    await self._wait_for_grant_backoff(until)
+                if not await self._wait_for_outcome(until):
                     return False
                 if not self.store_answers:
                     return False
-                if self.is_hopeless(account, tokens):
+                if self.is_out_of_reach(account, tokens):
                     return False
             return True
         finally:
             share.waiting -= tokens
 
-    async def cover_own(self, account: str, tokens: int, until: float) -> None:
-        """Wait until the line covers tokens of the present grant."""
+    async def wait_until_line_covers(
+        self, account: str, tokens: int, until: float
+    ) -> None:
+        """Wait until the limit line covers tokens of the current grant."""
         share = self.ledger.share(account)
         tokens = min(tokens, share.headroom)
         if tokens > 0:
-            await self.cover(account, tokens, until)
+            await self.wait_until_covered(account, tokens, until)
 
     async def close(self, until: float) -> bool:
-        """Give back what is not used; return whether the store was told."""
+        """Return unused tokens to the store; return whether it confirmed that."""
         ledger = self.ledger
         ledger.is_closing = True
         while not ledger.fenced and any(
             share.headroom for share in ledger.shares_by_account.values()
         ):
-            if not await self._next_outcome(until) or not self.store_answers:
+            if not await self._wait_for_outcome(until) or not self.store_answers:
                 log_event("budgets not given back", store_answers=self.store_answers)
                 return False
         log_event("budgets given back", accounts=len(ledger.shares_by_account))
         return True
 
-    async def _next_outcome(self, until: float) -> bool:
+    async def _wait_for_outcome(self, until: float) -> bool:
         waiter = asyncio.get_running_loop().create_future()
         self._waiters.add(waiter)
         self.request_write()
@@ -225,31 +230,31 @@
             self._waiters.discard(waiter)
         return True
 
-    async def _until_grants_change(self, until: float) -> None:
+    async def _wait_for_grant_backoff(self, until: float) -> None:
         now = steady_seconds()
-        await asyncio.sleep(max(min(self._grant_pause.until, until) - now, 0.0))
+        await asyncio.sleep(max(min(self._grant_backoff.until, until) - now, 0.0))
 
-    def is_hopeless(self, account: str, tokens: int) -> bool:
-        """Return whether a write can no longer bring the tokens."""
+    def is_out_of_reach(self, account: str, tokens: int) -> bool:
+        """Return whether grant and free budget together are less than the tokens."""
         share = self.ledger.share(account)
         return share.headroom + self.ledger.free(account) < tokens
 
     async def _run(self) -> None:
-        while not await self._open():
+        while not await self._take_over():
             await asyncio.sleep(RETRY_SECONDS)
-        await self._settled.wait()
+        await self._members_known.wait()
         await self._before_first_write()
         while True:
-            if not await self._wait():
+            if not await self._wait_until_due():
                 continue
             if self.ledger.prepaid_by_account:
-                self.settle_homes()
+                self.refresh_homes()
                 await self._write()
             if self._failures:
                 await asyncio.sleep(RETRY_SECONDS)
 
-    async def _wait(self) -> bool:
-        """Wait for use to be written down, or for something that cannot wait.
+    async def _wait_until_due(self) -> bool:
+        """Wait until a write is due: soon after use, or at once on request.
 
         Returns
         -------
@@ -258,26 +263,36 @@
         """
         try:
             async with asyncio.timeout(IDLE_SECONDS):
-                await self._stirred.wait()
+                await self._write_due.wait()
         except TimeoutError:
             now = steady_seconds()
-            if now - self._looked_at > TEND_SECONDS and self.ledger.is_wanting(now):
-                self._is_look_due = True
-            # A home that has spent all would not learn that the store is back, and
-            # would go on refusing what it could be granted.
-            return self.ledger.holds_anything or self._failures > 0
+            if (
+                now - self._totals_read_at > UNDERGRANTED_POLL_SECONDS
+                and self.ledger.is_below_target_grant(now)
+            ):
+                self._is_refresh_due = True
+            # After failures it writes even without unused tokens: otherwise a home
+            # that has spent its grant would not notice that the store is back, and
+            # would keep refusing requests that a new grant could cover.
+            return self.ledger.has_headroom or self._failures > 0
         try:
             async with asyncio.timeout(REFRESH_SECONDS):
-                await self._wanted.wait()
+                await self._write_now.wait()
         except TimeoutError:
-            # The usual case: some use, and nothing that waits for it.
+            # The usual case: tokens were used and no request waits for the write.
             pass
-        self._stirred.clear()
-        self._wanted.clear()
+        self._write_due.clear()
+        self._write_now.clear()
         return True
 
-    async def _open(self) -> bool:
-        """Take over what an earlier run on this VM has left."""
+    async def _take_over(self) -> bool:
+        """Read the store and take over the row of the previous process.
+
+        Returns
+        -------
+        bool
+            Whether the store could be read.
+        """
         try:
             totals = await self._store.scan(TOTALS_TABLE)
             holders = await self._store.scan(HOLDERS_TABLE, part=self.ledger.store_part)
@@ -315,38 +330,39 @@
         ledger = self.ledger
         if ledger.fenced:
             return
-        if not await self._look():
+        if not await self._refresh_totals():
             return
         now = steady_seconds()
-        with_grants = ledger.is_closing or self._grant_pause.is_over(now)
+        with_grants = ledger.is_closing or self._grant_backoff.is_over(now)
         plan = ledger.plan(now_ms=self.now_ms(), now=now, with_grants=with_grants)
         self._writing_since = now
         try:
             outcome = await self._store.write(plan.write)
         except StoreUnavailable as error:
             ledger.record_write_failed()
-            self._note_failure(error)
+            self._record_failure(error)
         except OutcomeUnknown as error:
-            ledger.unsure()
-            self._note_failure(error)
+            ledger.record_outcome_unknown()
+            self._record_failure(error)
         except BaseException:
-            ledger.unsure()
+            ledger.record_outcome_unknown()
             raise
         else:
-            self._learn(plan, outcome)
+            self._apply_outcome(plan, outcome)
         finally:
             self._writing_since = None
-            self._wake()
+            self._wake_waiters()
 
-    def _learn(self, plan: Plan, outcome: Outcome) -> None:
+    def _apply_outcome(self, plan: Plan, outcome: Outcome) -> None:
         ledger = self.ledger
-        self._note_answer()
+        self._record_answer()
         if not ledger.apply_outcome(outcome):
-            # Another router's write came first; what it changed is known now.
-            self._put_grants_off()
+            # Conflict with another router's write; the conflict reply contains the
+            # current rows.
+            self._back_off_grants()
             self.request_write()
         elif plan.totals_by_account:
-            self._grant_pause.note_changed()
+            self._grant_backoff.record_success()
             log_event(
                 "grants changed",
                 sequence=plan.row.sequence,
@@ -358,55 +374,58 @@
         if ledger.fenced:
             log_event("fenced: another process of this VM holds the budgets")
 
-    def _put_grants_off(self) -> None:
-        """Let others change grants first; lines are written meanwhile."""
-        seconds = self._grant_pause.begin(steady_seconds())
+    def _back_off_grants(self) -> None:
+        """Delay changes of grants after a conflict, and schedule the next write."""
+        seconds = self._grant_backoff.record_conflict(steady_seconds())
         asyncio.get_running_loop().call_later(seconds, self.request_write)
 
-    async def _look(self) -> bool:
-        """Read the divisions again where that is due.
+    async def _refresh_totals(self) -> bool:
+        """Read the budget totals again if needed.
 
-        It is where a request needs more than is known to be free, and after
-        the store gave no answer: what is planned for a store that is away only
-        binds the ledger closer.
+        That is when a request needs more than is known to be free, on request, and
+        after the store did not answer: every write with an unknown outcome restricts
+        the ledger further, so a read checks first that the store is back.
 
         Returns
         -------
         bool
-            Whether the store is there.
+            False if the store did not answer the read.
         """
         now = steady_seconds()
-        is_due = self._is_short() and now - self._looked_at >= LOOK_SECONDS
-        if not (is_due or self._is_look_due or self._failures):
+        is_due = (
+            self._is_short_of_tokens()
+            and now - self._totals_read_at >= TOTALS_POLL_SECONDS
+        )
+        if not (is_due or self._is_refresh_due or self._failures):
             return True
-        self._is_look_due = False
-        self._looked_at = now
+        self._is_refresh_due = False
+        self._totals_read_at = now
         try:
             totals = await self._store.scan(TOTALS_TABLE)
         except StoreUnavailable as error:
-            self._note_failure(error)
-            self._wake()
+            self._record_failure(error)
+            self._wake_waiters()
             return False
         self.ledger.update_totals(totals.rows)
         return True
 
-    def _is_short(self) -> bool:
+    def _is_short_of_tokens(self) -> bool:
         for account, share in self.ledger.shares_by_account.items():
-            if share.waiting and self.is_hopeless(account, share.waiting):
+            if share.waiting and self.is_out_of_reach(account, share.waiting):
                 return True
         return False
 
-    def _wake(self) -> None:
+    def _wake_waiters(self) -> None:
         for waiter in self._waiters:
             if not waiter.done():
                 waiter.set_result(None)
 
-    def _note_failure(self, error: Exception) -> None:
+    def _record_failure(self, error: Exception) -> None:
         self._failures += 1
         if self._failures == 1:
             log_event("budgets not written", reason=str(error))
 
-    def _note_answer(self) -> None:
+    def _record_answer(self) -> None:
         if self._failures:
             log_event("budgets written again", failures=self._failures)
         self._failures = 0
--- a/lynxchute/spending/lenders.py
+++ b/lynxchute/spending/lenders.py
@@ -1,4 +1,4 @@
-"""Ask the other routers that hold a part of a budget for tokens."""
+"""Request tokens from other routers that hold part of a budget."""
 
 from __future__ import annotations
 
@@ -15,94 +15,95 @@
 from lynxchute.spending.settlements import SettlementSender
 from lynxchute.telemetry import log_event
 
-# Seconds of its demand that a router asks for ahead, so that not every request
-# has to ask.
+# Seconds of its demand that a router borrows in addition, so that not every request
+# has to borrow.
 AHEAD_SECONDS = 2.0
-# Lenders that are asked at the same time. After a death of all, ten routers and more
-# may hold a piece of one budget, and each takes up to a quarter of a second to give
-# it back: one after the other, three or four were asked in the time that a request has,
-# and 78 of 100 that were refused beside unused tokens had not asked all of them.
+# Lenders that are asked concurrently. After a crash of all routers, ten or more may
+# hold a piece of one budget, and each takes up to 0.25 s to return it. Asked in turn,
+# only three or four were reached in the time that a request has; of 100 requests
+# refused while unused tokens existed, 78 had not asked every holder.
 LENDERS_AT_ONCE = 6
-# Seconds after which a router that was lent tokens to keep has used them or passed
-# them on.
-KEPT_SECONDS = 20.0
-# Routers that are asked for tokens to keep, one after the other.
-MOST_ASKED = 4
+# Seconds after which a router has used, or passed on, tokens that it was lent for its
+# local reserve.
+RESERVE_LOAN_SECONDS = 20.0
+# Routers that are asked in turn for tokens for the local reserve.
+MAX_ASKED = 4
 
 
 @attrs.define
-class Gathered:
-    """What other routers have given, and what they still have.
+class GatherResult:
+    """Tokens obtained from other routers, and those that they still hold.
 
     Attributes
     ----------
     released
-        Tokens that lie free at the store now.
-    had
-        Those, and the tokens that were lent.
-    left_elsewhere
-        Tokens that they have not used yet.
+        Tokens that lenders returned to the store, where this router can claim them.
+    obtained
+        Tokens released or lent.
+    unused_elsewhere
+        Tokens that the lenders still hold unused.
     silent
-        Those that gave no answer.
+        VMs that did not answer or were not asked in time.
     answered
-        Those that did.
+        VMs that answered.
     """
 
     released: int = 0
-    had: int = 0
-    left_elsewhere: int = 0
+    obtained: int = 0
+    unused_elsewhere: int = 0
     silent: list[str] = attrs.Factory(list)
     answered: list[str] = attrs.Factory(list)
 
 
 class Lenders:
-    """The other holders of budgets.
+    """Client for borrowing tokens from other routers.
 
     Parameters
     ----------
-    keeper
-        This router's own grants.
+    ledger_sync
+        This router's ledger, kept in step with the store.
     members, peers
-        The other routers.
+        The other routers, and the client to reach them.
     settlements
-        Takes back loans whose answers were lost.
+        Cancels loans whose replies were lost.
     """
 
     def __init__(
         self,
-        keeper: LedgerSync,
+        ledger_sync: LedgerSync,
         members: Members,
         peers: Peers,
         settlements: SettlementSender,
     ) -> None:
-        self._keeper = keeper
-        self._ledger = keeper.ledger
+        self._ledger_sync = ledger_sync
+        self._ledger = ledger_sync.ledger
         self._members = members
         self._peers = peers
         self._settlements = settlements
-        # When each router was last lent tokens to keep, by account, in seconds.
-        self._kept_at_by_vm: dict[str, dict[str, float]] = {}
+        # By account and VM, when tokens were last lent to that router's reserve, in
+        # seconds on the steady clock.
+        self._lent_at_by_account: dict[str, dict[str, float]] = {}
 
-    def note_kept(self, account: str, vm: str) -> None:
-        """Note that a router was lent tokens to keep."""
-        self._kept_at_by_vm.setdefault(account, {})[vm] = steady_seconds()
+    def record_reserve_loan(self, account: str, vm: str) -> None:
+        """Record that a router was lent tokens for its local reserve."""
+        self._lent_at_by_account.setdefault(account, {})[vm] = steady_seconds()
 
-    async def gather(self, account: str, tokens: int, until: float) -> Gathered:
-        """Ask the other holders until a number of tokens is in reach.
+    async def gather(self, account: str, tokens: int, until: float) -> GatherResult:
+        """Ask lenders until enough tokens are lent or free at the store.
 
-        They give it back to the store for this router to take, or lend it
-        where that would take too long.
+        Lenders return tokens to the store for this router to claim, or lend them
+        directly where that would take too long.
 
         Parameters
         ----------
         until
-            When to stop asking, on the steady clock in seconds.
+            When to stop asking, in seconds on the steady clock.
         """
-        gathered = Gathered()
+        gathered = GatherResult()
         share = self._ledger.share(account)
-        lenders = self.in_order(account)
+        lenders = self.candidates(account)
         while lenders:
-            available = self._ledger.available(account, self._keeper.now_ms())
+            available = self._ledger.available(account, self._ledger_sync.now_ms())
             missing = tokens - available - gathered.released
             if missing <= 0:
                 break
@@ -113,37 +114,39 @@
             asked, lenders = lenders[:LENDERS_AT_ONCE], lenders[LENDERS_AT_ONCE:]
             await asyncio.gather(
                 *(
-                    self._ask_for(gathered, vm, account, missing, missing + ahead)
+                    self._request_loan(gathered, vm, account, missing, missing + ahead)
                     for vm in asked
                 )
             )
         return gathered
 
-    async def fill(self, account: str, wanted: int) -> Gathered:
-        """Ask the other holders for what they can spare."""
-        gathered = Gathered()
-        for vm in self.in_order(account):
-            if gathered.had >= wanted:
+    async def fill(self, account: str, wanted: int) -> GatherResult:
+        """Ask lenders for tokens that they can spare; no request is waiting."""
+        gathered = GatherResult()
+        for vm in self.candidates(account):
+            if gathered.obtained >= wanted:
                 break
-            await self._ask_for(gathered, vm, account, 0, wanted - gathered.had)
+            await self._request_loan(
+                gathered, vm, account, 0, wanted - gathered.obtained
+            )
         return gathered
 
-    async def fetch_to_keep(self, account: str, wanted: int) -> Gathered:
-        """Ask for tokens to keep: the account's homes here, then other holders."""
-        gathered = Gathered()
+    async def borrow_for_reserve(self, account: str, wanted: int) -> GatherResult:
+        """Borrow for the local reserve: first from the home here, then from others."""
+        gathered = GatherResult()
         own = self._members.own.vm
-        nearest = [vm for vm in self._members.homes(account) if vm != own][:1]
-        for vm in list(dict.fromkeys([*nearest, *self.in_order(account)]))[:MOST_ASKED]:
-            if gathered.had >= wanted // 2:
+        home = [vm for vm in self._members.homes(account) if vm != own][:1]
+        for vm in list(dict.fromkeys([*home, *self.candidates(account)]))[:MAX_ASKED]:
+            if gathered.obtained >= wanted // 2:
                 break
-            await self._ask_for(
-                gathered, vm, account, 0, wanted - gathered.had, kept_by=own
+            await self._request_loan(
+                gathered, vm, account, 0, wanted - gathered.obtained, kept_by=own
             )
         return gathered
 
-    async def _ask_for(
+    async def _request_loan(
         self,
-        gathered: Gathered,
+        gathered: GatherResult,
         vm: str,
         account: str,
         needed: int,
@@ -151,25 +154,25 @@
         *,
         kept_by: str = "",
     ) -> None:
-        by_store = self._keeper.store_answers and not kept_by
+        by_store = self._ledger_sync.store_answers and not kept_by
         loan = LendRequest(
             secrets.token_hex(8), account, needed, wanted, by_store, kept_by
         )
-        # Where no answer comes, it may have lent all the same.
-        void = VoidLoan(loan.loan_id, account)
+        # Without a reply, the lender may still have made the loan.
+        void_loan = VoidLoan(loan.loan_id, account)
         try:
             reply = await self._peers.ask(vm, loan)
         except PeerUnreachable:
-            self._settlements.void(vm, void)
+            self._settlements.queue_void(vm, void_loan)
             gathered.silent.append(vm)
             return
         except asyncio.CancelledError:
-            self._settlements.void(vm, void)
+            self._settlements.queue_void(vm, void_loan)
             raise
         gathered.answered.append(vm)
-        gathered.left_elsewhere += reply.unused
+        gathered.unused_elsewhere += reply.unused
         gathered.released += reply.released
-        gathered.had += reply.released + reply.lent
+        gathered.obtained += reply.released + reply.lent
         if reply.lent:
             self._ledger.borrow(account, reply.lent)
         if reply.lent or reply.released:
@@ -177,15 +180,15 @@
                 "tokens obtained from a lender",
                 account=account,
                 lender=vm,
-                **_of(reply),
+                **_log_fields(reply),
             )
 
-    def in_order(self, account: str) -> list[str]:
-        """Return the routers that may hold a part of a budget.
+    def candidates(self, account: str) -> list[str]:
+        """Return the VMs that may hold tokens of a budget, best ones first.
 
-        Those that the store is known to have granted one come first, near ones
-        before far ones; then the other data centres' homes, which may have
-        been granted theirs since, and who was lent some to keep.
+        Routers with a known grant come first, those of the own data centre before
+        others; then the homes of other data centres, which may have received a grant
+        since; then routers that were recently lent tokens for their reserves.
         """
         known = self._ledger.totals_by_account.get(account)
         own = self._members.own
@@ -200,17 +203,19 @@
             near_by = member.data_centre == own.data_centre
             (near if near_by else far).append(vm)
         homes = self._members.homes_elsewhere(account)
-        return [*dict.fromkeys([*near, *far, *homes, *self._keeping(account)])]
+        return [
+            *dict.fromkeys([*near, *far, *homes, *self._reserve_borrowers(account)])
+        ]
 
-    def _keeping(self, account: str) -> list[str]:
-        """Return the routers that may still keep what they were lent."""
-        since = steady_seconds() - KEPT_SECONDS
+    def _reserve_borrowers(self, account: str) -> list[str]:
+        """Return reachable VMs that may still hold tokens lent to their reserves."""
+        since = steady_seconds() - RESERVE_LOAN_SECONDS
         found = []
-        for vm, kept_at in self._kept_at_by_vm.get(account, {}).items():
-            if kept_at >= since and self._members.is_reachable(vm):
+        for vm, lent_at in self._lent_at_by_account.get(account, {}).items():
+            if lent_at >= since and self._members.is_reachable(vm):
                 found.append(vm)
         return found
 
 
-def _of(reply: LendReply) -> dict[str, int]:
+def _log_fields(reply: LendReply) -> dict[str, int]:
     return {"lent": reply.lent, "released": reply.released, "unused": reply.unused}
--- a/lynxchute/spending/settlements.py
+++ b/lynxchute/spending/settlements.py
@@ -1,4 +1,4 @@
-"""Tell the routers that hold reservations what requests have used."""
+"""Send settlements and voided loans to the routers that hold the tokens."""
 
 from __future__ import annotations
 
@@ -13,37 +13,38 @@
 from lynxchute.fleet.messages import Settlement, SettleRequest, VoidLoan
 from lynxchute.telemetry import log_event
 
-# Settlements of this many seconds go out together.
+# Seconds for which settlements are collected into one batch.
 BATCH_SECONDS = 0.15
+# Settlements, and voided loans, per message.
 MAX_BATCH = 200
-# A holder that cannot be told for this long counts its reservations at their
-# most; in seconds.
-GIVE_UP_AFTER = 30.0
+# Seconds after which the messages for an unreachable router are dropped; it then
+# counts the reservations as fully used.
+GIVE_UP_SECONDS = 30.0
 
 
 @attrs.define
-class _Waiting:
-    """What one holder is to be told, and since when it could not be."""
+class _Outbox:
+    """Messages waiting for one router, and since when it has been unreachable."""
 
     settlements: list[Settlement] = attrs.Factory(list)
     void_loans: list[VoidLoan] = attrs.Factory(list)
-    silent_since: float | None = None
+    unreachable_since: float | None = None
 
     @property
     def is_empty(self) -> bool:
-        """Return whether there is nothing to tell."""
+        """Return whether no messages are waiting."""
         return not self.settlements and not self.void_loans
 
 
 class SettlementSender(Background):
-    """Collect settlements and send them in batches.
+    """Collect settlements and voided loans and send them in batches.
 
     Parameters
     ----------
     ledger
-        This router's own reservations.
+        This router's ledger, for reservations that it holds itself.
     members, peers
-        The other holders.
+        The other routers, and the client to reach them.
     """
 
     def __init__(self, ledger: Ledger, members: Members, peers: Peers) -> None:
@@ -51,64 +52,64 @@
         self._ledger = ledger
         self._members = members
         self._peers = peers
-        self._waiting_by_vm: dict[str, _Waiting] = {}
-        self._any = asyncio.Event()
+        self._outbox_by_vm: dict[str, _Outbox] = {}
+        self._has_messages = asyncio.Event()
 
     def add(self, holder: str, settlement: Settlement) -> None:
-        """Take what a request has used of a reservation."""
+        """Apply a settlement here, or queue it for the router that holds it."""
         if holder == self._members.own.vm:
             self._ledger.settle(settlement.reservation_id, settlement.used)
             return
-        waiting = self._waiting_by_vm.setdefault(holder, _Waiting())
-        waiting.settlements.append(settlement)
-        self._any.set()
+        outbox = self._outbox_by_vm.setdefault(holder, _Outbox())
+        outbox.settlements.append(settlement)
+        self._has_messages.set()
 
-    def void(self, lender: str, loan: VoidLoan) -> None:
-        """Have a loan taken back that may have been made and did not arrive."""
-        waiting = self._waiting_by_vm.setdefault(lender, _Waiting())
-        waiting.void_loans.append(loan)
-        self._any.set()
+    def queue_void(self, lender: str, loan: VoidLoan) -> None:
+        """Queue the cancellation of a loan whose reply did not arrive."""
+        outbox = self._outbox_by_vm.setdefault(lender, _Outbox())
+        outbox.void_loans.append(loan)
+        self._has_messages.set()
 
     async def flush(self) -> None:
-        """Send everything now, as far as the holders answer."""
-        await asyncio.gather(*(self._tell(vm) for vm in list(self._waiting_by_vm)))
+        """Send everything that is queued now, one batch per router."""
+        await asyncio.gather(*(self._send(vm) for vm in list(self._outbox_by_vm)))
 
     async def _run(self) -> None:
         while True:
-            await self._any.wait()
-            self._any.clear()
+            await self._has_messages.wait()
+            self._has_messages.clear()
             await asyncio.sleep(BATCH_SECONDS)
             await self.flush()
-            if self._waiting_by_vm:
-                self._any.set()
+            if self._outbox_by_vm:
+                self._has_messages.set()
 
-    async def _tell(self, vm: str) -> None:
-        waiting = self._waiting_by_vm[vm]
-        batch = waiting.settlements[:MAX_BATCH]
-        loans = waiting.void_loans[:MAX_BATCH]
+    async def _send(self, vm: str) -> None:
+        outbox = self._outbox_by_vm[vm]
+        batch = outbox.settlements[:MAX_BATCH]
+        loans = outbox.void_loans[:MAX_BATCH]
         try:
             await self._peers.ask(vm, SettleRequest(tuple(batch), tuple(loans)))
         except PeerUnreachable as error:
-            self._note_silence(vm, waiting, str(error))
+            self._record_failure(vm, outbox, str(error))
             return
-        waiting.silent_since = None
-        del waiting.settlements[: len(batch)]
-        del waiting.void_loans[: len(loans)]
-        if waiting.is_empty:
-            self._waiting_by_vm.pop(vm, None)
+        outbox.unreachable_since = None
+        del outbox.settlements[: len(batch)]
+        del outbox.void_loans[: len(loans)]
+        if outbox.is_empty:
+            self._outbox_by_vm.pop(vm, None)
 
-    def _note_silence(self, vm: str, waiting: _Waiting, reason: str) -> None:
+    def _record_failure(self, vm: str, outbox: _Outbox, reason: str) -> None:
         now = asyncio.get_running_loop().time()
-        if waiting.silent_since is None:
-            waiting.silent_since = now
+        if outbox.unreachable_since is None:
+            outbox.unreachable_since = now
             return
-        if now - waiting.silent_since < GIVE_UP_AFTER:
+        if now - outbox.unreachable_since < GIVE_UP_SECONDS:
             return
         log_event(
             "settlements dropped; their reservations stay counted in full",
             holder=vm,
-            count=len(waiting.settlements),
-            loans=len(waiting.void_loans),
+            count=len(outbox.settlements),
+            loans=len(outbox.void_loans),
             reason=reason,
         )
-        self._waiting_by_vm.pop(vm, None)
+        self._outbox_by_vm.pop(vm, None)
--- a/lynxchute/spending/standing.py
+++ b/lynxchute/spending/standing.py
@@ -1,11 +1,11 @@
-"""Keep tokens where an account's callers arrive, ahead of when they are needed."""
+"""Hold a reserve of tokens at the routers where an account's callers arrive."""
 
 from __future__ import annotations
 
 import attrs
 
 from lynxchute.application import Loop
-from lynxchute.budgets.demand import Demand
+from lynxchute.budgets.demand import DemandEstimate
 from lynxchute.budgets.standing import LocalReservePolicy, LocalReserveView
 from lynxchute.clock import steady_seconds
 from lynxchute.fleet.members import Members
@@ -13,111 +13,118 @@
 from lynxchute.spending.keeper import LedgerSync
 from lynxchute.spending.lenders import Lenders
 
-# Seconds between two looks at what lacks, and until holders that gave less than half
-# of what was asked for are asked again.
+# Seconds between two checks of the reserves, and until lenders are asked again after
+# they gave less than half of what was requested.
 STEP_SECONDS = 1.0
-AGAIN_SECONDS = 1.0
+RETRY_SECONDS = 1.0
 
 
 @attrs.define(eq=False)
 class CallerDemand:
-    """What callers of one account ask for at this router.
+    """Recent demand of one account's callers at this router.
 
     Attributes
     ----------
     demand, requests
-        Their tokens, and how many requests they are.
-    ask_at
-        When holders may be asked again, in seconds.
+        Rates of the tokens that they request, and of their requests.
+    retry_at
+        When lenders may be asked again, in seconds on the steady clock.
     """
 
-    demand: Demand = attrs.Factory(Demand)
-    requests: Demand = attrs.Factory(Demand)
-    ask_at: float = 0.0
+    demand: DemandEstimate = attrs.Factory(DemandEstimate)
+    requests: DemandEstimate = attrs.Factory(DemandEstimate)
+    retry_at: float = 0.0
 
 
 class LocalReserve:
-    """Hold tokens of accounts whose callers arrive here but whose home is elsewhere.
+    """Tokens for callers who arrive here, of accounts whose home is another router.
 
     Parameters
     ----------
-    keeper
-        This router's own grants.
+    ledger_sync
+        This router's ledger, kept in step with the store.
     lenders
-        The other holders.
+        The other routers that hold parts of budgets.
     members
         The other routers.
 
     Attributes
     ----------
     loop
-        Asks the holders.
+        Refills the reserves periodically.
     """
 
-    def __init__(self, keeper: LedgerSync, lenders: Lenders, members: Members) -> None:
+    def __init__(
+        self, ledger_sync: LedgerSync, lenders: Lenders, members: Members
+    ) -> None:
         self.loop = Loop("standing", self._step, STEP_SECONDS)
-        self._ledger = keeper.ledger
-        self._keeper = keeper
+        self._ledger = ledger_sync.ledger
+        self._ledger_sync = ledger_sync
         self._lenders = lenders
         self._members = members
-        self._rule = LocalReservePolicy()
-        self._arrivals_by_account: dict[str, CallerDemand] = {}
+        self._policy = LocalReservePolicy()
+        self._demand_by_account: dict[str, CallerDemand] = {}
 
     def try_reserve(self, request: ReserveRequest, *, is_home: bool) -> bool:
-        """Set tokens for a caller's request aside of what is kept here.
+        """Reserve tokens for a caller's request from the local reserve.
 
         Parameters
         ----------
         is_home
-            Whether this router is the account's home: nothing is kept then.
+            Whether this router is the account's home, which needs no reserve.
+
+        Returns
+        -------
+        bool
+            Whether the tokens are reserved.
         """
         account, now = request.account, steady_seconds()
-        arrivals = self._arrivals_by_account.setdefault(account, CallerDemand())
-        arrivals.demand.add(request.tokens, now)
-        arrivals.requests.add(1, now)
+        callers = self._demand_by_account.setdefault(account, CallerDemand())
+        callers.demand.add(request.tokens, now)
+        callers.requests.add(1, now)
         if is_home:
             return False
         problem = self._ledger.reserve(
             request.reservation_id,
             account,
             request.tokens,
-            now_ms=self._keeper.now_ms(),
+            now_ms=self._ledger_sync.now_ms(),
         )
-        if now >= arrivals.ask_at and self._missing(account, arrivals, now):
+        if now >= callers.retry_at and self._shortfall(account, callers, now):
             self.loop.wake()
         return problem is None
 
     def retained(self, account: str) -> int:
-        """Return the tokens of an account that are not to be given back."""
-        arrivals = self._arrivals_by_account.get(account)
-        if arrivals is None:
+        """Return the tokens of an account to keep here rather than pass on."""
+        callers = self._demand_by_account.get(account)
+        if callers is None:
             return 0
-        return self._rule.retained(self._view(account, arrivals, steady_seconds()))
+        return self._policy.retained(self._view(account, callers, steady_seconds()))
 
     async def _step(self) -> None:
         if not self._ledger.is_open or self._ledger.is_closing:
             return
-        for account, arrivals in list(self._arrivals_by_account.items()):
+        for account, callers in list(self._demand_by_account.items()):
             now = steady_seconds()
-            if now < arrivals.ask_at or self._is_home(account):
+            if now < callers.retry_at or self._is_home(account):
                 continue
-            shortfall = self._missing(account, arrivals, now)
+            shortfall = self._shortfall(account, callers, now)
             if not shortfall:
                 continue
-            gathered = await self._lenders.fetch_to_keep(account, shortfall)
-            if gathered.had < shortfall // 2:
-                arrivals.ask_at = steady_seconds() + AGAIN_SECONDS
+            gathered = await self._lenders.borrow_for_reserve(account, shortfall)
+            if gathered.obtained < shortfall // 2:
+                callers.retry_at = steady_seconds() + RETRY_SECONDS
 
-    def _missing(self, account: str, arrivals: CallerDemand, now: float) -> int:
-        return self._rule.shortfall(self._view(account, arrivals, now))
+    def _shortfall(self, account: str, callers: CallerDemand, now: float) -> int:
+        return self._policy.shortfall(self._view(account, callers, now))
 
     def _view(
-        self, account: str, arrivals: CallerDemand, now: float
+        self, account: str, callers: CallerDemand, now: float
     ) -> LocalReserveView:
         return LocalReserveView(
-            demand=arrivals.demand.rate(now),
-            requests=arrivals.requests.rate(now),
-            at_hand=self._ledger.available(account, self._keeper.now_ms()),
+            demand=callers.demand.rate(now),
+            requests=callers.requests.rate(now),
+            available=self._ledger.available(account, self._ledger_sync.now_ms()),
             prepaid=self._ledger.prepaid_by_account.get(account, 0),
         )
 
--- a/tests/ledger_fleet.py
+++ b/tests/ledger_fleet.py
@@ -1,24 +1,24 @@
-"""Ledgers of several routers on one small store, and the truth beside them."""
+"""Ledgers of several routers on an in-memory store, checked against a model."""
 
 import attrs
 
-from lynxchute.budgets import DemandLinePolicy, DemandPolicy, Ledger, Line
+from lynxchute.budgets import DemandLinePolicy, DemandPolicy, Ledger, LimitLine
 from lynxchute.budgets.rows import HolderRow, Totals, holder_id, totals_id
 from lynxchute.store import Committed, Conflict, Row
 
 ACCOUNTS = ("a", "b")
-# Routers of both kinds share budgets while a feature is switched on.
+# Routers with both policies share budgets while the feature is being rolled out.
 POLICIES_BY_VM = {"y": DemandLinePolicy(), "z": DemandLinePolicy()}
-# As it is before any mutant changes it.
-LINE_AT = Line.at
+# The original method, before any mutant patches it.
+LINE_AT = LimitLine.at
 
 
-class Overspent(AssertionError):
+class OverspendError(AssertionError):
     pass
 
 
-class SmallStore:
-    """Versioned rows with conditions; writes may be lost or come late."""
+class InMemoryStore:
+    """Versioned rows with conditional writes, some of which may arrive late."""
 
     def __init__(self):
         self.rows_by_id = {}
@@ -39,7 +39,7 @@
             self.rows_by_id[put.id] = Row(put.id, put.value, self.version)
         return Committed(self.version)
 
-    def write_late(self):
+    def deliver_late(self):
         for write in self.late:
             self.write(write)
         self.late = []
@@ -54,10 +54,10 @@
 
 
 class LedgerFleet:
-    """What the fuzzing drives; `check` compares with the truth."""
+    """Routers driven by the fuzzing; `check` compares them with the actual use."""
 
     def __init__(self, vms=("x", "y", "z"), prepaid=None):
-        self.store = SmallStore()
+        self.store = InMemoryStore()
         self.now_ms = 1_000
         self.prepaid = dict(prepaid or {"a": 1_000, "b": 300})
         self.used = dict.fromkeys(self.prepaid, 0)
@@ -98,11 +98,11 @@
             return
         if fate == "late":
             self.store.late.append(plan.write)
-            ledger.unsure()
+            ledger.record_outcome_unknown()
             return
         outcome = self.store.write(plan.write)
         if fate == "unanswered":
-            ledger.unsure()
+            ledger.record_outcome_unknown()
             return
         ledger.apply_outcome(outcome)
 
@@ -117,7 +117,7 @@
         return problem
 
     def settle(self, number, used):
-        """End a request; its holder may have died meanwhile."""
+        """Settle a request; the process that reserved may have ended since."""
         if not self.open:
             return
         request_id = list(self.open)[number % len(self.open)]
@@ -153,8 +153,8 @@
         if reply in ("taken", "twice", "voided early"):
             borrower.ledger.borrow(account, lent)
 
-    def transfer_out(self, giver, taker, account, fate, *, retained=0):
-        """Pass leftover borrowed tokens on, as the routers' messages do."""
+    def transfer(self, giver, taker, account, fate, *, retained=0):
+        """Send leftover borrowed tokens to another router."""
         if giver is taker or account not in giver.ledger.shares_by_account:
             return
         tokens = giver.ledger.leftover(account, self.time(giver), retained=retained)
@@ -163,10 +163,10 @@
         self.loans += 1
         giver.ledger.transfer_out(account, tokens)
         for _ in range({"lost": 0, "taken": 1, "twice": 2}[fate]):
-            taker.ledger.take_gift(f"g{self.loans}", account, tokens)
+            taker.ledger.transfer_in(f"g{self.loans}", account, tokens)
 
     def restart(self, number):
-        """End a router's process and start another on its VM."""
+        """Kill a router's process and start another on its VM."""
         router = self.routers[number % len(self.routers)]
         before = {a: router.ledger.share(a).own_use for a in self.prepaid}
         was_open = router.ledger.is_open and not router.ledger.fenced
@@ -175,11 +175,11 @@
         router.lag_ms = 0
         for account, used in before.items():
             if was_open and router.ledger.share(account).own_use < used:
-                raise Overspent(f"forgotten: {router.vm} {account} {used}")
+                raise OverspendError(f"forgotten: {router.vm} {account} {used}")
 
-    def raise_prepaid(self, account, tokens, knowing):
+    def raise_prepaid(self, account, tokens, informed):
         self.prepaid[account] += tokens
-        for router in self.routers[:knowing]:
+        for router in self.routers[:informed]:
             router.ledger.prepaid_by_account[account] = self.prepaid[account]
 
     def spent(self, account):
@@ -189,28 +189,30 @@
     def check(self):
         for account, paid in self.prepaid.items():
             if self.spent(account) > paid:
-                raise Overspent(f"overspend: {account} {self.spent(account)} of {paid}")
+                raise OverspendError(
+                    f"overspend: {account} {self.spent(account)} of {paid}"
+                )
             counted = sum(r.ledger.share(account).own_use for r in self.routers)
             if counted < self.spent(account):
-                raise Overspent(f"uncounted: {account} {counted}")
-            self._check_division(account, paid)
+                raise OverspendError(f"uncounted: {account} {counted}")
+            self._check_grants(account, paid)
         for router in self.routers:
             self._check_row(router)
 
-    def _check_division(self, account, paid):
+    def _check_grants(self, account, paid):
         row = self.store.get(totals_id(account))
         by_vm = Totals.decode(row.value).granted_by_vm if row else {}
         if sum(by_vm.values()) > paid:
-            raise Overspent(f"granted: {account} {by_vm} of {paid}")
+            raise OverspendError(f"granted: {account} {by_vm} of {paid}")
         for router in self.routers:
             row = self.store.get(holder_id(router.vm))
             terms = HolderRow.decode(row.value).terms_by_account if row else {}
             own = terms[account].granted if account in terms else 0
             if own != by_vm.get(router.vm, 0):
-                raise Overspent(f"granted: {router.vm} {account} {own} in {by_vm}")
+                raise OverspendError(f"granted: {router.vm} {account} {own} in {by_vm}")
 
     def _check_row(self, router):
-        """A process that started now must not count less than was used."""
+        """A process that starts now must count at least what was used."""
         row = self.store.get(holder_id(router.vm))
         if row is None or not router.ledger.is_open:
             return
@@ -221,6 +223,6 @@
             own_use = router.ledger.share(account).own_use
             limit = min(terms.granted, LINE_AT(terms.line, self.now_ms))
             if own_use > limit:
-                raise Overspent(
+                raise OverspendError(
                     f"beyond the line: {router.vm} {account} {own_use} of {limit}"
                 )
--- a/tests/ledger_machine.py
+++ b/tests/ledger_machine.py
@@ -1,4 +1,4 @@
-"""Stateful fuzzing of grants, lines and loans against the truth."""
+"""Stateful fuzzing of grants, limit lines and loans against a model."""
 
 import hypothesis.strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
@@ -7,7 +7,7 @@
 
 NUMBERS = st.integers(0, 40)
 TOKENS = st.integers(1, 200)
-# More than any budget here holds, so that a broken ledger ends as well.
+# Bounds the loop for a broken ledger; more than any budget here allows.
 MAX_RESERVED = 40
 REPLIES = (
     "taken",
@@ -41,7 +41,7 @@
         self.fleet.now_ms += ms
 
     @rule(router=NUMBERS, lag_ms=st.integers(0, 300))
-    def lag(self, router, lag_ms):
+    def set_clock_lag(self, router, lag_ms):
         self.router(router).lag_ms = lag_ms
 
     @rule(router=NUMBERS, fate=FATES, with_grants=st.booleans())
@@ -49,8 +49,8 @@
         self.fleet.write(self.router(router), fate, with_grants=with_grants)
 
     @rule()
-    def late_writes_land(self):
-        self.fleet.store.write_late()
+    def deliver_late_writes(self):
+        self.fleet.store.deliver_late()
 
     @rule(
         router=NUMBERS,
@@ -63,7 +63,7 @@
             self.fleet.reserve(self.router(router), account, tokens)
 
     @rule(router=NUMBERS, account=st.sampled_from(ACCOUNTS))
-    def reserve_all_there_is(self, router, account):
+    def reserve_all(self, router, account):
         tokens = 256
         for _ in range(MAX_RESERVED):
             if self.fleet.reserve(self.router(router), account, tokens) is not None:
@@ -74,20 +74,20 @@
     @rule(router=NUMBERS, fate=FATES, account=st.sampled_from(ACCOUNTS))
     def write_and_reserve_all(self, router, fate, account):
         self.fleet.write(self.router(router), fate)
-        self.reserve_all_there_is(router, account)
+        self.reserve_all(router, account)
 
     @rule(number=NUMBERS, account=st.sampled_from(ACCOUNTS))
     def restart_and_reserve_all(self, number, account):
         self.fleet.restart(number)
         self.fleet.write(self.router(number), "answered")
         self.fleet.write(self.router(number), "answered")
-        self.reserve_all_there_is(number, account)
+        self.reserve_all(number, account)
 
     @rule(account=st.sampled_from(ACCOUNTS))
-    def everybody_reserves_all(self, account):
+    def reserve_all_everywhere(self, account):
         for number in range(len(self.fleet.routers)):
             self.fleet.write(self.router(number), "answered")
-            self.reserve_all_there_is(number, account)
+            self.reserve_all(number, account)
 
     @rule(used=TOKENS)
     def settle_all(self, used):
@@ -117,27 +117,29 @@
         )
 
     @rule(router=NUMBERS, account=st.sampled_from(ACCOUNTS), tokens=TOKENS)
-    def callers_ask(self, router, account, tokens):
+    def add_demand(self, router, account, tokens):
         share = self.router(router).ledger.share(account)
         share.demand.add(tokens, self.fleet.seconds())
 
     @rule(
         lender=NUMBERS,
-        keeper=NUMBERS,
+        holder=NUMBERS,
         account=st.sampled_from(ACCOUNTS),
         wanted=TOKENS,
         times=st.integers(1, 4),
         reply=st.sampled_from(REPLIES),
     )
-    def keep_and_reserve_all(self, lender, keeper, account, wanted, times, reply):
-        """One router keeps tokens of another; both spend all they can."""
-        lenders, keepers = self.router(lender), self.router(keeper)
+    def lend_for_reserve_and_reserve_all(
+        self, lender, holder, account, wanted, times, reply
+    ):
+        """One router borrows for its reserve; both spend all that they can."""
+        lending, holding = self.router(lender), self.router(holder)
         for _ in range(times):
             self.fleet.lend(
-                lenders, keepers, account, 0, wanted, reply, for_reserve=True
+                lending, holding, account, 0, wanted, reply, for_reserve=True
             )
-        self.reserve_all_there_is(keeper, account)
-        self.reserve_all_there_is(lender, account)
+        self.reserve_all(holder, account)
+        self.reserve_all(lender, account)
 
     @rule(
         lender=NUMBERS,
@@ -146,16 +148,16 @@
         retained=st.sampled_from((0, 0, 2)),
         fate=st.sampled_from(("lost", "taken", "twice")),
     )
-    def keep_and_pass_on(self, lender, account, wanted, retained, fate):
-        """Tokens that one router kept go on to a third; all spend all they can."""
-        first, keeper, taker = (self.router(lender + n) for n in range(3))
+    def lend_for_reserve_and_transfer(self, lender, account, wanted, retained, fate):
+        """One router passes its reserve on to a third; all spend all that they can."""
+        first, holder, taker = (self.router(lender + n) for n in range(3))
         self.fleet.now_ms += 400
         self.fleet.write(first, "answered")
-        self.fleet.lend(first, keeper, account, 0, wanted, "taken", for_reserve=True)
-        keeper.ledger.share(account).is_home = False
-        self.fleet.transfer_out(keeper, taker, account, fate, retained=retained)
+        self.fleet.lend(first, holder, account, 0, wanted, "taken", for_reserve=True)
+        holder.ledger.share(account).is_home = False
+        self.fleet.transfer(holder, taker, account, fate, retained=retained)
         for number in range(3):
-            self.reserve_all_there_is(lender + number, account)
+            self.reserve_all(lender + number, account)
 
     @rule(
         giver=NUMBERS,
@@ -164,13 +166,13 @@
         fate=st.sampled_from(("lost", "taken", "twice")),
         retained=st.sampled_from((0, 0, 5, 50)),
     )
-    def transfer_out(self, giver, taker, account, fate, retained):
+    def transfer(self, giver, taker, account, fate, retained):
         self.router(giver).ledger.share(account).is_home = False
-        self.fleet.transfer_out(
+        self.fleet.transfer(
             self.router(giver), self.router(taker), account, fate, retained=retained
         )
-        self.reserve_all_there_is(giver, account)
-        self.reserve_all_there_is(taker, account)
+        self.reserve_all(giver, account)
+        self.reserve_all(taker, account)
 
     @rule(
         lender=NUMBERS,
@@ -186,11 +188,11 @@
         self.fleet.write(self.router(lender), fate)
         self.fleet.write(self.router(taker), "answered")
         self.fleet.write(self.router(taker), "answered")
-        self.reserve_all_there_is(taker, account)
-        self.reserve_all_there_is(lender, account)
+        self.reserve_all(taker, account)
+        self.reserve_all(lender, account)
 
     @rule(number=NUMBERS, account=st.sampled_from(ACCOUNTS))
-    def a_late_write_lands_after_a_conflict(self, number, account):
+    def deliver_late_write_after_conflict(self, number, account):
         router, other = self.router(number), self.router(number + 1)
         self.fleet.write(router, "answered")
         self.fleet.now_ms += 2_000
@@ -200,8 +202,8 @@
         router.ledger.share(account).waiting += 50
         self.fleet.write(router, "answered")
         router.ledger.share(account).waiting -= 50
-        self.reserve_all_there_is(number, account)
-        self.fleet.store.write_late()
+        self.reserve_all(number, account)
+        self.fleet.store.deliver_late()
 
     @rule(number=NUMBERS)
     def restart(self, number):
@@ -212,30 +214,30 @@
         self.router(router).ledger.share(account).is_home = is_home
 
     @rule(number=NUMBERS, account=st.sampled_from(ACCOUNTS), fate=FATES)
-    def hand_over_and_reserve_all(self, number, account, fate):
-        """One router gives its part back, another takes it; both spend."""
+    def move_home_and_reserve_all(self, number, account, fate):
+        """One router returns its share, another claims it; both spend all they can."""
         old, new = self.router(number), self.router(number + 1)
         old.ledger.share(account).is_home = False
         new.ledger.share(account).is_home = True
         self.fleet.write(old, fate)
         self.fleet.write(new, "answered")
         self.fleet.write(new, "answered")
-        self.reserve_all_there_is(number + 1, account)
-        self.reserve_all_there_is(number, account)
+        self.reserve_all(number + 1, account)
+        self.reserve_all(number, account)
 
     @rule(router=NUMBERS)
-    def begin_to_stop(self, router):
+    def start_closing(self, router):
         self.router(router).ledger.is_closing = True
 
     @rule(
         account=st.sampled_from(ACCOUNTS),
         tokens=TOKENS,
-        knowing=st.integers(0, 3),
+        informed=st.integers(0, 3),
     )
-    def top_up(self, account, tokens, knowing):
-        self.fleet.raise_prepaid(account, tokens, knowing)
+    def top_up(self, account, tokens, informed):
+        self.fleet.raise_prepaid(account, tokens, informed)
 
     @invariant()
-    def spends_no_more_than_was_paid(self):
+    def never_overspends(self):
         type(self).steps += 1
         self.fleet.check()
--- a/tests/ledger_mutants.py
+++ b/tests/ledger_mutants.py
@@ -1,28 +1,28 @@
-"""Break the decisions on grants, lines and loans one by one."""
+"""Mutants: each breaks one decision on grants, limit lines or loans."""
 
 from unittest import mock
 
 import attrs
 
-from lynxchute.budgets import Ledger, Line, Share
+from lynxchute.budgets import Ledger, LimitLine, Share
 from lynxchute.budgets.plan import KnownTotals
 from lynxchute.budgets.rows import HolderRow, Totals
 from lynxchute.budgets.share import Terms
 
 
-def keep_only_confirmed_terms():
+def ignore_unconfirmed_terms():
     def available(self, now_ms):
         return self.terms.limit(now_ms) + self.borrowed - self.used
 
     return mock.patch.object(Share, "available", available)
 
 
-def forget_reservations():
+def ignore_reservations():
     used = property(lambda self: self.settled)
     return mock.patch.object(Share, "used", used)
 
 
-def spend_beyond_the_line():
+def ignore_the_limit_line():
     return mock.patch.object(Terms, "limit", lambda self, now_ms: self.granted)
 
 
@@ -33,30 +33,30 @@
     )
 
 
-def take_over_nothing_used():
+def take_over_without_use():
     take_over = Ledger.take_over
 
-    def take(self, row, now_ms):
+    def take_over_unused(self, row, now_ms):
         take_over(self, row, now_ms)
         for share in self.shares_by_account.values():
             share.settled = 0
 
-    return mock.patch.object(Ledger, "take_over", take)
+    return mock.patch.object(Ledger, "take_over", take_over_unused)
 
 
-def forget_unsure_writes():
-    def unsure(self):
+def treat_unknown_outcomes_as_failed():
+    def record_outcome_unknown(self):
         self.record_write_failed()
 
-    return mock.patch.object(Ledger, "unsure", unsure)
+    return mock.patch.object(Ledger, "record_outcome_unknown", record_outcome_unknown)
 
 
-def drop_all_terms_at_a_conflict():
-    def withdraw(self, plan):
+def discard_all_terms_at_a_conflict():
+    def discard_terms(self, plan):
         for share in self.shares_by_account.values():
-            share.uncertain.clear()
+            share.unconfirmed.clear()
 
-    return mock.patch.object(Ledger, "_withdraw", withdraw)
+    return mock.patch.object(Ledger, "_discard_terms", discard_terms)
 
 
 def lend_without_counting():
@@ -81,35 +81,35 @@
     return mock.patch.object(Ledger, "borrow", twice)
 
 
-def expect_no_version_of_the_division():
-    write = Ledger._write
+def write_totals_unconditionally():
+    write = Ledger._build_write
 
     def unconditional(self, row, totals_by_account):
         planned = write(self, row, totals_by_account)
         return attrs.evolve(planned, expected=planned.expected[:1])
 
-    return mock.patch.object(Ledger, "_write", unconditional)
+    return mock.patch.object(Ledger, "_build_write", unconditional)
 
 
-def expect_no_version_of_the_own_row():
-    write = Ledger._write
+def write_own_row_unconditionally():
+    write = Ledger._build_write
 
     def unconditional(self, row, totals_by_account):
         planned = write(self, row, totals_by_account)
         return attrs.evolve(planned, expected=planned.expected[1:])
 
-    return mock.patch.object(Ledger, "_write", unconditional)
+    return mock.patch.object(Ledger, "_build_write", unconditional)
 
 
-def forget_other_holders():
+def drop_grants_of_other_routers():
     def with_grant(self, vm, granted):
         return Totals({vm: granted})
 
     return mock.patch.object(Totals, "with_grant", with_grant)
 
 
-def run_ahead_of_the_line():
-    at = Line.at
+def read_the_limit_line_ahead_of_time():
+    at = LimitLine.at
 
     def ahead(self, now_ms):
         return at(self, now_ms + 3_000)
@@ -140,20 +140,20 @@
     return mock.patch.object(Ledger, "settle", twice)
 
 
-def believe_old_divisions():
-    def learn(self, rows):
+def use_stale_totals():
+    def update_totals(self, rows):
         for row in rows:
             if row.id.key not in self.totals_by_account:
                 totals = Totals.decode(row.value)
                 self.totals_by_account[row.id.key] = KnownTotals(totals, row.version)
 
-    return Both(
-        mock.patch.object(Ledger, "update_totals", learn),
-        expect_no_version_of_the_division(),
+    return PatchGroup(
+        mock.patch.object(Ledger, "update_totals", update_totals),
+        write_totals_unconditionally(),
     )
 
 
-def write_lines_below_use():
+def write_limit_lines_below_use():
     encode = HolderRow.encode
 
     def low(self):
@@ -177,7 +177,7 @@
     return mock.patch.object(Ledger, "void_loan", void)
 
 
-def keep_without_counting():
+def lend_to_reserves_without_counting():
     lend = Ledger.lend
 
     def free_loan(self, loan_id, account, *, for_reserve=False, **terms):
@@ -189,7 +189,7 @@
     return mock.patch.object(Ledger, "lend", free_loan)
 
 
-def keep_beyond_the_line():
+def lend_to_reserves_beyond_the_limit_line():
     lend = Ledger.lend
 
     def beyond(self, loan_id, account, *, wanted, for_reserve=False, **terms):
@@ -206,11 +206,11 @@
     return mock.patch.object(Ledger, "lend", beyond)
 
 
-def pass_on_without_counting():
+def transfer_without_counting():
     return mock.patch.object(Ledger, "transfer_out", lambda self, account, tokens: None)
 
 
-def pass_on_what_is_reserved():
+def transfer_reserved_tokens():
     def leftover(self, account, now_ms, *, retained=0):
         share = self.shares_by_account[account]
         return 0 if share.is_home else max(share.borrowed - share.settled - retained, 0)
@@ -218,8 +218,8 @@
     return mock.patch.object(Ledger, "leftover", leftover)
 
 
-class Both:
-    """Two patches as one."""
+class PatchGroup:
+    """Several patches applied together."""
 
     def __init__(self, *patches):
         self._patches = patches
@@ -234,25 +234,25 @@
 
 
 MUTANTS = (
-    keep_only_confirmed_terms,
-    forget_reservations,
-    spend_beyond_the_line,
+    ignore_unconfirmed_terms,
+    ignore_reservations,
+    ignore_the_limit_line,
     take_over_without_growth,
-    take_over_nothing_used,
-    forget_unsure_writes,
-    drop_all_terms_at_a_conflict,
+    take_over_without_use,
+    treat_unknown_outcomes_as_failed,
+    discard_all_terms_at_a_conflict,
     lend_without_counting,
     borrow_twice,
-    expect_no_version_of_the_division,
-    expect_no_version_of_the_own_row,
-    forget_other_holders,
-    run_ahead_of_the_line,
+    write_totals_unconditionally,
+    write_own_row_unconditionally,
+    drop_grants_of_other_routers,
+    read_the_limit_line_ahead_of_time,
     settle_twice,
-    believe_old_divisions,
-    write_lines_below_use,
+    use_stale_totals,
+    write_limit_lines_below_use,
     void_a_loan_twice,
-    keep_without_counting,
-    keep_beyond_the_line,
-    pass_on_without_counting,
-    pass_on_what_is_reserved,
+    lend_to_reserves_without_counting,
+    lend_to_reserves_beyond_the_limit_line,
+    transfer_without_counting,
+    transfer_reserved_tokens,
 )
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -1,4 +1,4 @@
-"""Leftover tokens on their way to an account's home."""
+"""Transfers of leftover tokens to an account's home."""
 
 import random
 
@@ -13,7 +13,7 @@
 
 
 class LossyPeers(Peers):
-    """Take messages; the first answers are lost."""
+    """Record messages; the replies to the first ones are lost."""
 
     def __init__(self, lost):
         self.lost = lost
@@ -28,7 +28,7 @@
 
 
 @attrs.define
-class FakeKeeper:
+class FakeLedgerSync:
     ledger: Ledger
 
     def now_ms(self):
@@ -36,7 +36,7 @@
 
 
 class GiftTest(AsyncTestCase):
-    def balance(self, lost):
+    def rebalancer(self, lost):
         self.ledger = Ledger("a-1", "run", DemandPolicy(), parts=1)
         self.members = Members(Member("a-1", "a", "run", "x:1"))
         account = next(
@@ -47,66 +47,66 @@
         self.members.put(Member("a-2", "a", "run-2", "x:2"))
         self.peers = LossyPeers(lost)
         self.account = account
-        return Rebalancer(FakeKeeper(self.ledger), None, self.members, self.peers)
+        return Rebalancer(FakeLedgerSync(self.ledger), None, self.members, self.peers)
 
     def both(self):
         members = Members(Member("a-1", "a", "run", "x:1"))
         members.put(Member("a-2", "a", "run-2", "x:2"))
         return members
 
-    async def send(self, balance, times):
+    async def send(self, rebalancer, times):
         for _ in range(times):
-            for gift in list(balance._gifts):
-                await balance._send(gift)
-
-    def test_a_gift_is_sent_until_the_same_run_has_it(self):
-        async def work():
-            balance = self.balance(lost=2)
-            balance._gifts.append(Gift("g1", self.account, 70))
-            await self.send(balance, 4)
+            for gift in list(rebalancer._gifts):
+                await rebalancer._send_gift(gift)
+
+    def test_a_gift_is_retried_until_the_same_process_confirms_it(self):
+        async def scenario():
+            rebalancer = self.rebalancer(lost=2)
+            rebalancer._gifts.append(Gift("g1", self.account, 70))
+            await self.send(rebalancer, 4)
             self.assertEqual([("a-2", "g1", 70)] * 3, self.peers.taken)
-            self.assertEqual([], balance._gifts)
+            self.assertEqual([], rebalancer._gifts)
 
-        self.run_async(work())
+        self.run_async(scenario())
 
-    def test_a_gift_that_a_run_which_ended_may_have_goes_to_nobody_else(self):
-        async def work():
-            balance = self.balance(lost=1)
-            balance._gifts.append(Gift("g1", self.account, 70))
-            await self.send(balance, 1)
+    def test_a_gift_that_an_ended_process_may_have_is_not_sent_elsewhere(self):
+        async def scenario():
+            rebalancer = self.rebalancer(lost=1)
+            rebalancer._gifts.append(Gift("g1", self.account, 70))
+            await self.send(rebalancer, 1)
             self.members.put(Member("a-2", "a", "run-3", "x:2"))
-            await self.send(balance, 2)
+            await self.send(rebalancer, 2)
             self.assertEqual(1, len(self.peers.taken))
-            self.assertEqual([], balance._gifts)
+            self.assertEqual([], rebalancer._gifts)
             self.assertEqual({}, self.ledger.shares_by_account)
 
-        self.run_async(work())
+        self.run_async(scenario())
 
-    def test_a_router_that_stops_hands_over_all_that_it_was_lent(self):
-        async def work():
-            balance = self.balance(lost=1)
+    def test_a_stopping_router_sends_borrowed_tokens_to_the_home(self):
+        async def scenario():
+            rebalancer = self.rebalancer(lost=1)
             share = self.ledger.share(self.account)
             share.is_home = True
             share.borrowed, share.reserved = 100, 30
             self.ledger.is_closing = True
-            await balance.transfer_borrowed()
-            # The first answer is lost: it goes to the same router again.
-            await balance.transfer_borrowed()
+            await rebalancer.transfer_borrowed()
+            # The first reply is lost, so the same router is sent it again.
+            await rebalancer.transfer_borrowed()
             self.assertEqual([70, 70], [tokens for _, _, tokens in self.peers.taken])
             self.assertEqual(0, share.borrowed - share.used)
-            # What an open request did not use goes later.
+            # Tokens that an open request did not use are sent later.
             share.reserved = 0
-            await balance.transfer_borrowed()
+            await rebalancer.transfer_borrowed()
             self.assertEqual(30, self.peers.taken[-1][2])
 
-        self.run_async(work())
+        self.run_async(scenario())
 
-    def test_where_nobody_else_is_home_it_is_spent_here(self):
-        async def work():
-            balance = self.balance(lost=0)
+    def test_a_gift_without_another_home_is_spent_here(self):
+        async def scenario():
+            rebalancer = self.rebalancer(lost=0)
             self.members.remove("a-2")
-            balance._gifts.append(Gift("g1", self.account, 70))
-            await self.send(balance, 1)
+            rebalancer._gifts.append(Gift("g1", self.account, 70))
+            await self.send(rebalancer, 1)
             self.assertEqual(70, self.ledger.share(self.account).borrowed)
 
-        self.run_async(work())
+        self.run_async(scenario())
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -1,4 +1,4 @@
-"""Budgets against a naive ledger, and who shares what."""
+"""Ledgers against a naive model, grant policies, and budget schemes of the bench."""
 
 import attrs
 import hypothesis.strategies as st
@@ -26,7 +26,7 @@
 
 
 class NaiveLedger:
-    """One number for a budget, as a single process would keep it."""
+    """A budget as one number, as a single process would keep it."""
 
     def __init__(self, paid):
         self.left = paid
@@ -49,8 +49,8 @@
             self.done.add(name)
 
 
-class Whole:
-    """The only router of a fleet, which writes before each refusal."""
+class SingleRouterFleet:
+    """A fleet of one router, which writes to the store before it refuses."""
 
     def __init__(self, paid):
         self.fleet = LedgerFleet(vms=("x",), prepaid={"a": paid})
@@ -83,18 +83,18 @@
 class DifferentialTest(testtools.TestCase):
     @given(OPERATIONS)
     @settings(max_examples=200)
-    def test_the_same_refusals_and_balance_as_a_naive_ledger(self, operations):
-        naive, whole = NaiveLedger(PAID), Whole(PAID)
+    def test_refusals_and_balance_match_a_naive_ledger(self, operations):
+        naive, single = NaiveLedger(PAID), SingleRouterFleet(PAID)
         for kind, number, tokens in operations:
             name = f"r{number}"
             if kind == "reserve":
                 expected = naive.reserve(name, tokens)
-                self.assertEqual(expected, whole.reserve(name, tokens), name)
+                self.assertEqual(expected, single.reserve(name, tokens), name)
             else:
                 used = tokens if kind == "settle" else 0
                 naive.settle(name, used)
-                whole.settle(name, used)
-        share = whole.ledger.share("a")
+                single.settle(name, used)
+        share = single.ledger.share("a")
         self.assertEqual(PAID - naive.left, share.used)
         self.assertEqual(sum(naive.open.values()), share.reserved)
 
@@ -107,7 +107,7 @@
         st.floats(0, 500),
         st.booleans(),
     )
-    def test_it_comes_to_rest(self, granted, used, free, demand, is_home):
+    def test_grants_converge(self, granted, used, free, demand, is_home):
         granted = max(granted, used)
         view = ShareView(
             granted=granted,
@@ -132,7 +132,7 @@
 
 class RendezvousTest(testtools.TestCase):
     @given(st.text(max_size=5), st.sets(st.text(min_size=1, max_size=3), min_size=2))
-    def test_losing_one_moves_only_its_own(self, key, names):
+    def test_removing_a_vm_moves_only_its_keys(self, key, names):
         order = ranked(key, names)
         self.assertEqual(order[1:], ranked(key, names - {order[0]}))
 
@@ -155,7 +155,7 @@
 
 
 class ComparisonTest(testtools.TestCase):
-    """The bench's schemes, on a shorter trace."""
+    """The budget schemes of the bench, compared on a shorter trace."""
 
     SECONDS = 300.0
 
@@ -168,7 +168,7 @@
         faults = budget_scene.scenes(short, self.SECONDS)[scene]
         return play(cls(short), trace, faults)
 
-    def test_escrow_never_overspends_and_refuses_least(self):
+    def test_escrow_never_overspends_and_refuses_fewer_than_fixed_shares(self):
         for scene in ("no_faults", "cut_and_death", "all_die", "store_away"):
             escrow = self.play(Escrow, scene)
             self.assertEqual(0, escrow.overspend)
@@ -178,14 +178,14 @@
         escrow = self.play(Escrow, "no_faults")
         self.assertLessEqual(escrow.false_refusals, 1.05 * central.false_refusals)
 
-    def test_kept_tokens_are_never_overspent_and_few_are_lost(self):
+    def test_local_reserves_are_never_overspent_and_lose_few_tokens(self):
         for scene in ("no_faults", "cut_and_death", "all_die"):
             escrow, kept = self.play(Escrow, scene), self.play(KeptEscrow, scene)
             self.assertEqual(0, kept.overspend)
             self.assertLessEqual(kept.lost, 1.15 * escrow.lost)
             self.assertLessEqual(kept.store_calls, 1.2 * escrow.store_calls)
 
-    def test_a_hot_account_is_served_while_all_routers_are_apart(self):
+    def test_a_hot_account_is_served_while_all_routers_are_partitioned(self):
         (deployment, _) = budget_scene.deployments()
         trace = budget_scene.make_trace(deployment, self.SECONDS, 1, hot=True)
         faults = budget_scene.scenes(deployment, self.SECONDS)["hot_apart"]
--- a/tests/test_gather.py
+++ b/tests/test_gather.py
@@ -1,4 +1,4 @@
-"""Tokens of one budget in the hands of many routers."""
+"""Borrowing when many routers hold a few tokens of one budget each."""
 
 import asyncio
 import time
@@ -13,30 +13,32 @@
 
 ACCOUNT = "kanda"
 HOLDERS = 20
-# What each of them has, and how long it takes to write that it gives it back.
-PIECE = 1_500
+# What each holder has, and how long it takes to write their return to the store.
+TOKENS_PER_HOLDER = 1_500
 WRITE_SECONDS = 0.12
 
 
-class Holders(Peers):
-    """Routers that each lend what they have."""
+class LendingPeers(Peers):
+    """Client for routers that each lend what they have."""
 
-    def __init__(self, dark=()):
-        self.left = {}
-        self.dark = set(dark)
+    def __init__(self, unreachable=()):
+        self.unused = {}
+        self.unreachable = set(unreachable)
         self.asked = []
 
     async def ask(self, vm, message):
         self.asked.append(vm)
-        if vm in self.dark:
+        if vm in self.unreachable:
             raise PeerUnreachable(vm)
         await asyncio.sleep(WRITE_SECONDS)
-        lent = min(self.left.get(vm, PIECE), max(message.needed, message.wanted))
-        self.left[vm] = self.left.get(vm, PIECE) - lent
-        return LendReply(lent, 0, self.left[vm])
+        lent = min(
+            self.unused.get(vm, TOKENS_PER_HOLDER), max(message.needed, message.wanted)
+        )
+        self.unused[vm] = self.unused.get(vm, TOKENS_PER_HOLDER) - lent
+        return LendReply(lent, 0, self.unused[vm])
 
 
-class FakeKeeper:
+class FakeLedgerSync:
     store_answers = True
 
     def __init__(self, ledger):
@@ -46,16 +48,16 @@
         return 0
 
 
-class NoSettlements:
+class FakeSettlements:
     def __init__(self):
         self.void_loans = []
 
-    def void(self, vm, loan):
+    def queue_void(self, vm, loan):
         self.void_loans.append((vm, loan))
 
 
 class GatherTest(AsyncTestCase):
-    """The load: a budget near its end after all routers have lost power."""
+    """The situation: a nearly spent budget after all routers have lost power."""
 
     def setUp(self):
         super().setUp()
@@ -64,40 +66,46 @@
         for number in range(1, HOLDERS + 1):
             vm = f"{'abc'[number % 3]}-{number}"
             self.members.put(Member(vm, vm[0], "run", "127.0.0.1:2"))
-        self.settlements = NoSettlements()
+        self.settlements = FakeSettlements()
 
     def lenders(self, peers):
         lenders = Lenders(
-            FakeKeeper(self.ledger), self.members, peers, self.settlements
+            FakeLedgerSync(self.ledger), self.members, peers, self.settlements
         )
-        lenders.in_order = lambda account: [v for v in self.members.by_vm if v != "a-0"]
+        lenders.candidates = lambda account: [
+            v for v in self.members.by_vm if v != "a-0"
+        ]
         return lenders
 
     def gather(self, peers, tokens):
-        async def work():
-            # The run's row stands, so that what is borrowed can be reserved.
+        async def scenario():
+            # As after the first write, so that borrowed tokens can be reserved.
             self.ledger.is_open = True
             started = time.monotonic()
             until = started + GATHER_SECONDS
             found = await self.lenders(peers).gather(ACCOUNT, tokens, until)
             return found, time.monotonic() - started
 
-        return self.run_async(work())
+        return self.run_async(scenario())
 
-    def test_a_request_finds_its_tokens_in_many_pieces_in_time(self):
-        found, seconds = self.gather(Holders(), 10 * PIECE)
-        self.assertGreaterEqual(self.ledger.share(ACCOUNT).borrowed, 10 * PIECE)
+    def test_a_request_borrows_from_many_holders_in_time(self):
+        found, seconds = self.gather(LendingPeers(), 10 * TOKENS_PER_HOLDER)
+        self.assertGreaterEqual(
+            self.ledger.share(ACCOUNT).borrowed, 10 * TOKENS_PER_HOLDER
+        )
         self.assertEqual([], found.silent)
         self.assertLess(seconds, GATHER_SECONDS + 2 * WRITE_SECONDS)
 
-    def test_no_more_are_asked_than_it_takes(self):
-        peers = Holders()
-        self.gather(peers, PIECE)
+    def test_no_more_holders_are_asked_than_needed(self):
+        peers = LendingPeers()
+        self.gather(peers, TOKENS_PER_HOLDER)
         self.assertLess(len(peers.asked), HOLDERS / 2)
 
-    def test_a_loan_that_may_have_been_made_is_taken_back(self):
-        dark = [vm for vm in self.members.by_vm if vm.startswith("b")]
-        found, _ = self.gather(Holders(dark), 10 * PIECE)
+    def test_loans_without_a_reply_are_voided(self):
+        unreachable = [vm for vm in self.members.by_vm if vm.startswith("b")]
+        found, _ = self.gather(LendingPeers(unreachable), 10 * TOKENS_PER_HOLDER)
         asked = [vm for vm, _ in self.settlements.void_loans]
         self.assertEqual(sorted(found.silent), sorted(asked))
-        self.assertGreaterEqual(self.ledger.share(ACCOUNT).borrowed, 10 * PIECE)
+        self.assertGreaterEqual(
+            self.ledger.share(ACCOUNT).borrowed, 10 * TOKENS_PER_HOLDER
+        )
--- a/tests/test_spending.py
+++ b/tests/test_spending.py
@@ -1,10 +1,10 @@
-"""Budgets over the store, between routers and through outages."""
+"""Budget spending through the store, between routers and during outages."""
 
 import asyncio
 import json
 
 from lynxchute.budgets import DemandPolicy, Ledger
-from lynxchute.budgets.line import Line
+from lynxchute.budgets.line import LimitLine
 from lynxchute.budgets.rows import (
     HOLDERS_TABLE,
     TOTALS_TABLE,
@@ -33,7 +33,7 @@
 from tests.support import AsyncTestCase, until
 
 ROUTERS = ("a-1", "a-2", "b-1")
-# Reservations tried until a budget must be taken; a few hundred are usual.
+# Attempts within which a budget must be fully reserved; a few hundred are usual.
 MAX_TRIES = 3_000
 KANDA = ClientAccount(ACCOUNT, prepaid=1_000_000)
 
@@ -55,7 +55,7 @@
 
 
 def cut_off_all(deployment, outage=Outage.BUSY):
-    """Have the store fail all routers: one that has it would help the others."""
+    """Cut all routers off from the store; one still connected would help the others."""
     for vm in deployment.routers:
         deployment.faults(vm).outage = outage
 
@@ -65,7 +65,7 @@
 
 
 class SpendingTest(PlatformTestCase):
-    def test_each_data_centres_home_holds_a_part(self):
+    def test_the_home_of_each_data_centre_is_granted_tokens(self):
         async def scenario(deployment):
             homes = {home_of(deployment, dc).settings.vm for dc in "ab"}
             await until(lambda: set(granted(deployment)) >= homes)
@@ -121,7 +121,7 @@
 
         self.with_platform(scenario)
 
-    def test_routers_that_are_cut_off_go_on_with_what_they_hold(self):
+    def test_routers_cut_off_from_the_store_spend_their_grants(self):
         async def scenario(deployment):
             for vm in ROUTERS:
                 deployment.faults(vm).outage = Outage.SILENT
@@ -134,24 +134,24 @@
 
         self.with_platform(scenario, routers=ROUTERS)
 
-    def test_in_an_outage_a_request_waits_while_the_line_grows_over_it(self):
+    def test_in_an_outage_a_request_waits_for_the_limit_line_to_grow(self):
         async def scenario(deployment):
             router = deployment.routers["a-1"]
             keeper, ledger = router.keeper, router.keeper.ledger
-            own = ledger.share(ACCOUNT)
-            await until(lambda: own.terms.granted > 300_000)
+            own_share = ledger.share(ACCOUNT)
+            await until(lambda: own_share.terms.granted > 300_000)
             cut_off_all(deployment)
             await until(lambda: not keeper.store_answers)
             now_ms = keeper.now_ms()
-            soon = own.available(now_ms + 250)
-            self.assertGreater(soon, own.available(now_ms))
+            soon = own_share.available(now_ms + 250)
+            self.assertGreater(soon, own_share.available(now_ms))
             started = steady_seconds()
             await reserve(router, soon, "soon")
             self.assertLess(steady_seconds() - started, 0.5)
-            # What the line does not cover in time is refused at once.
+            # A request that the limit line will not cover in time is refused at once.
             started = steady_seconds()
             with self.assertRaises(BudgetUnreachable):
-                await reserve(router, own.terms.granted - soon, "late")
+                await reserve(router, own_share.terms.granted - soon, "late")
             self.assertLess(steady_seconds() - started, 0.2)
 
         self.with_platform(scenario, routers=("a-1",))
@@ -160,51 +160,51 @@
         async def scenario(deployment):
             home, lender = home_of(deployment, "a"), home_of(deployment, "b")
             await until(lambda: lender.keeper.ledger.unused(ACCOUNT) > 300_000)
-            own = home.keeper.ledger.share(ACCOUNT)
-            # All of the own part is in use.
-            own.settled = own.terms.granted
-            home.keeper.touch()
+            own_share = home.keeper.ledger.share(ACCOUNT)
+            # The whole grant is in use.
+            own_share.settled = own_share.terms.granted
+            home.keeper.record_use()
             now_ms = home.keeper.now_ms
-            await until(lambda: own.available(now_ms()) >= 0)
+            await until(lambda: own_share.available(now_ms()) >= 0)
             cut_off_all(deployment)
             await reserve(home, 3_000, "r1")
-            self.assertGreaterEqual(own.borrowed, 3_000)
+            self.assertGreaterEqual(own_share.borrowed, 3_000)
             self.assertGreaterEqual(lender.keeper.ledger.share(ACCOUNT).settled, 3_000)
 
         self.with_platform(scenario, routers=ROUTERS)
 
-    def test_tokens_that_could_not_be_given_back_can_be_lent(self):
+    def test_tokens_not_returned_to_an_unreachable_store_can_be_lent(self):
         async def scenario(deployment):
             home, lender = home_of(deployment, "a"), home_of(deployment, "b")
             await until(lambda: lender.keeper.ledger.unused(ACCOUNT) > 300_000)
-            own = home.keeper.ledger.share(ACCOUNT)
-            own.settled = own.terms.granted
-            # As after spending it: no line is below what is used.
+            own_share = home.keeper.ledger.share(ACCOUNT)
+            own_share.settled = own_share.terms.granted
+            # As after spending it: no limit line is below the use.
             home.keeper.request_write()
-            await until(lambda: own.terms.line.base >= own.settled)
+            await until(lambda: own_share.terms.line.base >= own_share.settled)
             cut_off_all(deployment, Outage.SILENT)
-            # Nobody knows yet that the store is away, so that the lender tries
-            # to give tokens back there, as often as it is asked.
+            # No router knows yet that the store is unreachable, so the lender tries
+            # to return tokens there each time it is asked.
             keeper = lender.keeper
             asks = [keeper.release(ACCOUNT, 60_000, 60_000) for _ in range(5)]
             self.assertEqual([0] * 5, await asyncio.gather(*asks))
             self.assertEqual(0, keeper.ledger.share(ACCOUNT).releasing)
-            # After the line's slow phase.
+            # After the limit line's slow phase.
             await asyncio.sleep(4.0)
             await reserve(home, 30_000, "r1")
-            self.assertGreaterEqual(own.borrowed, 30_000)
+            self.assertGreaterEqual(own_share.borrowed, 30_000)
 
         self.with_platform(scenario, routers=ROUTERS)
 
-    def test_a_caller_is_told_to_come_back_after_an_outage_and_is_served(self):
+    def test_a_retry_after_a_refusal_in_an_outage_is_served(self):
         async def scenario(deployment):
             home = home_of(deployment, "a")
-            own = home.keeper.ledger.share(ACCOUNT)
-            await until(lambda: own.terms.granted > 300_000)
-            # All that is here is used; the rest lies in the other data centre.
-            own.settled = own.terms.granted
+            own_share = home.keeper.ledger.share(ACCOUNT)
+            await until(lambda: own_share.terms.granted > 300_000)
+            # The grant here is used up; the other data centre holds the rest.
+            own_share.settled = own_share.terms.granted
             home.keeper.request_write()
-            await until(lambda: own.terms.line.base >= own.settled)
+            await until(lambda: own_share.terms.line.base >= own_share.settled)
             cut_off_all(deployment)
             (far,) = [r for vm, r in deployment.routers.items() if vm[0] == "b"]
             await far.peer_server.server.kill()
@@ -213,9 +213,9 @@
             status, headers, _ = await caller.stream(**asked)
             self.assertEqual(503, status)
             wait = float(headers["retry-after"])
-            # A third of the time that is left is the most that callers honour.
+            # Callers honour at most a third of the remaining deadline.
             self.assertLess(wait, 4.1)
-            # The outage ends before it is over, if not within a second.
+            # The outage ends before the delay does, but not within a second.
             await asyncio.sleep(wait / 2)
             cut_off_all(deployment, Outage.NONE)
             await asyncio.sleep(wait / 2)
@@ -224,18 +224,18 @@
 
         self.with_platform(scenario, routers=ROUTERS)
 
-    def test_a_lender_raises_its_line_for_what_a_request_needs(self):
+    def test_a_lender_raises_its_limit_line_for_a_request(self):
         async def scenario(deployment):
             lender = home_of(deployment, "b")
             await until(lambda: lender.keeper.ledger.unused(ACCOUNT) > 300_000)
-            lender.keeper._grant_pause.until = float("inf")
+            lender.keeper._grant_backoff.until = float("inf")
             loan = LendRequest("l1", ACCOUNT, 200_000, 200_000, True)
-            reply = await lender.relay._budgets._serve_lend(loan)
+            reply = await lender.relay._budgets._handle_lend(loan)
             self.assertEqual((200_000, 0), (reply.lent, reply.released))
 
         self.with_platform(scenario, routers=ROUTERS)
 
-    def test_stand_ins_are_not_asked_what_the_home_has_answered(self):
+    def test_no_second_home_is_asked_after_the_first_found_no_tokens(self):
         async def scenario(deployment):
             home = home_of(deployment, "a")
             (other,) = [
@@ -253,7 +253,7 @@
         async def scenario(deployment):
             home, other = home_of(deployment, "a"), home_of(deployment, "b")
             await until(lambda: other.settings.vm in granted(deployment))
-            home.keeper.look_soon()
+            home.keeper.request_refresh()
             home.keeper.request_write()
             known = home.keeper.ledger.totals_by_account
             await until(
@@ -262,18 +262,18 @@
             now = steady_seconds()
             for router in others(deployment, home):
                 home.members.note_silence(router.settings.vm, now)
-            own = home.keeper.ledger.share(ACCOUNT)
-            own.settled = own.terms.granted
+            own_share = home.keeper.ledger.share(ACCOUNT)
+            own_share.settled = own_share.terms.granted
             needed = home.keeper.ledger.free(ACCOUNT) + 100
             with self.assertRaises(BudgetUnreachable):
                 await reserve(home, needed, "r1")
-            # More than there is in all, whoever is silent.
+            # More than the budget holds in total, whatever the silent routers hold.
             with self.assertRaises(BudgetExhausted):
                 await reserve(home, 990_000, "r2")
 
         self.with_platform(scenario, routers=ROUTERS)
 
-    def test_a_home_that_is_down_is_stood_in_for(self):
+    def test_another_router_replaces_a_home_that_is_down(self):
         async def scenario(deployment):
             home = home_of(deployment, "a")
             (other,) = [
@@ -285,7 +285,7 @@
 
         self.with_platform(scenario, routers=ROUTERS)
 
-    def test_a_reservation_whose_answer_is_lost_is_taken_back(self):
+    def test_a_reservation_whose_answer_is_lost_is_cancelled(self):
         async def scenario(deployment):
             home = home_of(deployment, "a")
             (other,) = [
@@ -296,7 +296,7 @@
             answers = {**server.answers_by_class}
 
             async def reserve_and_hang(request):
-                await budgets.reserve_here(request)
+                await budgets.reserve_locally(request)
                 await asyncio.sleep(2)
 
             for cls in answers:
@@ -308,7 +308,7 @@
 
         self.with_platform(scenario, routers=ROUTERS)
 
-    def test_a_loan_whose_answer_is_lost_is_taken_back(self):
+    def test_a_loan_whose_answer_is_lost_is_voided(self):
         async def scenario(deployment):
             home, lender = home_of(deployment, "a"), home_of(deployment, "b")
             await until(lambda: lender.keeper.ledger.unused(ACCOUNT) > 300_000)
@@ -325,13 +325,13 @@
                 return reply
 
             answers[LendRequest] = lend_and_hang
-            lender.keeper._grant_pause.until = float("inf")
+            lender.keeper._grant_backoff.until = float("inf")
             budgets = home.relay._budgets
             gathered = await budgets.lenders.gather(
                 ACCOUNT, 10**6, steady_seconds() + 0.1
             )
-            self.assertEqual(0, gathered.had)
-            # Its asker may also leave before the answer comes.
+            self.assertEqual(0, gathered.obtained)
+            # The borrower may also be cancelled before the reply arrives.
             home.members.note_answer(lender.members.own.vm)
             asking = asyncio.create_task(budgets.lenders.fill(ACCOUNT, 1_000))
             await until(lambda: len(lent) == 2)
@@ -342,7 +342,7 @@
 
         self.with_platform(scenario, routers=ROUTERS)
 
-    def test_a_restarted_router_knows_what_was_spent_at_most(self):
+    def test_a_restarted_router_counts_what_may_have_been_spent(self):
         async def scenario(deployment):
             router = deployment.routers["a-1"]
             for number in range(5):
@@ -350,16 +350,16 @@
             await asyncio.sleep(0.7)
             spent = router.keeper.ledger.share(ACCOUNT).used
             await router.kill()
-            again = await deployment.start_router("a-1")
-            await until(lambda: again.keeper.ledger.is_open)
-            ledger = again.keeper.ledger
+            restarted = await deployment.start_router("a-1")
+            await until(lambda: restarted.keeper.ledger.is_open)
+            ledger = restarted.keeper.ledger
             self.assertGreaterEqual(ledger.share(ACCOUNT).settled, spent)
             await until(lambda: ledger.unused(ACCOUNT) > 100_000)
-            await reserve(again, 10_000, "r9")
+            await reserve(restarted, 10_000, "r9")
 
         self.with_platform(scenario, routers=("a-1",))
 
-    def test_a_stopping_router_gives_back_what_it_does_not_need(self):
+    def test_a_stopping_router_returns_its_unused_grant(self):
         async def scenario(deployment):
             router = deployment.routers["a-1"]
             await reserve(router, 10_000, "r1")
@@ -368,7 +368,7 @@
 
         self.with_platform(scenario, routers=("a-1",))
 
-    def test_a_router_that_stops_while_cut_off_leaves_its_count_with_others(self):
+    def test_other_routers_keep_the_final_use_of_one_stopped_without_the_store(self):
         async def scenario(deployment):
             router = deployment.routers["a-1"]
             home = home_of(deployment, "a")
@@ -380,17 +380,17 @@
             self.assertFalse(await home.keeper.close(now + 0.3))
             await home.final_uses.announce()
             await home.kill()
-            # The line has grown to all of the grant by now.
+            # By then, the limit line allows the whole grant.
             await asyncio.sleep(5.0)
             cut_off_all(deployment, Outage.NONE)
-            again = await deployment.start_router(vm)
-            await until(lambda: again.keeper.ledger.is_open)
-            self.assertEqual(10_000, again.keeper.ledger.share(ACCOUNT).settled)
-            self.assertIsNot(router, again)
+            restarted = await deployment.start_router(vm)
+            await until(lambda: restarted.keeper.ledger.is_open)
+            self.assertEqual(10_000, restarted.keeper.ledger.share(ACCOUNT).settled)
+            self.assertIsNot(router, restarted)
 
         self.with_platform(scenario, routers=ROUTERS)
 
-    def test_a_stop_without_the_store_tells_everybody_at_once(self):
+    def test_a_router_stopping_without_the_store_sends_its_final_use_early(self):
         async def scenario(deployment):
             home = home_of(deployment, "a")
             await reserve(home, 10_000, "r1")
@@ -399,8 +399,8 @@
             stop = asyncio.create_task(home.drain())
 
             def is_kept(router):
-                kept = router.final_uses._kept_by_vm.get(home.settings.vm)
-                return kept is not None and kept.used_by_account == {ACCOUNT: 10_000}
+                final = router.final_uses._final_use_by_vm.get(home.settings.vm)
+                return final is not None and final.used_by_account == {ACCOUNT: 10_000}
 
             await until(lambda: all(map(is_kept, others(deployment, home))), timeout=2)
             self.assertFalse(stop.done())
@@ -408,7 +408,7 @@
 
         self.with_platform(scenario, routers=ROUTERS)
 
-    def test_lost_and_late_writes_cost_nothing(self):
+    def test_lost_and_late_writes_lose_no_tokens(self):
         async def scenario(deployment):
             for vm in ROUTERS:
                 faults = deployment.faults(vm)
@@ -429,10 +429,10 @@
             lines = json.loads(deployment.store.value(HOLDERS_TABLE, home, home))
             self.assertIn(ACCOUNT, lines["shares"])
 
-        # Half of all writes give no answer, so that it waits for most of them.
+        # Half of all writes get no reply, so this takes long.
         self.with_platform(scenario, routers=ROUTERS, timeout=300)
 
-    def test_a_stranger_gets_nothing_from_the_peers_port(self):
+    def test_the_peer_port_rejects_unauthenticated_requests(self):
         async def scenario(deployment):
             from lynxchute.http import HttpClient
 
@@ -454,7 +454,7 @@
 
 
 class ContendedStore(Store):
-    """Have another router's write come first whenever a grant is to change."""
+    """Store that answers every change of grants with a conflict."""
 
     def __init__(self):
         self.clock = StoreClock()
@@ -483,47 +483,49 @@
         return Snapshot(tuple(rows), self.version)
 
     async def changes(self, table, *, after, wait):
-        raise StoreUnavailable("nobody asks")
+        raise StoreUnavailable("not used by this test")
 
 
 class ContentionTest(AsyncTestCase):
-    def test_lines_are_written_while_others_change_the_grants(self):
+    def test_limit_lines_are_written_despite_conflicts_over_grants(self):
         async def scenario():
             store = ContendedStore()
             own = holder_id("a-1", "a-1")
-            left = HolderRow("before", 1, {ACCOUNT: Terms(10_000, Line.flat(0))})
+            left = HolderRow("before", 1, {ACCOUNT: Terms(10_000, LimitLine.flat(0))})
             store.rows[own] = Row(own, left.encode(), 1)
             settled = asyncio.Event()
             settled.set()
 
-            async def nothing():
+            async def no_wait():
                 return None
 
             ledger = Ledger("a-1", "now", DemandPolicy(), parts=2, store_part="a-1")
             ledger.prepaid_by_account[ACCOUNT] = 1_000_000
-            keeper = LedgerSync(
+            ledger_sync = LedgerSync(
                 ledger,
                 store,
                 lambda account: ["a-1"],
                 settled=settled,
                 started_at=steady_seconds(),
-                before_first_write=nothing,
+                before_first_write=no_wait,
             )
-            await keeper.start()
+            await ledger_sync.start()
             for number in range(10):
                 until_s = steady_seconds() + 2.0
-                self.assertTrue(await keeper.cover(ACCOUNT, 900, until_s))
+                self.assertTrue(
+                    await ledger_sync.wait_until_covered(ACCOUNT, 900, until_s)
+                )
                 problem = ledger.reserve(
-                    f"r{number}", ACCOUNT, 900, now_ms=keeper.now_ms()
+                    f"r{number}", ACCOUNT, 900, now_ms=ledger_sync.now_ms()
                 )
                 self.assertIsNone(problem)
-            await keeper.stop()
+            await ledger_sync.stop()
             self.assertGreater(store.conflicts, 0)
 
         self.run_async(scenario())
 
 
 def open_requests(router):
-    """Return the requests for which a router holds reservations."""
+    """Return the ids of requests for which a router holds reservations."""
     reservations = router.keeper.ledger.reservations_by_id
     return [reservation_id.partition(".")[0] for reservation_id in reservations]
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -1,4 +1,4 @@
-"""Tokens that stand where an account's callers arrive."""
+"""Local reserves: tokens held where an account's callers arrive."""
 
 import asyncio
 import socket
@@ -12,7 +12,7 @@
 from lynxchute.budgets.standing import (
     LocalReservePolicy,
     LocalReserveView,
-    lent_to_keep,
+    reserve_loan_size,
 )
 from lynxchute.edge.settings import Features
 from lynxchute.fleet.messages import LendRequest
@@ -25,12 +25,12 @@
 AMOUNTS = st.integers(0, 10**9)
 
 
-def retained(**more):
-    values = {"demand": 500.0, "requests": 2.0, "at_hand": 0, "prepaid": 10**6}
+def reserve_view(**more):
+    values = {"demand": 500.0, "requests": 2.0, "available": 0, "prepaid": 10**6}
     return LocalReserveView(**{**values, **more})
 
 
-def share(**more):
+def share_view(**more):
     values = {
         "granted": 100_000,
         "used": 0,
@@ -45,41 +45,45 @@
     return ShareView(**{**values, **more})
 
 
-class RuleTest(testtools.TestCase):
-    def test_callers_who_come_regularly_are_kept_tokens_for_a_cut(self):
-        self.assertEqual(3_000, LocalReservePolicy().shortfall(retained()))
+class ReservePolicyTest(testtools.TestCase):
+    def test_steady_callers_get_a_reserve(self):
+        self.assertEqual(3_000, LocalReservePolicy().shortfall(reserve_view()))
 
-    def test_nothing_is_kept_for_a_request_now_and_then(self):
-        self.assertEqual(0, LocalReservePolicy().shortfall(retained(requests=0.1)))
-        self.assertEqual(0, LocalReservePolicy().retained(retained(requests=0.1)))
+    def test_occasional_requests_get_no_reserve(self):
+        self.assertEqual(0, LocalReservePolicy().shortfall(reserve_view(requests=0.1)))
+        self.assertEqual(0, LocalReservePolicy().retained(reserve_view(requests=0.1)))
 
-    def test_who_has_enough_asks_nobody(self):
-        self.assertEqual(0, LocalReservePolicy().shortfall(retained(at_hand=1_500)))
-        self.assertEqual(1_501, LocalReservePolicy().shortfall(retained(at_hand=1_499)))
+    def test_no_tokens_are_borrowed_above_the_refill_threshold(self):
+        self.assertEqual(
+            0, LocalReservePolicy().shortfall(reserve_view(available=1_500))
+        )
+        self.assertEqual(
+            1_501, LocalReservePolicy().shortfall(reserve_view(available=1_499))
+        )
 
-    def test_a_small_budget_is_not_cut_into_pieces(self):
-        self.assertEqual(100, LocalReservePolicy().full(retained(prepaid=3_200)))
+    def test_a_reserve_is_a_small_part_of_the_budget(self):
+        self.assertEqual(100, LocalReservePolicy().target(reserve_view(prepaid=3_200)))
 
     @given(AMOUNTS, st.integers(-(10**9), 10**9))
-    def test_a_lender_gives_a_part_of_what_it_can_spare(self, wanted, spare):
-        lent = lent_to_keep(wanted, spare)
+    def test_a_lender_lends_at_most_an_eighth_of_its_spare_tokens(self, wanted, spare):
+        lent = reserve_loan_size(wanted, spare)
         self.assertLessEqual(lent, max(spare, 0) // 8)
         self.assertLessEqual(lent, wanted)
         self.assertGreaterEqual(lent, 0)
 
 
 class LinePolicyTest(testtools.TestCase):
-    """The load: an account that sends many times its usual, at a slow router."""
+    """The situation: an account with many times its usual load, at a slow router."""
 
-    def test_the_line_of_a_busy_account_covers_a_slow_write(self):
-        busy = share(demand=15_000.0)
+    def test_the_limit_line_of_a_busy_account_covers_a_slow_write(self):
+        busy = share_view(demand=15_000.0)
         self.assertGreaterEqual(DemandLinePolicy().burst(busy), 7_500)
         self.assertLess(DemandPolicy().burst(busy), 2_000)
         self.assertGreaterEqual(DemandLinePolicy().rate(busy), 8_000)
 
-    def test_the_line_of_a_quiet_account_is_as_it_was(self):
+    def test_the_limit_line_of_a_quiet_account_is_unchanged(self):
         for demand in (0.0, 10.0, 1_000.0):
-            quiet = share(demand=demand)
+            quiet = share_view(demand=demand)
             self.assertEqual(
                 DemandPolicy().burst(quiet), DemandLinePolicy().burst(quiet)
             )
@@ -87,14 +91,14 @@
 
     @given(
         st.builds(
-            share,
+            share_view,
             granted=AMOUNTS,
             used=AMOUNTS,
             demand=st.floats(0, 1e9),
             waiting=st.integers(0, 10**6),
         )
     )
-    def test_a_death_costs_a_bounded_part_of_the_grant(self, seen):
+    def test_a_crash_loses_a_bounded_part_of_the_grant(self, seen):
         seen = attrs.evolve(seen, granted=seen.granted + seen.used)
         headroom = seen.granted - seen.used
         policy = DemandLinePolicy()
@@ -117,35 +121,35 @@
             name, "a", needed=0, wanted=wanted, now_ms=now_ms, now=now, for_reserve=True
         )
 
-    def test_what_others_keep_counts_as_the_lenders_demand_and_may_be_unused(self):
+    def test_reserve_loans_count_as_demand_of_the_lender(self):
         lent = self.lend("l1", 400)
         self.assertEqual(400, lent)
         self.assertEqual(100.0, self.ledger.share("a").demand.rate(1.0))
-        self.assertEqual(400, self.ledger.kept_elsewhere("a", 1.0))
-        self.assertLess(self.ledger.kept_elsewhere("a", 30.0), 5)
+        self.assertEqual(400, self.ledger.lent_reserves("a", 1.0))
+        self.assertLess(self.ledger.lent_reserves("a", 30.0), 5)
 
-    def test_a_lender_keeps_what_its_own_callers_ask_for(self):
+    def test_a_lender_holds_back_tokens_for_its_own_demand(self):
         share = self.ledger.share("a")
         share.demand.add(2 * share.headroom, 1.0)
         self.assertEqual(0, self.lend("l1", 400))
 
-    def test_a_loan_does_not_pass_the_lenders_line(self):
+    def test_loans_stay_below_the_lenders_limit_line(self):
         at_hand = self.ledger.available("a", self.fleet.now_ms)
         total = sum(self.lend(f"l{n}", 10**6) for n in range(50))
         self.assertLessEqual(total, at_hand)
         self.assertEqual(at_hand - total, self.ledger.available("a", self.fleet.now_ms))
 
 
-class StandingTest(PlatformTestCase):
+class LocalReserveTest(PlatformTestCase):
     FEATURES = Features(demand_lines=True)
 
-    def part(self, deployment):
-        """Cut all routers off from one another and from the store."""
+    def isolate_routers(self, deployment):
+        """Cut all routers off from each other and from the store."""
         cut_off_all(deployment)
         for router in deployment.routers.values():
             router.peers.address_of = lambda member: "127.0.0.1:1"
 
-    async def serve_and_part(self, deployment):
+    async def serve_requests(self, deployment):
         home = home_of(deployment, "a")
         (other,) = [
             r for vm, r in deployment.routers.items() if vm[0] == "a" and r != home
@@ -155,20 +159,20 @@
             reservation.settle(500)
         return home, other
 
-    def test_a_router_that_is_alone_serves_callers_who_came_before(self):
+    def test_an_isolated_router_serves_earlier_callers(self):
         async def scenario(deployment):
-            _, other = await self.serve_and_part(deployment)
+            _, other = await self.serve_requests(deployment)
             ledger = other.keeper.ledger
             await until(lambda: ledger.share(ACCOUNT).borrowed > 0)
             at_hand = ledger.available(ACCOUNT, other.keeper.now_ms())
-            self.part(deployment)
+            self.isolate_routers(deployment)
             for number in range(at_hand // 500):
                 await reserve(other, 500, f"alone {number}")
             self.assertEqual(0, ledger.share(ACCOUNT).own_use)
 
         self.with_platform(scenario, routers=ROUTERS, features=self.FEATURES)
 
-    def test_nothing_is_sent_for_a_caller_whose_close_has_arrived(self):
+    def test_nothing_is_sent_for_a_caller_that_has_closed(self):
         async def scenario(deployment):
             router = deployment.routers["a-1"]
             ledger = router.keeper.ledger
@@ -176,7 +180,8 @@
             head = PlatformCaller(deployment).headers("left", tokens=(100, 60))
             lines = "".join(f"{name}: {value}\r\n" for name, value in head)
             request = f"POST /stream/x HTTP/1.1\r\n{lines}Content-Length: 1\r\n\r\nx"
-            # Both arrive before the router reads: its loop runs only after that.
+            # The request and the close both arrive before the router's loop runs and
+            # reads them.
             with socket.create_connection(("127.0.0.1", router.callers.port)) as sock:
                 await until(lambda: router.callers.connections)
                 sock.sendall(request.encode())
@@ -186,19 +191,19 @@
 
         self.with_platform(scenario, routers=("a-1",), features=self.FEATURES)
 
-    def test_without_the_feature_it_has_nothing(self):
+    def test_without_the_feature_there_is_no_reserve(self):
         async def scenario(deployment):
-            _, other = await self.serve_and_part(deployment)
-            self.part(deployment)
+            _, other = await self.serve_requests(deployment)
+            self.isolate_routers(deployment)
             with self.assertRaises(BudgetUnreachable):
                 await reserve(other, 500, "alone")
             self.assertEqual(0, other.keeper.ledger.share(ACCOUNT).borrowed)
 
         self.with_platform(scenario, routers=ROUTERS)
 
-    def test_tokens_go_back_when_callers_stay_away(self):
+    def test_unused_reserves_return_to_the_home(self):
         async def scenario(deployment):
-            home, other = await self.serve_and_part(deployment)
+            home, other = await self.serve_requests(deployment)
             ledger = other.keeper.ledger
             await until(lambda: ledger.share(ACCOUNT).borrowed > 0)
             now_ms = other.keeper.now_ms
@@ -208,7 +213,7 @@
 
         self.with_platform(scenario, routers=ROUTERS, features=self.FEATURES)
 
-    def test_a_home_that_has_nothing_left_asks_who_keeps_some(self):
+    def test_a_home_asks_routers_that_hold_reserves(self):
         async def scenario(deployment):
             home = home_of(deployment, "a")
             (other,) = [
@@ -223,6 +228,6 @@
             )
             reply = await other.peers.ask(home.settings.vm, ask)
             self.assertEqual(900, reply.lent)
-            self.assertIn(vm, home.balance._lenders.in_order(ACCOUNT))
+            self.assertIn(vm, home.balance._lenders.candidates(ACCOUNT))
 
         self.with_platform(scenario, routers=ROUTERS, features=self.FEATURES)
