--- a/lynxchute/callers/__init__.py
+++ b/lynxchute/callers/__init__.py
@@ -1,1 +1,1 @@
-"""The product's own interface for callers: chat completions and plain calls."""
+"""The product's own caller API: chat completions and plain calls."""
--- a/lynxchute/callers/dialect.py
+++ b/lynxchute/callers/dialect.py
@@ -1,4 +1,4 @@
-"""Chat completions and plain calls, towards callers and upstreams."""
+"""Encoding and decoding of chat completions and plain calls."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import h11
 
 from lynxchute.callers import names
-from lynxchute.callers.question import Question, parse_chat_request
+from lynxchute.callers.question import ChatRequest, parse_chat_request
 from lynxchute.config.document import hash_key
 from lynxchute.config.from_document import CHAT_PATH
 from lynxchute.http import BadRequest, Headers, Request
@@ -22,10 +22,10 @@
 from lynxchute.upstreams.statement_headers import StatementHeaders
 
 BEARER = "bearer "
-# Ids longer than this name nothing that anyone looks up.
+# Maximum length of a request id; longer ones are not useful for lookups.
 MAX_ID_CHARACTERS = 200
 ID_BYTES = 16
-# The lengths are given on their own, or would break the framing here.
+# The length is set separately; a forwarded length header would break the framing.
 NOT_FORWARDED = names.ROUTER_ONLY | {
     "content-length",
     "expect",
@@ -33,37 +33,36 @@
 }
 NOT_RETURNED = frozenset({"content-length"})
 STATEMENT_HEADERS = StatementHeaders(names.LIMIT, names.LEAVING)
-USAGE = re.compile(rb'"usage":\s*\{[^{}]*"total_tokens":\s*([0-9]{1,12})')
+USAGE_PATTERN = re.compile(rb'"usage":\s*\{[^{}]*"total_tokens":\s*([0-9]{1,12})')
 
 
 @attrs.frozen
 class ChatCall(Call):
-    """A chat completion.
+    """A chat completion call.
 
     Attributes
     ----------
     wants_usage
-        Whether a stream is to end with an event that tells the tokens used.
+        Whether the caller asked for a final stream event with the token usage.
     """
 
     wants_usage: bool = False
 
 
 class ChatDialect(Dialect):
-    """Decode and encode the product's own interface.
+    """Dialect of the product's own API.
 
     Parameters
     ----------
     max_answer_tokens
-        Tokens of the longest answer that a caller may ask for; what one gets
-        that does not say.
+        Largest number of output tokens that a caller may request, and the default.
     """
 
     def __init__(self, max_answer_tokens: int) -> None:
         self._max_answer_tokens = max_answer_tokens
 
     def read(self, request: Request) -> Call:
-        """Return what a request asks for."""
+        """Decode a request."""
         headers = request.headers
         request_id = headers.get(names.REQUEST_ID.lower(), "")
         if len(request_id) > MAX_ID_CHARACTERS:
@@ -71,10 +70,10 @@
             raise Refusal(Reason.MALFORMED, title)
         request_id = request_id or secrets.token_hex(ID_BYTES)
         key = bearer_key(headers)
-        hashed = hash_key(key) if key else ""
+        key_hash = hash_key(key) if key else ""
         if request.path == CHAT_PATH:
-            return self._read_chat(request, request_id, hashed)
-        return Call(request=request, request_id=request_id, host="", key=hashed)
+            return self._read_chat(request, request_id, key_hash)
+        return Call(request=request, request_id=request_id, host="", key=key_hash)
 
     def _read_chat(self, request: Request, request_id: str, key: str) -> Call:
         if request.method != "POST":
@@ -82,25 +81,25 @@
         parsed = parse_chat_request(request)
         if parsed.is_error():
             raise Refusal(Reason.MALFORMED, " ".join(parsed.error))
-        question: Question = parsed.ok
-        most = self._max_answer_tokens
-        if question.max_tokens is not None and question.max_tokens > most:
-            raise Refusal(Reason.MALFORMED, f"'max_tokens' may be at most {most}.")
-        max_tokens = question.max_tokens or most
+        chat_request: ChatRequest = parsed.ok
+        limit = self._max_answer_tokens
+        if chat_request.max_tokens is not None and chat_request.max_tokens > limit:
+            raise Refusal(Reason.MALFORMED, f"'max_tokens' may be at most {limit}.")
+        max_tokens = chat_request.max_tokens or limit
         return ChatCall(
-            request=attrs.evolve(request, body=question.for_engine(max_tokens)),
+            request=attrs.evolve(request, body=chat_request.engine_body(max_tokens)),
             request_id=request_id,
-            host=question.model,
+            host=chat_request.model,
             key=key,
             last_event_id=request.headers.get(names.LAST_EVENT.lower(), ""),
-            generation=question.generation(request_id, max_tokens),
-            wants_usage=question.wants_usage,
+            generation=chat_request.generation(request_id, max_tokens),
+            wants_usage=chat_request.wants_usage,
         )
 
     def upstream_headers(
         self, call: Call, dispatch: Dispatch
     ) -> list[tuple[bytes, bytes]]:
-        """Return the headers of a send, without the body's length."""
+        """Return the request headers for an upstream, except for the body length."""
         dropped = NOT_FORWARDED | {names.LAST_EVENT.lower()}
         headers = call.request.headers.end_to_end(dropped)
         own = [
@@ -118,11 +117,11 @@
         return headers
 
     def is_answer(self, call: Call, head: h11.Response) -> bool:
-        """Return whether an answer is one to this call."""
+        """Return whether a response belongs to this call."""
         return is_for_request(head, names.REQUEST_ID, call.request_id)
 
     def response_kind(self, status: int, headers: Headers) -> ResponseKind:
-        """Return what the head of an answer says."""
+        """Classify a response by its status and headers."""
         if status == 421:
             return ResponseKind.MOVED
         if headers.get(names.RUN.lower()) == names.NOT_RUN:
@@ -132,33 +131,33 @@
         return ResponseKind.ANSWERED
 
     def statement(self, status: int, headers: Headers) -> Statement:
-        """Return what the head of an answer states of its upstream."""
+        """Return what an upstream's response headers report about its state."""
         return STATEMENT_HEADERS.decode(status, headers)
 
     def caller_headers(self, headers: Headers) -> list[tuple[bytes, bytes]]:
-        """Return the headers of an upstream's answer that the caller gets."""
+        """Return the upstream's response headers that are forwarded to the caller."""
         return headers.end_to_end(NOT_RETURNED)
 
-    def told_tokens(self, data: bytes) -> int | None:
-        """Return the tokens that an answer says it used; None where it does not."""
+    def reported_tokens(self, data: bytes) -> int | None:
+        """Return the token usage that a response reports; None if it reports none."""
         if b'"usage"' not in data:
             return None
-        found = USAGE.search(data)
+        found = USAGE_PATTERN.search(data)
         return int(found[1]) if found is not None else None
 
-    def for_caller(self, call: Call, data: bytes) -> bytes:
-        """Leave out the event that only the router asked for."""
+    def caller_events(self, call: Call, data: bytes) -> bytes:
+        """Drop the usage event if only the router requested it."""
         if not isinstance(call, ChatCall) or call.wants_usage:
             return data
         kept = []
         for event in data.split(SEPARATOR):
-            if event and USAGE.search(event) is None:
+            if event and USAGE_PATTERN.search(event) is None:
                 kept.append(event + SEPARATOR)
         return b"".join(kept)
 
 
 def bearer_key(headers: Headers) -> str:
-    """Return the key that a request bears, or the empty string.
+    """Return the bearer token of a request, or an empty string.
 
     Examples
     --------
@@ -172,7 +171,7 @@
 
 
 def models_body(models: list[str]) -> bytes:
-    """Return the list of models as OpenAI-style clients expect it."""
+    """Return the model list in the format of the OpenAI API."""
     data = []
     for model in models:
         data.append(
--- a/lynxchute/callers/question.py
+++ b/lynxchute/callers/question.py
@@ -1,4 +1,4 @@
-"""A chat completion request, checked."""
+"""Validation of chat completion requests."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 
 
 @attrs.frozen
-class Question:
+class ChatRequest:
     """A chat completion request.
 
     Attributes
     ----------
     max_tokens
-        The longest answer that the caller takes; None where it does not say.
+        Largest number of output tokens that the caller accepts; None if not stated.
     prompt_bound
-        No tokenizer counts more tokens for the prompt than this.
+        Upper bound of the prompt's token count for any tokenizer.
     wants_usage
-        Whether a stream is to end with a usage event.
+        Whether a stream should end with a usage event.
     prefix
-        Names the beginning of the prompt: equal for prompts that begin alike.
+        Hash of the beginning of the prompt; equal for prompts with the same beginning.
     prefix_bound
-        No tokenizer counts more tokens for that beginning than this.
+        Upper bound of the token count of that beginning for any tokenizer.
     """
 
     model: str
@@ -45,7 +45,7 @@
     body: dict[str, Any]
 
     def generation(self, request_id: str, max_tokens: int) -> Generation:
-        """Return what the request asks of an engine."""
+        """Return the request's demand on an engine."""
         shared = min(self.prefix_bound, self.prompt_bound)
         own = self.prompt_bound - shared
         return Generation(
@@ -55,8 +55,8 @@
             parts=(PromptPart(self.prefix, shared), PromptPart(request_id, own)),
         )
 
-    def for_engine(self, max_tokens: int) -> bytes:
-        """Return the request as it goes to the engine."""
+    def engine_body(self, max_tokens: int) -> bytes:
+        """Return the request body to send to the engine."""
         body = {**self.body, "max_tokens": max_tokens}
         body.pop("max_completion_tokens", None)
         if self.stream:
@@ -64,8 +64,8 @@
         return json.dumps(body, separators=(",", ":")).encode()
 
 
-def parse_chat_request(request: Request) -> Result[Question, tuple[str, ...]]:
-    """Return the question, or all that is wrong with it."""
+def parse_chat_request(request: Request) -> Result[ChatRequest, tuple[str, ...]]:
+    """Return the chat request, or all validation errors."""
     try:
         body = request.json()
     except BadRequest as error:
@@ -84,18 +84,18 @@
     if problems:
         return Error(tuple(problems))
     limit = body.get("max_completion_tokens") or body.get("max_tokens")
-    head = _head(body)
-    question = Question(
+    head = _prompt_prefix(body)
+    chat_request = ChatRequest(
         model=body["model"],
         stream=bool(body.get("stream")),
         max_tokens=limit,
-        prompt_bound=_bound(body["messages"]),
+        prompt_bound=_max_prompt_tokens(body["messages"]),
         prefix=hashlib.blake2b(head, digest_size=8).hexdigest(),
         prefix_bound=len(head),
         wants_usage=bool((options or {}).get("include_usage")),
         body=body,
     )
-    return Ok(question)
+    return Ok(chat_request)
 
 
 def _check_messages(body: dict[str, Any]) -> list[str]:
@@ -127,14 +127,14 @@
     return problems
 
 
-def _head(body: dict[str, Any]) -> bytes:
-    """Return a prompt's beginning, by which engines may keep it."""
+def _prompt_prefix(body: dict[str, Any]) -> bytes:
+    """Return the beginning of a prompt, which engines may have cached."""
     text = json.dumps([body["model"], body["messages"]], ensure_ascii=False)
     return text[:PREFIX_CHARACTERS].encode("utf-8", "surrogatepass")
 
 
-def _bound(messages: list[Any]) -> int:
-    """Return a bound on the prompt: no token is shorter than a byte."""
+def _max_prompt_tokens(messages: list[Any]) -> int:
+    """Return an upper bound of the prompt's tokens: no token is shorter than a byte."""
     text = json.dumps(messages, ensure_ascii=False, separators=(",", ":"))
     return len(text.encode("utf-8", "surrogatepass")) + TOKENS_PER_MESSAGE * len(
         messages
--- a/lynxchute/relay/__init__.py
+++ b/lynxchute/relay/__init__.py
@@ -1,1 +1,1 @@
-"""Pass requests to upstreams and their answers back."""
+"""Forward requests to upstreams and relay their responses."""
--- a/lynxchute/relay/admission.py
+++ b/lynxchute/relay/admission.py
@@ -1,4 +1,4 @@
-"""Decide which requests are served, on which route and for whom."""
+"""Admit requests: match the route, check the API key and enforce load limits."""
 
 from __future__ import annotations
 
@@ -9,56 +9,56 @@
 from lynxchute.config import ClientAccount, Configuration, Route
 from lynxchute.http import Responder
 from lynxchute.relay.call import Call
-from lynxchute.relay.exchange import Exchange, end_of
+from lynxchute.relay.exchange import Exchange, deadline_for
 from lynxchute.relay.load import RouterLoad
 from lynxchute.relay.refusal import Reason, Refusal
 
-RETRY_UNCONFIGURED = 0.5
-RETRY_STALE = 1.0
-RETRY_TOO_MANY = 1.0
-# Another router can serve the request at once.
+RETRY_AFTER_UNCONFIGURED = 0.5
+RETRY_AFTER_STALE = 1.0
+RETRY_AFTER_TOO_MANY = 1.0
+# Another router can serve the request immediately.
 RETRY_AFTER_OVERLOAD = 0.05
 
 
 class ConfigurationSource(ABC):
-    """Where the configuration in force comes from."""
+    """Source of the active configuration."""
 
     @property
     @abstractmethod
     def current(self) -> Configuration | None:
-        """Return the newest known version; None where there is none yet."""
+        """Return the newest known version, or None if none was received yet."""
 
     @abstractmethod
     def unconfirmed_seconds(self) -> float:
-        """Return the seconds since the store last answered."""
+        """Return the seconds since the store last responded."""
 
     @abstractmethod
     async def wait_loaded(self) -> None:
-        """Wait for the first version, no longer than a start takes."""
+        """Wait for the first version, for at most as long as a start may take."""
 
     @abstractmethod
     async def confirm(self) -> bool:
-        """Return whether the version is the newest, as of a moment ago."""
+        """Return whether the store has just confirmed the version as the newest one."""
 
 
 class Admission:
-    """Find the route and the client account of each call.
+    """Resolve the route and client account of each call.
 
     Parameters
     ----------
     source
-        Where the configuration comes from.
+        Provides the configuration.
     rng
-        Splits the requests of a route over its services.
+        Splits the requests of a route over its services by weight.
     load
-        Says when requests are better served by another router.
+        Reports when callers should use another router instead.
 
     Attributes
     ----------
     stopping
-        Whether nothing more is admitted.
+        Whether new requests are rejected because the router is stopping.
     open_requests
-        Admitted requests that have not ended.
+        Number of admitted requests that have not ended.
     """
 
     def __init__(
@@ -74,24 +74,25 @@
     async def admit(self, call: Call, respond: Responder) -> Exchange:
         """Return the exchange for a call.
 
-        Nobody is denied by a version that may be out of date: before it says
-        that there is no such route or key, it makes sure that none was added.
+        An outdated configuration must not reject a caller: before a call is rejected
+        for an unknown route or key, the store is asked whether a newer version added
+        it.
 
         Raises
         ------
         Refusal
-            Where it is not served.
+            If the call is not admitted.
         """
         if self.stopping:
             title = "This router is stopping. Send the request again."
-            raise Refusal(Reason.STOPPING, title, retry_after=RETRY_UNCONFIGURED)
+            raise Refusal(Reason.STOPPING, title, retry_after=RETRY_AFTER_UNCONFIGURED)
         if self._source.current is None:
             await self._source.wait_loaded()
         configuration = self._configuration()
         if _denial(configuration, call) is not None:
             if not await self._source.confirm():
                 title = "This router has not heard from the store for a while."
-                raise Refusal(Reason.STALE, title, retry_after=RETRY_STALE)
+                raise Refusal(Reason.STALE, title, retry_after=RETRY_AFTER_STALE)
             configuration = self._configuration()
         denial = _denial(configuration, call)
         if denial is not None:
@@ -103,21 +104,21 @@
             account = configuration.accounts_by_key.get(call.key)
         self._check_load(call, route, account, respond)
         if account is not None:
-            self._count(configuration, account)
+            self._count_open(configuration, account)
         self.open_requests += 1
         return Exchange(
             call=call,
             configuration=configuration,
             route=route,
             account=account,
-            service=self._service(route),
+            service=self._pick_service(route),
             configuration_age=self._source.unconfirmed_seconds(),
             respond=respond,
-            ends_at=end_of(call, route),
+            deadline=deadline_for(call, route),
         )
 
     def record_end(self, exchange: Exchange) -> None:
-        """Note that an admitted request has ended."""
+        """Release the slots of an admitted request that has ended."""
         self.open_requests -= 1
         if exchange.account is None:
             return
@@ -130,7 +131,9 @@
         configuration = self._source.current
         if configuration is None:
             title = "This router has no configuration yet. Send it again soon."
-            raise Refusal(Reason.NOT_CONFIGURED, title, retry_after=RETRY_UNCONFIGURED)
+            raise Refusal(
+                Reason.NOT_CONFIGURED, title, retry_after=RETRY_AFTER_UNCONFIGURED
+            )
         return configuration
 
     def _check_load(
@@ -140,33 +143,33 @@
         account: ClientAccount | None,
         respond: Responder,
     ) -> None:
-        """Send callers elsewhere while this router would serve them late."""
+        """Reject a call if this router is too loaded to answer it in time."""
         name = account.name if account is not None else ""
-        full = self._load.shed_reason(
+        resource = self._load.shed_reason(
             route.latency_objective, name, is_brief=call.generation is None
         )
-        if full:
+        if resource:
             respond.closing = True
             raise Refusal(
                 Reason.OVERLOADED,
-                f"This router's {full} is full. Send the request to another one.",
+                f"This router's {resource} is full. Send the request to another one.",
                 retry_after=RETRY_AFTER_OVERLOAD,
                 route=route.name,
                 account=name,
             )
-        self._load.note_admitted(name)
+        self._load.record_admitted(name)
         if self._load.ends_connection(name):
             respond.closing = True
 
-    def _count(self, configuration: Configuration, account: ClientAccount) -> None:
-        """Count a request of an account, if it may have one more open."""
-        most = configuration.limits.max_open_per_account
-        if most and self._open_by_account[account.name] >= most:
+    def _count_open(self, configuration: Configuration, account: ClientAccount) -> None:
+        """Count an open request of an account, or reject it at the account's limit."""
+        limit = configuration.limits.max_open_per_account
+        if limit and self._open_by_account[account.name] >= limit:
             title = "This client account has too many requests open."
-            raise Refusal(Reason.TOO_MANY, title, retry_after=RETRY_TOO_MANY)
+            raise Refusal(Reason.TOO_MANY, title, retry_after=RETRY_AFTER_TOO_MANY)
         self._open_by_account[account.name] += 1
 
-    def _service(self, route: Route) -> str:
+    def _pick_service(self, route: Route) -> str:
         if len(route.targets) == 1:
             return route.targets[0].service
         weights = [target.weight for target in route.targets]
@@ -174,7 +177,7 @@
 
 
 def _denial(configuration: Configuration, call: Call) -> Refusal | None:
-    """Return why a configuration does not allow a call; None where it does."""
+    """Return the refusal that applies to a call, or None if the call is allowed."""
     route = configuration.find_route(call.host, call.request.path)
     if route is None:
         title = f"No route leads to {call.host}{call.request.path}."
--- a/lynxchute/relay/answer.py
+++ b/lynxchute/relay/answer.py
@@ -1,4 +1,4 @@
-"""What comes of sending a request to an upstream."""
+"""Results of sending a request to an upstream."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 @attrs.frozen
 class Answer:
-    """An upstream's answer whose body is still to be read.
+    """An upstream's response whose body has not been read yet.
 
     Attributes
     ----------
     sent_at
-        When the request was sent, in seconds.
+        Time at which the request was sent, in seconds.
     """
 
     response: Response
@@ -28,12 +28,12 @@
 
 
 class SendWithheld(Exception):
-    """Report a request that was placed at an upstream and must not be sent there.
+    """Raised when a request was assigned to an upstream but must not be sent to it.
 
     Parameters
     ----------
     reason
-        Why.
+        Reason for withholding the send.
     """
 
     def __init__(self, reason: WithheldReason) -> None:
--- a/lynxchute/relay/budgets.py
+++ b/lynxchute/relay/budgets.py
@@ -1,4 +1,4 @@
-"""What a relay needs of the client accounts' budgets."""
+"""Interface between the relay and the budgets of client accounts."""
 
 from __future__ import annotations
 
@@ -8,55 +8,55 @@
 
 
 class BudgetExhausted(Exception):
-    """Report that what is left of a budget does not cover a request."""
+    """Raised when the remaining budget does not cover a request."""
 
 
 class BudgetUnreachable(Exception):
-    """Report that tokens cannot be had now, though there may be some.
+    """Raised when tokens cannot be reserved now, although some may be left.
 
     Parameters
     ----------
     reason
-        What was tried.
+        Description of what was tried.
     """
 
 
 class Reservation(ABC):
-    """Tokens set aside for one request."""
+    """Tokens reserved for one request."""
 
     @abstractmethod
     def settle(self, used: int) -> None:
-        """Give back what the request did not use; call it once."""
+        """Return the unused tokens to the budget. Must be called exactly once."""
 
 
 class Budgets(ABC):
-    """Set tokens of client accounts aside for requests."""
+    """Reserves tokens of client accounts for requests."""
 
     @abstractmethod
     async def reserve(
         self, request_id: str, account: ClientAccount, tokens: int
     ) -> Reservation:
-        """Set tokens aside.
+        """Reserve tokens.
 
         Raises
         ------
         BudgetExhausted, BudgetUnreachable
-            Where there are none to be had.
+            If no tokens can be reserved.
         """
 
 
-class NothingReserved(Reservation):
-    """The reservation of a request that costs no tokens."""
+class EmptyReservation(Reservation):
+    """Reservation of a request that costs no tokens."""
 
     def settle(self, used: int) -> None:
         """Do nothing."""
 
 
-class Unlimited(Budgets):
-    """Grant everything; for deployments that bill afterwards."""
+class UnlimitedBudgets(Budgets):
+    """Budgets without a limit, for deployments that bill afterwards."""
 
     async def reserve(
         self, request_id: str, account: ClientAccount, tokens: int
     ) -> Reservation:
-        """Grant the request."""
-        return NothingReserved()
+        """Return an empty reservation."""
+        return EmptyReservation()
--- a/lynxchute/relay/call.py
+++ b/lynxchute/relay/call.py
@@ -1,4 +1,4 @@
-"""What a caller asks for, decoded."""
+"""A caller's decoded request."""
 
 from __future__ import annotations
 
@@ -10,19 +10,18 @@
 
 @attrs.frozen
 class Call:
-    """One attempt of a caller at a request.
+    """One attempt of a caller to get a request served.
 
     Attributes
     ----------
     request_id
-        Names this attempt.
+        Identifier of this attempt.
     key
-        The API key; empty where there is none.
-    patience
-        Seconds that the caller waits; None where it does not say.
-    resumes_after
-        The last event that the caller has of a stream that broke; empty for
-        a new stream.
+        API key; empty if the request has none.
+    caller_timeout
+        Seconds until the caller gives up; None if the caller does not state it.
+    last_event_id
+        Id of the last event received of an interrupted stream; empty for a new stream.
     """
 
     request: Request
--- a/lynxchute/relay/chooser.py
+++ b/lynxchute/relay/chooser.py
@@ -1,4 +1,4 @@
-"""Choose the upstream that a request is sent to."""
+"""Choose the upstream for a request."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from lynxchute.relay.exchange import MIN_RETRY_AFTER, Exchange
 from lynxchute.relay.load import RouterLoad
 from lynxchute.relay.refusal import Reason, Refusal, RunStatus
-from lynxchute.relay.wait import Wait
+from lynxchute.relay.wait import QueueWait
 from lynxchute.telemetry import log_event
 from lynxchute.upstreams.directory import Directory
 from lynxchute.upstreams.entry import Entry
@@ -21,32 +21,33 @@
 from lynxchute.upstreams.placement import Choice, Placement
 from lynxchute.upstreams.send_gate import SendGate
 
-# Share of the latency objective that a request waits for an upstream: a
-# refusal that comes within a quarter of it can still be made good.
-WAIT_SHARE = 0.2
+# Share of the latency objective that a request may wait for an upstream to become
+# available. A caller that is refused within a quarter of the objective can still be
+# served in time by a retry.
+MAX_WAIT_SHARE = 0.2
 
 
 class Chooser:
-    """Choose upstreams for exchanges, or refuse what none can take.
+    """Selects an upstream for each exchange, or refuses the exchange.
 
     Parameters
     ----------
     directory
-        The upstreams.
+        Known upstreams.
     neighbourhood
-        Says which of many upstreams are looked at for a generation.
+        Limits which upstreams of a large service are considered for a generation.
     generations, plain
-        Choose among model engines, and among other upstreams.
+        Placement for model engines and for all other upstreams.
     reachability
-        Which data centres can be reached.
+        Reports which data centres can be reached.
     gate
-        Which upstreams get nothing new.
+        Reports which upstreams must not get new requests.
     load
-        Tells whether this router itself is late.
+        Reports whether this router itself is lagging.
     clock
-        Seconds on the loop's clock.
+        Event loop clock in seconds.
     may_wait
-        Whether generations wait for their turn where all engines are full.
+        Whether generations queue for admission when all engines are full.
     """
 
     def __init__(
@@ -72,66 +73,68 @@
         self._clock = clock
         self._may_wait = may_wait
         self._changed = asyncio.Event()
-        directory.listeners.append(self._note_change)
+        directory.listeners.append(self._handle_change)
 
     async def choose(self, exchange: Exchange) -> Choice:
-        """Return the upstream for an exchange, which may wait a little for one.
+        """Return the upstream for an exchange, waiting briefly for one if needed.
 
         Raises
         ------
         Refusal
-            Where there is none, or all would answer too late.
+            If no upstream is available, or all would respond too late.
         """
-        patience = exchange.route.latency_objective * WAIT_SHARE
-        until = min(self._clock() + patience, exchange.ends_at)
-        wait = Wait(exchange, self._clock())
+        wait_limit = exchange.route.latency_objective * MAX_WAIT_SHARE
+        wait_until = min(self._clock() + wait_limit, exchange.deadline)
+        wait = QueueWait(exchange, self._clock())
         try:
-            return await self._choose(exchange, until, wait)
+            return await self._choose(exchange, wait_until, wait)
         except BaseException:
             if wait.has_waited:
-                # Its turn is given up, also where its caller has left.
+                # Leave the admission queue, also if the caller has disconnected.
                 self._generations.record_end(exchange.run_id, "", failed=False)
             raise
 
-    async def _choose(self, exchange: Exchange, until: float, wait: Wait) -> Choice:
+    async def _choose(
+        self, exchange: Exchange, wait_until: float, wait: QueueWait
+    ) -> Choice:
         while True:
             try:
-                choice = await self._find(exchange)
-            except AdmissionPending as turn:
-                wait.note(turn)
-                await asyncio.sleep(turn.seconds)
+                choice = await self._choose_now(exchange)
+            except AdmissionPending as pending:
+                wait.record_queued(pending)
+                await asyncio.sleep(pending.seconds)
                 continue
             except AdmissionRefused as error:
-                raise self._no_turn(wait, error) from None
+                raise self._queue_refusal(wait, error) from None
             if choice is not None:
-                wait.note_placed(self._clock())
+                wait.record_assigned(self._clock())
                 self._check_load(exchange, choice)
                 return choice
             self._changed.clear()
             try:
-                async with asyncio.timeout_at(until):
+                async with asyncio.timeout_at(wait_until):
                     await self._changed.wait()
             except TimeoutError:
-                raise nothing_answered(exchange, self._clock()) from None
+                raise no_answer_refusal(exchange, self._clock()) from None
 
-    def _no_turn(self, wait: Wait, error: AdmissionRefused) -> Refusal:
-        """Refuse at once a request whose turn comes after its caller has left."""
+    def _queue_refusal(self, wait: QueueWait, error: AdmissionRefused) -> Refusal:
+        """Return the refusal for a request that would be admitted too late."""
         now = self._clock()
-        wait.note_refused(error.retry_after, now)
+        wait.record_refused(error.retry_after, now)
         title = "All engines are full for longer than the caller waits."
-        after = max(error.retry_after, MIN_RETRY_AFTER)
-        return wait.exchange.refuse(Reason.OVERLOADED, title, now, retry_after=after)
+        delay = max(error.retry_after, MIN_RETRY_AFTER)
+        return wait.exchange.refuse(Reason.OVERLOADED, title, now, retry_after=delay)
 
     def _check_load(self, exchange: Exchange, choice: Choice) -> None:
-        """Refuse a request at once whose answer would begin too late for anyone.
+        """Refuse a request whose response would begin after its caller has left.
 
-        Its caller would leave, and the engine would have read its prompt for
-        nothing.
+        The engine would otherwise process the prompt for nothing.
         """
-        if choice.expected_seconds <= exchange.longest_wait:
+        if choice.expected_seconds <= exchange.max_wait:
             return
         if choice.is_placed_alone and self._load.has_lagged():
-            # What it expects of engines then is its own lateness.
+            # A lagging router measures engines as slow, so the estimate only reflects
+            # its own delay.
             return
         upstream_id = choice.entry.upstream.id
         self._generations.record_end(exchange.run_id, upstream_id, failed=False)
@@ -139,39 +142,47 @@
             "engines overloaded",
             request_id=exchange.call.request_id,
             expected_s=round(choice.expected_seconds, 3),
-            longest_wait_s=exchange.longest_wait,
+            longest_wait_s=exchange.max_wait,
         )
         title = "All engines are busy for longer than a caller waits."
         now = self._clock()
-        after = self._busy_for(exchange, choice, now) if self._may_wait else None
-        raise exchange.refuse(Reason.OVERLOADED, title, now, retry_after=after)
+        delay = (
+            self._busy_retry_after(exchange, choice, now) if self._may_wait else None
+        )
+        raise exchange.refuse(Reason.OVERLOADED, title, now, retry_after=delay)
 
-    def _busy_for(self, exchange: Exchange, choice: Choice, now: float) -> float:
-        """Return after how long an answer would begin while its caller waits."""
-        busy = choice.expected_seconds - exchange.longest_wait
-        left = max(exchange.ends_at - now, 0.0)
-        usual = exchange.retry_after(now, Reason.OVERLOADED)
-        return max(min(busy, MOST_RETRY_SHARE * left), usual)
+    def _busy_retry_after(
+        self, exchange: Exchange, choice: Choice, now: float
+    ) -> float:
+        """Return the seconds after which a retry would be answered in time."""
+        busy_delay = choice.expected_seconds - exchange.max_wait
+        remaining = max(exchange.deadline - now, 0.0)
+        default_delay = exchange.retry_after(now, Reason.OVERLOADED)
+        return max(min(busy_delay, MOST_RETRY_SHARE * remaining), default_delay)
 
-    async def _find(self, exchange: Exchange) -> Choice | None:
+    async def _choose_now(self, exchange: Exchange) -> Choice | None:
         now = self._clock()
-        neighbours = list(self._neighbours(exchange, now))
+        neighbours = list(self._candidates(exchange, now))
         if neighbours and all(e.backpressure.is_backing_off(now) for e in neighbours):
-            raise self._all_backing_off(exchange, neighbours, now)
-        known = [e for e in neighbours if e.upstream.id not in exchange.tried]
-        known = [e for e in known if not e.backpressure.is_backing_off(now)]
-        if not known and exchange.limited_rate is not None:
-            raise self._all_limited(exchange, exchange.limited_rate, now)
-        if not known:
+            raise self._backing_off_refusal(exchange, neighbours, now)
+        eligible = [e for e in neighbours if e.upstream.id not in exchange.tried]
+        eligible = [e for e in eligible if not e.backpressure.is_backing_off(now)]
+        if not eligible and exchange.limited_rate is not None:
+            raise self._throttled_refusal(exchange, exchange.limited_rate, now)
+        if not eligible:
             return None
-        known = [e for e in known if not self._gate.is_evacuated(e.upstream)]
-        if not known:
-            raise self._all_evacuated(exchange, now)
-        awake = [entry for entry in known if not entry.health.is_paused(now)]
-        near = [entry for entry in awake if self._is_in_reach(entry)]
-        # Where all are paused, the one that fails for the shortest time yet is
-        # worth more than a refusal.
-        candidates = near or awake or [min(known, key=lambda e: e.health.paused_until)]
+        eligible = [e for e in eligible if not self._gate.is_evacuated(e.upstream)]
+        if not eligible:
+            raise self._evacuated_refusal(exchange, now)
+        unpaused = [entry for entry in eligible if not entry.health.is_paused(now)]
+        reachable = [entry for entry in unpaused if self._is_reachable(entry)]
+        # If all upstreams are paused after failures, the one whose pause ends first is
+        # a better choice than a refusal.
+        candidates = (
+            reachable
+            or unpaused
+            or [min(eligible, key=lambda e: e.health.paused_until)]
+        )
         generation = exchange.call.generation
         placement = self._generations if generation is not None else self._plain
         aims = exchange.aims(now)
@@ -179,80 +190,92 @@
             aims = attrs.evolve(aims, claim=exchange.claim(now))
         choice = await placement.choose(exchange.run_id, generation, candidates, aims)
         if choice is None:
-            raise self._none_takes_it(exchange, candidates)
+            raise self._no_capacity_refusal(exchange, candidates)
         return choice
 
-    def _neighbours(self, exchange: Exchange, now: float) -> Iterable[Entry]:
-        """Return the upstreams that are looked at for an exchange."""
+    def _candidates(self, exchange: Exchange, now: float) -> Iterable[Entry]:
+        """Return the upstreams to consider for an exchange."""
         generation = exchange.call.generation
         if generation is None:
             return self._directory.available(exchange.service, now)
         key = generation.affinity_key(exchange.run_id)
         return self._neighbourhood.entries(exchange.service, key, now)
 
-    def _all_evacuated(self, exchange: Exchange, now: float) -> Refusal:
-        """Refuse at once what no data centre takes, until an operator changes that."""
+    def _evacuated_refusal(self, exchange: Exchange, now: float) -> Refusal:
+        """Return the refusal for a service whose data centres are all evacuated.
+
+        They stay evacuated until an operator changes that, so waiting is pointless.
+        """
         title = (
             f"The data centres that serve {exchange.service} are evacuated, or have "
             "been tried. Send it again later."
         )
         return exchange.refuse(Reason.EVACUATED, title, now)
 
-    def _all_backing_off(
+    def _backing_off_refusal(
         self, exchange: Exchange, backing_off: Sequence[Entry], now: float
     ) -> Refusal:
-        """Refuse at once what this router may send to no upstream for a while.
+        """Return the refusal for when every upstream has asked this router to back off.
 
-        Another router may: so its caller is told to come back no later than usual.
+        Another router may still be allowed to send, so the caller gets no longer retry
+        delay than usual.
         """
-        left = min(entry.backpressure.backoff_until for entry in backing_off) - now
+        remaining = min(entry.backpressure.backoff_until for entry in backing_off) - now
         title = (
             "All upstreams that serve this have turned this router away for a while."
         )
         wait = min(
-            max(left, MIN_RETRY_AFTER), exchange.retry_after(now, Reason.BACKOFF)
+            max(remaining, MIN_RETRY_AFTER), exchange.retry_after(now, Reason.BACKOFF)
         )
         return exchange.refuse(Reason.BACKOFF, title, now, retry_after=wait)
 
-    def _none_takes_it(
+    def _no_capacity_refusal(
         self, exchange: Exchange, candidates: Sequence[Entry]
     ) -> Refusal:
         now = self._clock()
         rates = [entry.backpressure.rate(now) for entry in candidates]
-        named = [rate for rate in rates if rate is not None]
-        if named:
-            return self._all_limited(exchange, sum(named), now)
-        return self._all_cold(exchange, candidates)
+        known_rates = [rate for rate in rates if rate is not None]
+        if known_rates:
+            return self._throttled_refusal(exchange, sum(known_rates), now)
+        return self._cold_refusal(exchange, candidates)
 
-    def _all_limited(self, exchange: Exchange, rate: float, now: float) -> Refusal:
-        """Refuse at once what no upstream takes within the rate that they name."""
+    def _throttled_refusal(
+        self, exchange: Exchange, rate: float, now: float
+    ) -> Refusal:
+        """Return the refusal for when all upstreams are at their stated rate limit."""
         title = (
             f"All upstreams that serve {exchange.service} are throttled and take "
             f"{rate:g} requests a second together. Send it again later."
         )
-        # One more is taken after so long; the time for none at all nobody knows.
+        # The next request fits after 1 / rate seconds. At a rate of 0 the delay is
+        # unknown.
         wait = max(1.0 / rate, MIN_RETRY_AFTER) if rate > 0 else None
         return exchange.refuse(Reason.LIMITED, title, now, retry_after=wait)
 
-    def _all_cold(self, exchange: Exchange, candidates: Sequence[Entry]) -> Refusal:
-        """Refuse at once what no upstream bears before one of them is warm."""
+    def _cold_refusal(self, exchange: Exchange, candidates: Sequence[Entry]) -> Refusal:
+        """Return the refusal for when all upstreams are cold and at their limit."""
         now = self._clock()
-        left = min(entry.cold_until for entry in candidates) - now
-        usual = exchange.retry_after(now, Reason.COLD)
+        remaining = min(entry.cold_until for entry in candidates) - now
+        default_delay = exchange.retry_after(now, Reason.COLD)
         title = "All upstreams that serve this have just started. Send it again soon."
-        # Another router may know that they are cold, and this one not for how long.
-        wait = min(max(left, MIN_RETRY_AFTER), usual) if left > 0 else usual
+        # Another router may have reported them as cold without this one knowing for how
+        # long.
+        wait = (
+            min(max(remaining, MIN_RETRY_AFTER), default_delay)
+            if remaining > 0
+            else default_delay
+        )
         return exchange.refuse(Reason.COLD, title, now, retry_after=wait)
 
-    def _is_in_reach(self, entry: Entry) -> bool:
+    def _is_reachable(self, entry: Entry) -> bool:
         return not self._reachability.is_cut(entry.upstream.data_centre)
 
-    def _note_change(self) -> None:
+    def _handle_change(self) -> None:
         self._changed.set()
 
 
-def nothing_answered(exchange: Exchange, now: float) -> Refusal:
-    """Return the final answer where no upstream gave one."""
+def no_answer_refusal(exchange: Exchange, now: float) -> Refusal:
+    """Return the refusal for an exchange that no upstream answered."""
     if exchange.run is RunStatus.NOT_RUN:
         reason = Reason.DECLINED if exchange.sends else Reason.NO_UPSTREAM
         title = "No upstream could take the request. Send it again."
--- a/lynxchute/relay/dialect.py
+++ b/lynxchute/relay/dialect.py
@@ -1,4 +1,4 @@
-"""How callers and upstreams write what a relay has to know."""
+"""Protocol-specific encoding and decoding of requests and responses."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 
 class ResponseKind(enum.Enum):
-    """What the head of an upstream's answer says.
+    """Classification of an upstream response by its status and headers.
 
     Attributes
     ----------
     ANSWERED
-        It worked on the request and this is its answer.
+        The upstream processed the request; this is the response to it.
     NOT_RUN
-        It did not run the request and will not.
+        The upstream did not run the request and will not.
     MOVED
-        The same, because another upstream has its address by now.
+        Not run, because the address now belongs to another upstream.
     INVALID
-        This is no answer of an upstream.
+        Not a valid response of an upstream.
     """
 
     ANSWERED = "answered"
@@ -37,20 +37,20 @@
 
 @attrs.frozen
 class Dispatch:
-    """One send of a call to an upstream.
+    """Parameters of one send of a call to an upstream.
 
     Attributes
     ----------
     time_left
-        Seconds that the upstream may take.
+        Seconds that the upstream has to respond.
     account
-        Name of the client account; empty where the route needs none.
+        Name of the client account; empty if the route needs none.
     priority
-        Rank among the upstream's requests; 0 comes first.
-    resumes_after
-        The last event that the caller has; empty for a new stream.
+        Rank among the upstream's requests; 0 is served first.
+    last_event_id
+        Id of the last event that the caller received; empty for a new stream.
     fetch_from
-        The engine that should hand over what it keeps of the prompt, if any.
+        Engine to fetch the cached prompt from, if any.
     """
 
     upstream: Upstream
@@ -62,62 +62,62 @@
 
 
 class Dialect(ABC):
-    """Decode callers' requests and upstreams' answers."""
+    """Decodes requests of callers and responses of upstreams."""
 
     @abstractmethod
     def read(self, request: Request) -> Call:
-        """Return what a request asks for.
+        """Decode a request.
 
         Raises
         ------
         BadRequest, Refusal
-            Where it cannot be served as it was sent.
+            If the request cannot be served as it was sent.
         """
 
     @abstractmethod
     def upstream_headers(
         self, call: Call, dispatch: Dispatch
     ) -> list[tuple[bytes, bytes]]:
-        """Return the headers of a send, without the body's length."""
+        """Return the request headers for an upstream, except for the body length."""
 
     @abstractmethod
     def is_answer(self, call: Call, head: h11.Response) -> bool:
-        """Return whether an answer is one to this call."""
+        """Return whether a response belongs to this call."""
 
     @abstractmethod
     def response_kind(self, status: int, headers: Headers) -> ResponseKind:
-        """Return what the head of an answer says."""
+        """Classify a response by its status and headers."""
 
     def statement(self, status: int, headers: Headers) -> Statement:
-        """Return what the head of an answer states of its upstream."""
+        """Return what an upstream's response headers report about its state."""
         return NOTHING_STATED
 
     @abstractmethod
     def caller_headers(self, headers: Headers) -> list[tuple[bytes, bytes]]:
-        """Return the headers of an upstream's answer that the caller gets."""
+        """Return the upstream's response headers that are forwarded to the caller."""
 
-    def told_tokens(self, data: bytes) -> int | None:
-        """Return the tokens that an answer says it used; None where it does not.
+    def reported_tokens(self, data: bytes) -> int | None:
+        """Return the token usage that a response reports, or None if it reports none.
 
         Parameters
         ----------
         data
-            Whole events of a stream, or a whole body.
+            Complete events of a stream, or a complete body.
         """
         return None
 
-    def for_caller(self, call: Call, data: bytes) -> bytes:
-        """Return the events for the caller, of those that tell of tokens used."""
+    def caller_events(self, call: Call, data: bytes) -> bytes:
+        """Return the part of events with token usage that the caller should receive."""
         return data
 
 
 def is_for_request(head: h11.Response, name: str, request_id: str) -> bool:
-    """Return whether a header names a request, or none at all.
+    """Return whether a response names this request in a header, or has no such header.
 
-    A refusal that was sent before the id had been read bears none.
+    A request that is refused before its id was read is answered without the header.
     """
-    wanted = name.lower().encode()
+    expected = name.lower().encode()
     for header, value in head.headers:
-        if header == wanted:
+        if header == expected:
             return bool(value == request_id.encode("latin-1"))
     return True
--- a/lynxchute/relay/events.py
+++ b/lynxchute/relay/events.py
@@ -1,4 +1,4 @@
-"""Server-sent events of a stream, passed on whole.
+"""Parsing of server-sent events into complete events.
 
 Source: the WHATWG HTML standard, section "Server-sent events".
 """
@@ -14,16 +14,16 @@
 
 @attrs.frozen
 class Events:
-    """Whole events that arrived together.
+    """Complete events that were received together.
 
     Attributes
     ----------
     data
-        The events as they came.
+        Unmodified bytes of the events.
     count
-        How many they are.
+        Number of events.
     first_id, last_id
-        The ids of the first and the last of them; empty where they have none.
+        Ids of the first and the last event; empty if they have none.
     """
 
     data: bytes
@@ -33,18 +33,18 @@
 
 
 class EventsOutOfOrder(Exception):
-    """Report events that do not follow on those before."""
+    """Raised when events do not directly follow the previous ones."""
 
 
 @attrs.define
 class EventOrder:
-    """See that the numbered events of a stream come without gap or repetition.
+    """Checks that numbered events arrive without gaps or duplicates.
 
     Attributes
     ----------
     last
-        The number of the last event; None before the first one, and where
-        events are not numbered.
+        Number of the last event; None before the first one, and while events are not
+        numbered.
 
     Examples
     --------
@@ -57,30 +57,32 @@
     last: int | None = None
 
     def check(self, events: Events) -> None:
-        """Take the next events.
+        """Check and record the next events.
 
         Raises
         ------
         EventsOutOfOrder
-            Where they are not the next ones.
+            If they do not directly follow the previous events.
         """
         if not (events.first_id.isdecimal() and events.last_id.isdecimal()):
             return
         first, last = int(events.first_id), int(events.last_id)
         follows = self.last is None or first == self.last + 1
         if not follows or last - first + 1 != events.count:
-            raise EventsOutOfOrder(f"{first} to {last} came after {self.last}")
+            raise EventsOutOfOrder(
+                f"events {first} to {last} do not follow event {self.last}"
+            )
         self.last = last
 
 
 @attrs.define
 class EventSplitter:
-    r"""Cut a stream into whole events.
+    r"""Splits a byte stream into complete events.
 
     Attributes
     ----------
     rest
-        The beginning of an event whose end has not come.
+        Bytes of an event that is not complete yet.
 
     Examples
     --------
@@ -94,7 +96,7 @@
     rest: bytes = b""
 
     def feed(self, data: bytes) -> Events | None:
-        """Take bytes as they arrived; return the events that are whole now."""
+        """Add received bytes; return the events that are now complete, or None."""
         data = self.rest + data if self.rest else data
         cut = data.rfind(SEPARATOR)
         if cut < 0:
--- a/lynxchute/relay/exchange.py
+++ b/lynxchute/relay/exchange.py
@@ -1,4 +1,4 @@
-"""The state of one request while it is served."""
+"""State of one request while it is being served."""
 
 from __future__ import annotations
 
@@ -13,70 +13,69 @@
 from lynxchute.relay.refusal import Reason, Refusal, RunStatus
 from lynxchute.upstreams.aims import Aims
 
-# An answer sent this many seconds before the caller gives up still reaches it.
+# Seconds before the caller's timeout at which a response must be sent to reach it.
 DELIVERY_MARGIN = 0.02
-# Callers come back after at most a third of the time that they have left; a
-# tenth leaves them time for the request itself.
+# Share of the caller's remaining time to suggest as the retry delay. Callers retry
+# after at most a third of that time; a tenth leaves time for the retried request
+# itself.
 RETRY_SHARE = 0.1
-# Ranks of routes that are told apart within a rank of accounts: upstreams know
-# ten ranks in all.
+# Number of route ranks per account rank. Upstreams support ten ranks in total.
 ROUTE_RANKS = 3
-# The rank of requests without an account, or whose account has none.
+# Rank of requests without an account, and of accounts without a configured rank.
 DEFAULT_ACCOUNT_RANK = 1
-# Callers leave a stream that pauses for two seconds, four times its latency
-# objective or eight times the longest pause, whichever is longest; nothing is
-# begun that would come in the last tenth of that.
-LEAST_WAIT = 2.0
-WAIT_SHARE = 0.9
+# Callers abandon a stream that pauses for longer than the maximum of two seconds, four
+# times its latency objective and eight times its longest allowed pause. Nothing is
+# started that would arrive in the last tenth of that time.
+MIN_CALLER_WAIT = 2.0
+CALLER_WAIT_SHARE = 0.9
 MIN_RETRY_AFTER = 0.05
 MAX_RETRY_AFTER = 1.0
-# The same where tokens are out of reach: an outage of the store or a cut lasts three to
-# nine seconds, and a caller has few tries. Whoever comes back after a second is late by
-# then as well, and finds the outage as it was. What callers lost who came back and were
-# refused again, in a minute with three such outages: 134 and 122 of some 1,500 that
-# their answers are worth, 80 with this.
+# Retry delays while tokens cannot be reserved. A store outage or network partition
+# lasts three to nine seconds, and callers have few attempts. A retry after one second
+# is already late and still meets the outage. In a minute with three such outages,
+# callers that retried and were refused again lost 134 and 122 of the about 1,500 that
+# their answers are worth with the delays above, and 80 with these.
 BUDGET_RETRY_SHARE = 0.3
 BUDGET_MAX_RETRY_AFTER = 4.0
 
 
 @attrs.define(eq=False)
 class Exchange:
-    """A request that has been admitted.
+    """An admitted request.
 
     Attributes
     ----------
     configuration
-        The version that it was admitted under.
+        Configuration version that the request was admitted under.
     account
-        Who pays; None on public routes.
+        Client account that pays; None on public routes.
     service
-        The service that the route's split gave it to.
+        Service that the route's traffic split selected.
     configuration_age
-        Seconds since the store had last confirmed that version.
-    ends_at
-        When it gets its final answer, on the loop's clock in seconds.
+        Seconds since the store last confirmed that version, at admission.
+    deadline
+        Time by which the final response is due, in seconds of the event loop clock.
     sends
-        How often it was sent to an upstream.
+        Number of times the request was sent to an upstream.
     run
-        Whether it has run, as far as is known.
+        Whether the request ran, as far as is known.
     sent_at
-        When the first byte of the last of them left the VM, in seconds.
-    may_have_run
-        Sends of which no upstream has said that they were not run.
+        Time at which the first byte of the latest send left the VM, in seconds.
+    possible_runs
+        Number of sends that no upstream has reported as not run.
     tried
-        The upstreams that are not tried again for it.
+        Ids of upstreams that are not tried again for this request.
     limited_rate
-        What upstreams that did not take it name, in requests a second together; None
-        where none is throttled.
+        Sum of the rate limits of upstreams that could not accept the request, in
+        requests per second; None if none is rate-limited.
     events, last_event
-        Events delivered, and the id of the last of them.
+        Number of delivered events, and the id of the last one.
     order
-        Sees that they follow on one another.
-    told_tokens
-        What the upstream says that the answer used; None before it does.
+        Checks that events arrive in order.
+    reported_tokens
+        Token usage reported by the upstream; None until it is reported.
     last_event_at, longest_pause
-        When the last of them came, and the longest time between two, in
-        seconds.
+        Time of the last event and longest time between two events, in seconds.
     """
 
     call: Call
@@ -86,10 +85,10 @@
     service: str
     configuration_age: float
     respond: Responder
-    ends_at: float
+    deadline: float
     sends: int = 0
     sent_at: float = 0.0
-    may_have_run: int = 0
+    possible_runs: int = 0
     run: RunStatus = RunStatus.NOT_RUN
     tried: set[str] = attrs.Factory(set)
     limited_rate: float | None = None
@@ -100,12 +99,12 @@
     first_byte_at: float = 0.0
     last_event_at: float = 0.0
     longest_pause: float = 0.0
-    told_tokens: int | None = None
+    reported_tokens: int | None = None
     _content_id: str = ""
 
     @property
     def content_id(self) -> str:
-        """Return what names the content of the request, the same for each attempt."""
+        """Return a hash of the request content, which is the same for each attempt."""
         if not self._content_id:
             self._content_id = content_id(
                 account=self.account.name if self.account is not None else "",
@@ -118,68 +117,68 @@
 
     @property
     def received_at(self) -> float:
-        """Return when the request began to arrive, in seconds."""
+        """Return the time at which the request began to arrive, in seconds."""
         return self.call.request.received_at
 
     @property
     def most_tokens(self) -> int:
-        """Return the tokens of the budget that the request can use at most."""
+        """Return the largest number of budget tokens that the request can use."""
         if self.call.generation is not None:
             return self.call.generation.most_tokens
         return self.route.cost
 
     @property
-    def may_move(self) -> bool:
-        """Return whether a run may be broken off to go on at another upstream."""
+    def may_migrate(self) -> bool:
+        """Return whether a run may be aborted and resumed at another upstream."""
         return self.route.is_repeatable and self.sends < self.route.max_attempts
 
     @property
-    def longest_wait(self) -> float:
-        """Return the seconds that a caller waits for the first event of a stream."""
+    def max_wait(self) -> float:
+        """Return the longest useful wait for the first event in seconds."""
         route = self.route
-        wait = max(LEAST_WAIT, 4 * route.latency_objective, 8 * route.max_pause)
-        return wait * WAIT_SHARE
+        wait = max(MIN_CALLER_WAIT, 4 * route.latency_objective, 8 * route.max_pause)
+        return wait * CALLER_WAIT_SHARE
 
     def aims(self, now: float) -> Aims:
-        """Return what an answer must keep to for its caller to have it on time."""
+        """Return the latency targets that a response has to meet to be on time."""
         route = self.route
         if self.events:
-            # It has begun; what counts is that it goes on soon.
+            # The stream has begun, so only the time until its next event matters.
             return Aims(route.max_pause * 1000.0, route.max_pause * 1000.0)
         left = self.received_at + route.latency_objective - now
         return Aims(left * 1000.0, route.max_pause * 1000.0)
 
     def claim(self, now: float) -> Claim:
-        """Return who asks for a place, and for how long it can wait for one."""
-        begin_by = self.ends_at
+        """Return the admission claim: who asks for a place and how long it can wait."""
+        start_by = self.deadline
         if not self.events:
-            begin_by = min(begin_by, self.received_at + self.longest_wait)
+            start_by = min(start_by, self.received_at + self.max_wait)
         return Claim.of(
             account=self.account.name if self.account is not None else "",
             rank=self.priority,
             content=self.content_id,
             waited=now - self.received_at,
-            left=begin_by - now,
+            left=start_by - now,
             due_in=self.aims(now).first_event_ms / 1000.0,
         )
 
     @property
     def has_paused(self) -> bool:
-        """Return whether a pause was longer than is on time."""
+        """Return whether a pause between events exceeded the route's limit."""
         return self.longest_pause > self.route.max_pause
 
     @property
     def run_id(self) -> str:
-        """Return what names the next or present run of the request."""
+        """Return the identifier of the current or next run of the request."""
         return f"{self.call.request_id}.{len(self.tried)}"
 
     @property
     def priority(self) -> int:
-        """Return the request's rank; 0 comes first.
+        """Return the request's rank; 0 is served first.
 
-        The account's rank goes before the route's, which decides among the
-        requests of accounts of one rank. What a caller has begun to read
-        comes before all that is new.
+        The account's rank takes precedence over the route's, which orders requests of
+        accounts with the same rank. A stream that has begun ranks before all new
+        requests.
         """
         if self.events:
             return 0
@@ -190,34 +189,34 @@
         return account_rank * ROUTE_RANKS + route_rank
 
     @property
-    def may_be_sent_again(self) -> bool:
-        """Return whether what the request is allows one more send."""
+    def may_retry(self) -> bool:
+        """Return whether the route and the state of the request allow another send."""
         if self.sends >= self.route.max_attempts:
             return False
         return self.run is RunStatus.NOT_RUN or self.route.is_repeatable
 
-    def note_sent(self, upstream_id: str, now: float) -> None:
-        """Count a send whose first byte is about to leave."""
+    def record_send(self, upstream_id: str, now: float) -> None:
+        """Record a send whose first byte is about to leave."""
         self.sent_at = now
         self.sends += 1
-        self.may_have_run += 1
+        self.possible_runs += 1
         self.run = RunStatus.UNKNOWN
         self.upstreams.append(upstream_id)
 
-    def note_declined(self, run_before: RunStatus) -> None:
-        """Take an upstream's word that it did not run what it was sent.
+    def record_declined(self, run_before: RunStatus) -> None:
+        """Record that an upstream reported a send as not run.
 
-        Another send of it may still be open, or have been lost: what that one did
-        stays unknown.
+        Another send of the request may still be open, or may have been lost; its
+        outcome stays unknown.
         """
-        self.may_have_run -= 1
-        if not self.may_have_run:
+        self.possible_runs -= 1
+        if not self.possible_runs:
             self.run = RunStatus.NOT_RUN
         elif self.run is RunStatus.UNKNOWN and run_before is not RunStatus.NOT_RUN:
             self.run = run_before
 
-    def note_events(self, count: int, last_event: str, now: float) -> None:
-        """Count events that go to the caller."""
+    def record_events(self, count: int, last_event: str, now: float) -> None:
+        """Record events that are forwarded to the caller."""
         if self.events:
             pause = now - self.last_event_at
             self.longest_pause = max(self.longest_pause, pause)
@@ -226,13 +225,13 @@
         self.last_event_at = now
 
     def retry_after(self, now: float, reason: Reason) -> float:
-        """Return the seconds after which the caller should come back."""
-        share, most = RETRY_SHARE, MAX_RETRY_AFTER
+        """Return the seconds after which the caller should retry."""
+        share, cap = RETRY_SHARE, MAX_RETRY_AFTER
         if reason is Reason.BUDGET_UNREACHABLE:
-            share, most = BUDGET_RETRY_SHARE, BUDGET_MAX_RETRY_AFTER
+            share, cap = BUDGET_RETRY_SHARE, BUDGET_MAX_RETRY_AFTER
         caller_timeout = self.call.caller_timeout or self.route.timeout
         left = self.received_at + caller_timeout - now
-        return min(max(left * share, MIN_RETRY_AFTER), most)
+        return min(max(left * share, MIN_RETRY_AFTER), cap)
 
     def refuse(
         self,
@@ -242,14 +241,15 @@
         *,
         retry_after: float | None = None,
     ) -> Refusal:
-        """Return the final answer where no upstream gives one.
+        """Return the final response for a request that no upstream answered.
 
-        A request that may have run is never said to be not run.
+        A request that may have run is never reported as not run.
 
         Parameters
         ----------
         retry_after
-            Seconds after which to come back; None for a share of the caller's time.
+            Seconds after which to retry; None for a share of the caller's remaining
+            time.
         """
         if self.run is RunStatus.NOT_RUN:
             if reason in (Reason.BROKEN, Reason.TIMEOUT):
@@ -262,8 +262,8 @@
         return Refusal(reason, title, run=RunStatus.UNKNOWN)
 
 
-def end_of(call: Call, route: Route) -> float:
-    """Return when a call must have its final answer, in seconds."""
+def deadline_for(call: Call, route: Route) -> float:
+    """Return the time by which a call must have its final response, in seconds."""
     limit = route.timeout
     if call.caller_timeout is not None:
         limit = min(limit, max(call.caller_timeout - DELIVERY_MARGIN, 0.0))
--- a/lynxchute/relay/guarded_load.py
+++ b/lynxchute/relay/guarded_load.py
@@ -1,4 +1,4 @@
-"""Decide by all resources of a VM when callers are better served by another router."""
+"""Load shedding by the load of all resources of a VM."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 from lynxchute.relay.load import RouterLoad
 from lynxchute.telemetry import Metrics, log_event
 
-# Seconds between two log lines on what was sent elsewhere.
+# Minimum seconds between two log lines about shed load.
 LOG_SECONDS = 1.0
-# Seconds of a request's own delay, of all its passes, from which on a router is late
-# enough to take its own lateness for that of engines.
+# Delay in seconds that this router adds to one request, over all of its waits for the
+# event loop, from which on it may mistake its own lag for slow engines.
 LAG_SECONDS = 0.1
-# Seconds for which what was learned in such a time counts.
+# Seconds for which the router counts as lagging after such a delay was last seen.
 LAG_HOLD_SECONDS = 2.0
 
 
 class GuardedLoad(RouterLoad):
-    """Send the excess of a VM elsewhere, whichever resource is full.
+    """Sheds the excess load of a VM, whichever of its resources is overloaded.
 
     Parameters
     ----------
     guard
-        Decides.
+        Decides what to shed.
     meter
-        Tells how long bytes wait for the VM's link.
+        Estimates how long data queues for the VM's link.
     clock
-        Seconds on the steady clock.
+        Monotonic clock in seconds.
     metrics
-        Where what goes elsewhere is counted.
+        Counts shed requests and connections.
     """
 
     def __init__(
@@ -48,26 +48,26 @@
         self._refused = 0
         self._ended = 0
         self._closed = 0
-        self._log_at = -math.inf
+        self._logged_at = -math.inf
         self._lagged_at = -math.inf
 
     @property
     def is_shedding(self) -> bool:
-        """Return whether connections are to go elsewhere."""
+        """Return whether the balancer should send connections to other VMs."""
         return not self._guard.is_ready
 
     @property
     def is_full(self) -> bool:
-        """Return whether nobody is to reach this VM at all.
+        """Return False: connections are accepted, and closed under overload.
 
-        Whose connection is refused does not come back; it is taken and closed instead.
+        A caller whose connection attempt is refused does not retry.
         """
         return False
 
     def poll(self) -> None:
-        """Take note of how full it is now."""
+        """Update the load of all resources."""
         resource = self._guard.poll()
-        load = self._processor()
+        load = self._processor_load()
         if load.delay * PROCESSOR_LIMITS.waits_per_request >= LAG_SECONDS:
             self._lagged_at = self._clock()
         if resource:
@@ -81,35 +81,35 @@
         self._log_counts()
 
     def may_accept(self) -> bool:
-        """Return whether a connection that has come just now is served."""
+        """Return whether a newly accepted connection is served."""
         if not self._guard.closes_connection():
             return True
         self._closed += 1
         self._metrics.connections_closed.inc()
         return False
 
-    def note_admitted(self, account: str) -> None:
+    def record_admitted(self, account: str) -> None:
         """Count an admitted request of a client account."""
         self._guard.record_request(account)
 
     def shed_reason(self, objective: float, account: str, *, is_brief: bool) -> str:
-        """Return the resource for which a request is refused, or an empty text."""
-        return self._counted(
+        """Return the resource for which a request is shed, or an empty string."""
+        return self._count_refusal(
             self._guard.shed_reason(objective, account, is_brief=is_brief)
         )
 
     def shed_reason_for_all(self, objective: float, *, is_brief: bool) -> str:
-        """Return the resource for which a request of anybody is refused."""
-        return self._counted(
+        """Return the resource for which requests of all accounts are shed."""
+        return self._count_refusal(
             self._guard.shed_reason_for_all(objective, is_brief=is_brief)
         )
 
     def has_lagged(self) -> bool:
-        """Return whether this router itself has been late just now."""
+        """Return whether this router itself was lagging recently."""
         return self._clock() - self._lagged_at < LAG_HOLD_SECONDS
 
     def ends_connection(self, account: str = "") -> bool:
-        """Return whether a connection is to end with the answer that it gets now."""
+        """Return whether a connection should be closed after the current response."""
         if not self._guard.ends_connection(account):
             return False
         self._ended += 1
@@ -117,27 +117,27 @@
         return True
 
     def loads(self) -> dict[str, Load]:
-        """Return the load of each resource by its name."""
+        """Return the load of each resource by name."""
         return self._guard.loads()
 
-    def _processor(self) -> Load:
+    def _processor_load(self) -> Load:
         return self._guard.load_of("processor")
 
-    def _counted(self, resource: str) -> str:
+    def _count_refusal(self, resource: str) -> str:
         if resource:
             self._refused += 1
             self._metrics.refused_by_resource.inc(resource)
         return resource
 
     def _log_counts(self) -> None:
-        """Tell what went elsewhere of late, in one line for many."""
+        """Log the shed load since the last line, at most once per LOG_SECONDS."""
         if not self._refused and not self._ended and not self._closed:
             return
         now = self._clock()
-        if now - self._log_at < LOG_SECONDS:
+        if now - self._logged_at < LOG_SECONDS:
             return
-        self._log_at = now
-        load = self._processor()
+        self._logged_at = now
+        load = self._processor_load()
         log_event(
             "load shed",
             refused=self._refused,
--- a/lynxchute/relay/hedge_rules.py
+++ b/lynxchute/relay/hedge_rules.py
@@ -1,4 +1,4 @@
-"""When a slow call is sent a second time, and when that would only add load."""
+"""When to hedge a slow call, and when hedging would only add load."""
 
 from __future__ import annotations
 
@@ -6,39 +6,40 @@
 
 from lynxchute.upstreams.expected_finish import UpstreamState
 
-# The share of an upstream's calls that are answered before another would be hedged.
+# Share of an upstream's calls that complete before a call to it is hedged.
 QUANTILE = 0.95
-# The same delay in usual times of the route: what takes twice as long as usual is
-# nothing strange; what takes three times as long is, also at an upstream that is always
-# slow.
-LEAST_USUAL_TIMES, MOST_USUAL_TIMES = 2.0, 3.0
-# The share of the objective after which a call is hedged while nothing is known yet:
-# the second answer can still be on time.
-UNKNOWN_SHARE = 0.4
-# The share of the retry budget that hedges may use. The rest stays for tries after
-# failures, without which their callers have no answer at all.
-BUDGET_SHARE = 0.4
-# The share of a service's upstreams that may be busy or slow: with more of them hedges
-# would add work where there is too much.
-MOST_BUSY_SHARE = 0.5
-# The share of a service's open calls that may have a second send at once, beside one.
-# What makes many calls slow together is no single upstream.
-MOST_OPEN_SHARE = 0.1
+# Bounds of the hedge delay in multiples of the route's median latency. Twice the median
+# is ordinary; three times the median is slow, even for an upstream that is always slow.
+MIN_MEDIAN_FACTOR, MAX_MEDIAN_FACTOR = 2.0, 3.0
+# Hedge delay as a share of the latency objective while no latencies are known. The
+# second response can still be on time.
+DEFAULT_DELAY_SHARE = 0.4
+# Share of the retry budget that hedges may use. The rest is for retries after failures,
+# without which callers get no response at all.
+HEDGE_BUDGET_SHARE = 0.4
+# Largest share of a service's upstreams that may be busy or slow. With more of them,
+# hedges would add load to an overloaded service.
+MAX_BUSY_SHARE = 0.5
+# Largest share of a service's open calls that may be hedged at once, in addition to
+# one. If many calls are slow together, no single upstream is the cause.
+MAX_OPEN_SHARE = 0.1
 
 
 def hedge_delay(
-    longest: float | None, usual: float | None, objective: float
+    quantile: float | None, median: float | None, objective: float
 ) -> float | None:
-    """Return after how many seconds a call is hedged; None for never.
+    """Return the seconds after which a call is hedged, or None for never.
 
     Parameters
     ----------
-    longest
-        What nearly all calls of its upstream kept to, in seconds; None if not known.
-    usual
-        What calls of its route usually take at any upstream, likewise.
+    quantile
+        Latency that nearly all calls to its upstream stay below, in seconds; None if
+        unknown.
+    median
+        Median latency of calls of its route at any upstream, in seconds; None if
+        unknown.
     objective
-        When its answer is late.
+        Latency objective in seconds.
 
     Examples
     --------
@@ -46,29 +47,29 @@
     0.12
     >>> hedge_delay(2.0, 0.05, 0.4) == 3 * 0.05
     True
-    >>> hedge_delay(None, None, 0.4) == 0.4 * UNKNOWN_SHARE
+    >>> hedge_delay(None, None, 0.4) == 0.4 * DEFAULT_DELAY_SHARE
     True
     """
-    if usual is None:
-        return objective * UNKNOWN_SHARE if objective > 0 else None
-    if longest is None:
-        return usual * MOST_USUAL_TIMES
-    least, most = usual * LEAST_USUAL_TIMES, usual * MOST_USUAL_TIMES
-    return min(max(longest, least), most)
+    if median is None:
+        return objective * DEFAULT_DELAY_SHARE if objective > 0 else None
+    if quantile is None:
+        return median * MAX_MEDIAN_FACTOR
+    lowest, highest = median * MIN_MEDIAN_FACTOR, median * MAX_MEDIAN_FACTOR
+    return min(max(quantile, lowest), highest)
 
 
-def has_room(states: Sequence[UpstreamState], open_hedges: int) -> bool:
-    """Return whether so few upstreams are busy that one more send does no harm.
+def has_capacity(states: Sequence[UpstreamState], open_hedges: int) -> bool:
+    """Return whether few enough upstreams are busy to allow one more hedge.
 
     Parameters
     ----------
     open_hedges
-        Second sends of this router to them that are open.
+        Number of open hedges of this router to these upstreams.
     """
     if len(states) < 2:
         return False
     open_calls = sum(max(state.open_requests, 0) for state in states)
-    if open_hedges >= 1 + open_calls * MOST_OPEN_SHARE:
+    if open_hedges >= 1 + open_calls * MAX_OPEN_SHARE:
         return False
     busy = sum(1 for state in states if state.is_busy)
-    return busy <= len(states) * MOST_BUSY_SHARE
+    return busy <= len(states) * MAX_BUSY_SHARE
--- a/lynxchute/relay/hedging.py
+++ b/lynxchute/relay/hedging.py
@@ -1,4 +1,4 @@
-"""Send a call that may be repeated to a second upstream where the first is slow."""
+"""Hedge slow calls that are safe to repeat by sending them to a second upstream."""
 
 from __future__ import annotations
 
@@ -8,9 +8,14 @@
 import attrs
 
 from lynxchute.relay.answer import Answer
-from lynxchute.relay.chooser import Chooser, nothing_answered
+from lynxchute.relay.chooser import Chooser, no_answer_refusal
 from lynxchute.relay.exchange import Exchange
-from lynxchute.relay.hedge_rules import BUDGET_SHARE, QUANTILE, has_room, hedge_delay
+from lynxchute.relay.hedge_rules import (
+    HEDGE_BUDGET_SHARE,
+    QUANTILE,
+    has_capacity,
+    hedge_delay,
+)
 from lynxchute.relay.refusal import Refusal, RunStatus
 from lynxchute.telemetry import Metrics, log_event
 from lynxchute.upstreams.directory import Directory
@@ -27,17 +32,16 @@
 
 @attrs.define(eq=False)
 class _Race:
-    """One call and what has come of its sends.
+    """State of one call and its sends.
 
     Attributes
     ----------
     choice, hedge
-        Where it was sent first, and where it was hedged; None where it was not.
+        Upstreams of the first send and of the hedge; hedge is None if not hedged.
     failure
-        An answer that says that its upstream failed, to be passed on if no better one
-        comes.
+        Error response to forward if no better one arrives.
     refusal
-        What a send that must not be made any more ended with.
+        Refusal of a send that was no longer allowed.
     """
 
     exchange: Exchange
@@ -47,7 +51,7 @@
     refusal: Refusal | None = None
 
     def outcome(self, answer: Answer | None) -> str:
-        """Return in a word what came of the hedge."""
+        """Return the outcome of the hedge as a label for metrics and logs."""
         if answer is None:
             return "failed"
         assert self.hedge is not None
@@ -55,29 +59,29 @@
 
 
 class Hedger:
-    """Race two sends of a call; the first good answer counts.
+    """Races two sends of a call and returns the first successful response.
 
-    It answers an upstream that turns slow, or says nothing more, for calls whose caller
-    waits for tenths of a second. Callers need the answer within the objective; the
-    upstreams need that hedges never add to an overload, so that they are bounded by the
-    retry budget, by the route's attempts and by how many upstreams are busy.
+    This covers upstreams that become slow or stop responding, for calls whose callers
+    wait for tenths of a second only. Callers need the response within the latency
+    objective. Hedges must never add to an overload, so they are limited by the retry
+    budget, by the route's number of attempts and by the number of busy upstreams.
 
     Parameters
     ----------
     chooser
         Chooses the second upstream.
     directory
-        The upstreams.
+        Known upstreams.
     times
-        What calls take.
+        Latencies of recent calls.
     retries
-        Bounds hedges with all other repeated sends.
+        Retry budget that hedges share with all other repeated sends.
     state_of
-        Returns what is known of an upstream at a moment.
+        Returns the state of an upstream at a given time.
     metrics
-        Where hedges are counted.
+        Counts hedges by outcome.
     clock
-        Seconds on the loop's clock.
+        Event loop clock in seconds.
     """
 
     def __init__(
@@ -100,7 +104,7 @@
         self._open_by_service: dict[str, int] = {}
 
     def may_hedge(self, exchange: Exchange) -> bool:
-        """Return whether a call may be sent twice at once, by what it is."""
+        """Return whether the type and route of a call allow two concurrent sends."""
         if exchange.call.generation is not None or not exchange.route.is_repeatable:
             return False
         return exchange.sends + 2 <= exchange.route.max_attempts
@@ -112,44 +116,44 @@
         attempt: Attempt,
         drop: Callable[[Answer], None],
     ) -> Answer | None:
-        """Return the first good answer; None where neither upstream gave one.
+        """Return the first successful response, or None if neither upstream responded.
 
         Parameters
         ----------
         attempt
-            Sends once.
+            Sends the call once.
         drop
-            Gives up an answer that nobody reads.
+            Discards a response that is not needed.
 
         Raises
         ------
         Refusal
-            As one send does, where nothing else came of either.
+            If a send was refused and the other one gave no response.
         """
         race = _Race(exchange, choice)
         tasks = [asyncio.ensure_future(attempt(exchange, choice))]
         answer = None
         outcome = "left"
         try:
-            await self._wait(race, tasks)
+            await self._wait_until_slow(race, tasks)
             if not tasks[0].done():
-                tasks.append(asyncio.ensure_future(self._hedge(race, attempt)))
-            answer = await self._first_good(race, tasks)
+                tasks.append(asyncio.ensure_future(self._send_hedge(race, attempt)))
+            answer = await self._first_success(race, tasks)
             if race.hedge is not None:
                 outcome = race.outcome(answer)
             return answer
         finally:
             for task in tasks:
-                _leave(task, answer, drop)
+                _cancel(task, answer, drop)
             if race.hedge is not None:
-                self._note_ended(race, outcome)
+                self._record_end(race, outcome)
 
-    async def _wait(
+    async def _wait_until_slow(
         self, race: _Race, tasks: Sequence[asyncio.Future[Answer | None]]
     ) -> None:
-        """Wait for the first send's end, or until it is slow."""
+        """Wait until the first send ends or its hedge delay has passed."""
         exchange = race.exchange
-        delay = self._delay(exchange, race.choice.entry)
+        delay = self._hedge_delay(exchange, race.choice.entry)
         sends, begun_at = exchange.sends, self._clock()
         left = delay
         while True:
@@ -157,26 +161,26 @@
             if tasks[0].done() or delay is None:
                 return
             now = self._clock()
-            # The time from its first byte on is the upstream's; before that it may be
-            # this router that is late.
+            # Time after the first byte was sent is spent at the upstream; time before
+            # that may be lag of this router.
             is_sent = exchange.sends > sends
             due = exchange.sent_at + delay if is_sent else begun_at + 2 * delay
             if now >= due:
                 return
             left = due - now
 
-    def _delay(self, exchange: Exchange, entry: Entry) -> float | None:
-        """Return after how many seconds a call is hedged; None for never."""
+    def _hedge_delay(self, exchange: Exchange, entry: Entry) -> float | None:
+        """Return the seconds after which a call is hedged, or None for never."""
         return hedge_delay(
             self._times.latency_quantile(entry.upstream.id, QUANTILE),
             self._times.median_latency(exchange.service, exchange.route.name),
             exchange.route.latency_objective,
         )
 
-    async def _hedge(self, race: _Race, attempt: Attempt) -> Answer | None:
-        """Send a call to a second upstream, if that is permitted."""
+    async def _send_hedge(self, race: _Race, attempt: Attempt) -> Answer | None:
+        """Send a call to a second upstream if the limits on hedges permit it."""
         exchange = race.exchange
-        hedge, reason = await self._choose(race)
+        hedge, reason = await self._choose_hedge(race)
         if hedge is None:
             self._metrics.hedges.inc(reason)
             return None
@@ -194,34 +198,36 @@
             exchange.tried.add(hedge.entry.upstream.id)
         return answer
 
-    async def _choose(self, race: _Race) -> tuple[Choice | None, str]:
-        """Return the second upstream, or None and why there is none."""
+    async def _choose_hedge(self, race: _Race) -> tuple[Choice | None, str]:
+        """Return the second upstream and an empty string, or None and the reason."""
         exchange = race.exchange
-        if not self._has_room(exchange.service):
+        if not self._has_capacity(exchange.service):
             return None, "busy"
         exchange.tried.add(race.choice.entry.upstream.id)
         try:
             hedge = await self._chooser.choose(exchange)
         except Refusal:
-            # The first send is still open and may be answered.
+            # The first send is still open and may get a response.
             return None, "no upstream"
         now = self._clock()
         if self._state_of(hedge.entry, now).is_busy:
             return None, "busy"
-        if not self._retries.spend(exchange.service, now, used_share=BUDGET_SHARE):
+        if not self._retries.spend(
+            exchange.service, now, used_share=HEDGE_BUDGET_SHARE
+        ):
             return None, "no budget"
         return hedge, ""
 
-    def _has_room(self, service: str) -> bool:
+    def _has_capacity(self, service: str) -> bool:
         now = self._clock()
         entries = self._directory.available(service, now)
         states = [self._state_of(entry, now) for entry in entries]
-        return has_room(states, self._open_by_service.get(service, 0))
+        return has_capacity(states, self._open_by_service.get(service, 0))
 
-    async def _first_good(
+    async def _first_success(
         self, race: _Race, tasks: Sequence[asyncio.Future[Answer | None]]
     ) -> Answer | None:
-        """Return the first answer that is no failure, or the last resort."""
+        """Return the first successful response, else an error response, else None."""
         pending = set(tasks)
         while pending:
             done, pending = await asyncio.wait(
@@ -243,10 +249,10 @@
             return None
         if race.exchange.run is RunStatus.NOT_RUN:
             raise race.refusal
-        # The other send may have run since that refusal was made.
-        raise nothing_answered(race.exchange, self._clock())
+        # The other send may have run after this refusal was raised.
+        raise no_answer_refusal(race.exchange, self._clock())
 
-    def _note_ended(self, race: _Race, outcome: str) -> None:
+    def _record_end(self, race: _Race, outcome: str) -> None:
         self._open_by_service[race.exchange.service] -= 1
         self._metrics.hedges.inc(outcome)
         log_event(
@@ -265,14 +271,14 @@
         return None
 
 
-def _leave(
+def _cancel(
     task: asyncio.Future[Answer | None],
     answer: Answer | None,
     drop: Callable[[Answer], None],
 ) -> None:
-    """Break off what a task still does, and give up an answer that nobody reads."""
+    """Cancel a task, and drop its response unless that is the one in use."""
 
-    def give_up(ended: asyncio.Future[Answer | None]) -> None:
+    def drop_unread(ended: asyncio.Future[Answer | None]) -> None:
         if ended.cancelled() or ended.exception() is not None:
             return
         unread = ended.result()
@@ -281,6 +287,6 @@
 
     if not task.done():
         task.cancel()
-        task.add_done_callback(give_up)
+        task.add_done_callback(drop_unread)
     else:
-        give_up(task)
+        drop_unread(task)
--- a/lynxchute/relay/load.py
+++ b/lynxchute/relay/load.py
@@ -1,4 +1,4 @@
-"""Whether this router can serve in time, or another one should."""
+"""Load shedding by the load of the VM's link."""
 
 from __future__ import annotations
 
@@ -9,46 +9,47 @@
 from lynxchute.overload import Load
 from lynxchute.telemetry import log_event
 
-# A request crosses the link some times (its tokens, its place, its body, its
-# answer). Where each waits for this share of the latency objective, another
-# router serves it sooner, even counting the caller's way there.
-SLOW_SHARE = 0.3
-# Seconds of waiting from which on connections are sent elsewhere as well: below
-# that only the calls with the shortest objectives are late.
+# A request crosses the link several times: for its tokens, its placement, its body and
+# its response. If each crossing waits for this share of the latency objective, another
+# router is faster, even including the caller's detour.
+MAX_DELAY_SHARE = 0.3
+# Link delay in seconds from which on connections are shed as well. Below it, only calls
+# with the shortest latency objectives are late.
 SHED_DELAY = 0.2
-# Seconds for which callers are sent elsewhere after a request had to be: the
-# balancer needs two to notice, and a caller's many connections come back at once.
+# Seconds of shedding after the link was last overloaded. The balancer takes two seconds
+# to notice, and a caller's many connections return all at once.
 SHED_SECONDS = 8.0
 
 
-# Share of the link's use from which on new connections are sent elsewhere, and what is
-# kept of it then: the balancer notices after two seconds only, in which a caller whose
-# account is hot opens more. One account sending 108 to 240 requests a second to VMs
-# that carry 60 (in virtual time): 0.97 of what is due is served with these, within
-# 0.02 of it with 0.4 to 0.7 and 0.55 to 0.75; keeping 0.4 moves too much, 0.95.
+# Link utilization from which on new connections are shed, and the utilization to keep.
+# The balancer notices only after two seconds, in which a caller of a hot account opens
+# more connections. With one account sending 108 to 240 requests per second to VMs with
+# capacity for 60 (in virtual time), 0.97 of the requests due are served. The share
+# stays within 0.02 of that for 0.4 to 0.7 as the target and 0.55 to 0.75 as the
+# threshold. A target of 0.4 moves too much load: 0.95.
 SHED_USE = 0.7
-KEPT_USE = 0.55
-# Seconds of waiting from which on no connection is taken: what comes over it would wait
-# behind the bodies that fill the link, while its caller reaches another router at once.
-# From 0.3 s on instead 55 of 1,000 requests of a day with such an account were refused,
-# 8 with this (22 VMs, links of 5 Mbit/s).
+TARGET_USE = 0.55
+# Link delay in seconds from which on no connection is accepted. Its requests would
+# queue behind the bodies that fill the link, while the caller can reach another router
+# at once. With 0.3 s, 55 of 1,000 requests of a day with such an account were refused,
+# and 8 with this value (22 VMs, links of 5 Mbit/s).
 FULL_DELAY = 0.15
 
 
 class RouterLoad:
-    """Say when callers are better served by another router.
+    """Reports when callers should use another router instead.
 
-    Balancers give a caller's connections to one VM, however much it sends; a
-    small VM's link then carries only a part of it.
+    Balancers send all connections of a caller to one VM, whatever its request rate. The
+    link of a small VM can carry only a part of that.
 
     Parameters
     ----------
     meter
-        Tells how long bytes wait for the VM's link.
+        Estimates how long data queues for the VM's link.
     clock
-        Seconds on the steady clock.
+        Monotonic clock in seconds.
     rng
-        Picks the connections that end.
+        Selects the connections to close.
     """
 
     def __init__(
@@ -64,78 +65,78 @@
 
     @property
     def is_shedding(self) -> bool:
-        """Return whether connections are to go elsewhere."""
+        """Return whether the balancer should send connections to other VMs."""
         return self._clock() < self._shed_until
 
     @property
     def is_full(self) -> bool:
-        """Return whether a new connection would only make those that are open late."""
+        """Return whether a new connection would only delay the open ones."""
         return self._meter.delay() >= FULL_DELAY
 
     def poll(self) -> None:
-        """Take note of how full it is now."""
+        """Update the load, for subclasses that poll it."""
 
     def may_accept(self) -> bool:
-        """Return whether a connection that has come just now is served."""
+        """Return whether a newly accepted connection is served."""
         return True
 
-    def note_admitted(self, account: str) -> None:
+    def record_admitted(self, account: str) -> None:
         """Count an admitted request of a client account."""
 
     def shed_reason(self, objective: float, account: str, *, is_brief: bool) -> str:
-        """Return the resource for which a request is refused, or an empty text.
+        """Return the resource for which a request is shed, or an empty string.
 
         Parameters
         ----------
         objective
-            Seconds within which its answer is on time.
+            Latency objective of the request in seconds.
         account
-            Who pays; empty where nobody does.
+            Name of the client account that pays; empty if none does.
         is_brief
-            Whether it needs no place at an engine and no tokens.
+            Whether the request needs neither an engine nor tokens.
         """
         return "link" if self.is_too_slow(objective) else ""
 
     def shed_reason_for_all(self, objective: float, *, is_brief: bool) -> str:
-        """Return the resource for which a request of anybody is refused.
+        """Return the resource for which requests of all accounts are shed.
 
-        It is asked before the body is read.
+        This is checked before the body is read.
         """
         return ""
 
     def loads(self) -> dict[str, Load]:
-        """Return the load of each resource by its name."""
+        """Return the load of each resource by name."""
         return {"link": Load(self._meter.use(), self._meter.delay())}
 
     def has_lagged(self) -> bool:
-        """Return whether this router itself has been late just now."""
+        """Return whether this router itself was lagging recently."""
         return False
 
     def ends_connection(self, account: str = "") -> bool:
-        """Return whether a connection is to end with the answer that it gets now.
+        """Return whether a connection should be closed after the current response.
 
-        Only what the link carries too much goes elsewhere: if all of it went, the next
-        VM would be as full a moment later, and the one after that.
+        Only the excess load of the link is moved. If all connections were closed, the
+        next VM would be overloaded a moment later, and then the one after it.
         """
         if not self.is_shedding:
             return False
         use = self._meter.use()
-        return use > KEPT_USE and self._random.random() > KEPT_USE / use
+        return use > TARGET_USE and self._random.random() > TARGET_USE / use
 
     def is_too_slow(self, objective: float) -> bool:
-        """Return whether a request cannot be served in time here.
+        """Return whether this router is too slow to serve a request in time.
 
         Parameters
         ----------
         objective
-            Seconds within which its answer is on time.
+            Latency objective of the request in seconds.
         """
         delay = self._meter.delay()
         if delay >= SHED_DELAY or self._meter.use() >= SHED_USE:
-            self._shed(delay)
-        return delay > objective * SLOW_SHARE
+            self._start_shedding(delay)
+        return delay > objective * MAX_DELAY_SHARE
 
-    def _shed(self, delay: float) -> None:
+    def _start_shedding(self, delay: float) -> None:
         if not self.is_shedding:
             log_event(
                 "link saturated: shedding load",
--- a/lynxchute/relay/own_delay.py
+++ b/lynxchute/relay/own_delay.py
@@ -1,4 +1,4 @@
-"""How long a router itself holds up what it waits for."""
+"""Delay that a router itself adds to the responses it waits for."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 from lynxchute.http import LinkMeter
 from lynxchute.overload import LoadSource
 
-# Turns of the loop that a question to another process waits for: it is sent, its
-# answer is read, and who asked is woken.
-ASKING_PASSES = 3.0
+# Event loop iterations that a request to another process waits for: to be sent, to have
+# its response read, and to wake the waiting task.
+LOOP_WAITS_PER_REQUEST = 3.0
 
 
 class OwnDelayMeter(LinkMeter):
-    """Know how long answers wait for the VM's link and for its processor.
+    """Estimates how long responses wait for the VM's link and its processor.
 
-    Whoever waits for an answer waits so much longer, and takes none of it for the
-    slowness of who was asked.
+    Timeouts are extended by this delay, and it is not counted as latency of the process
+    that responds.
 
     Parameters
     ----------
     mbps
-        What the link carries in each direction, in Mbit/s.
+        Capacity of the link in each direction, in Mbit/s.
     processor
-        Tells how long an event waits for the loop.
+        Measures how long an event waits for the event loop.
     clock
-        Seconds on the steady clock.
+        Monotonic clock in seconds.
     """
 
     def __init__(
@@ -35,13 +35,13 @@
         self._processor = processor
 
     def link_delay(self) -> float:
-        """Return the seconds that a packet and its answer wait for the link."""
+        """Return the seconds that a packet and its response wait for the link."""
         return super().delay()
 
     def own_delay(self) -> float:
-        """Return the seconds that an answer waits for this process."""
-        return ASKING_PASSES * self._processor.load().delay
+        """Return the seconds that a response waits for this process."""
+        return LOOP_WAITS_PER_REQUEST * self._processor.load().delay
 
     def delay(self) -> float:
-        """Return the seconds that an answer waits for the VM."""
+        """Return the seconds that a response waits for the link and this process."""
         return self.link_delay() + self.own_delay()
--- a/lynxchute/relay/passing.py
+++ b/lynxchute/relay/passing.py
@@ -1,4 +1,4 @@
-"""Pass the events of a stream on as they arrive."""
+"""Forward the events of a stream as they arrive."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 from lynxchute.relay.sender import Sender
 
 
-class EventPassing:
-    """Pass the events of one upstream's answer on to the caller.
+class EventForwarder:
+    """Forwards the events of one upstream response to the caller.
 
     Parameters
     ----------
     dialect
-        How callers and upstreams write.
+        Decodes events and response headers.
     sender
-        Is told how the run fares.
+        Records the first event and long pauses of the run.
     exchange
-        The request.
+        Request that the stream answers.
     answer
-        The upstream's answer to it.
+        Response of the upstream.
     clock
-        Seconds on the loop's clock.
+        Event loop clock in seconds.
     """
 
     def __init__(
@@ -45,23 +45,23 @@
 
     @property
     def is_within_event(self) -> bool:
-        """Return whether the end of an event is missing."""
+        """Return whether the last received event is incomplete."""
         return bool(self._splitter.rest)
 
-    def take(self, data: bytes) -> bool:
-        """Pass on the events that are whole now.
+    def forward_events(self, data: bytes) -> bool:
+        """Forward the events that are now complete.
 
         Returns
         -------
         bool
-            Whether the caller reads as fast as they come.
+            Whether the caller reads as fast as events arrive.
 
         Raises
         ------
         EventsOutOfOrder
-            Where they do not follow on those before.
+            If the events do not directly follow the previous ones.
         CallerLeft
-            Where nobody reads them any more.
+            If the caller has disconnected.
         """
         exchange, answer = self._exchange, self._answer
         now = self._clock()
@@ -71,17 +71,17 @@
             return True
         exchange.order.check(events)
         answer.send.note_answering(now)
-        had_paused = exchange.has_paused
-        exchange.note_events(events.count, events.last_id, now)
-        if exchange.has_paused and not had_paused:
+        was_paused = exchange.has_paused
+        exchange.record_events(events.count, events.last_id, now)
+        if exchange.has_paused and not was_paused:
             self._sender.record_pause(
                 answer, exchange.longest_pause, exchange.route.max_pause
             )
         data = events.data
-        told = self._dialect.told_tokens(data)
-        if told is not None:
-            exchange.told_tokens = told
-            data = self._dialect.for_caller(exchange.call, data)
+        reported = self._dialect.reported_tokens(data)
+        if reported is not None:
+            exchange.reported_tokens = reported
+            data = self._dialect.caller_events(exchange.call, data)
         if exchange.respond.started:
             return exchange.respond.write(data)
         exchange.first_byte_at = now
--- a/lynxchute/relay/relay.py
+++ b/lynxchute/relay/relay.py
@@ -1,4 +1,4 @@
-"""Serve callers: admit, reserve, send, pass the answer on, settle."""
+"""Serve requests: admit, reserve, send, forward the response, settle."""
 
 from __future__ import annotations
 
@@ -15,60 +15,60 @@
     BudgetExhausted,
     Budgets,
     BudgetUnreachable,
-    NothingReserved,
+    EmptyReservation,
     Reservation,
 )
 from lynxchute.relay.dialect import Dialect
 from lynxchute.relay.events import EventsOutOfOrder
 from lynxchute.relay.exchange import Exchange
-from lynxchute.relay.passing import EventPassing
+from lynxchute.relay.passing import EventForwarder
 from lynxchute.relay.refusal import Reason, Refusal, RunStatus
 from lynxchute.relay.request_log import RequestLog, used_tokens
 from lynxchute.relay.sender import SERVER_ERROR, Sender
 from lynxchute.telemetry import Metrics, log_event
 from lynxchute.upstreams.health import SendOutcome
 
-# Larger answers are passed on as they come.
-MAX_HELD_BYTES = 1_048_576
+# Larger responses are forwarded as they arrive.
+MAX_BUFFERED_BYTES = 1_048_576
 EVENT_STREAM = "text/event-stream"
 
 
 @attrs.frozen
-class Held:
-    """An answer that was read before it is passed on.
+class BufferedAnswer:
+    """Result of reading a response before it is forwarded.
 
     Attributes
     ----------
     body
-        All of it; None where it broke off.
-    is_good
-        Whether the upstream did what was asked.
-    is_passed_on
-        Whether the caller has it already.
+        Complete body; None if the response was interrupted.
+    is_success
+        Whether the upstream processed the request without an error.
+    is_forwarded
+        Whether the response has already been forwarded to the caller.
     """
 
     body: bytes | None
-    is_good: bool = False
-    is_passed_on: bool = False
+    is_success: bool = False
+    is_forwarded: bool = False
 
 
 class Relay:
-    """Serve the requests of callers.
+    """Serves the requests of callers.
 
     Parameters
     ----------
     dialect
-        How callers and upstreams write.
+        Decodes requests and responses.
     admission
-        Decides which requests are served.
+        Decides which requests are admitted.
     budgets
-        Sets tokens aside.
+        Reserves tokens.
     sender
         Sends requests to upstreams.
     metrics
-        Where ends are counted.
+        Counts requests by outcome.
     clock
-        Seconds on the loop's clock.
+        Event loop clock in seconds.
     """
 
     def __init__(
@@ -90,7 +90,7 @@
 
     @property
     def open_requests(self) -> int:
-        """Return how many requests are being served."""
+        """Return the number of requests being served."""
         return self._admission.open_requests
 
     async def handle(self, request: Request, respond: Responder) -> None:
@@ -103,7 +103,7 @@
             if exchange.account is not None:
                 respond.belongs_to(exchange.account.name)
         except Refusal as refusal:
-            self._log.note_refusal(request_id, refusal)
+            self._log.record_refusal(request_id, refusal)
             await refusal.send(respond)
             return
         outcome = "left"
@@ -111,25 +111,25 @@
             outcome = await self._serve(exchange)
         finally:
             self._admission.record_end(exchange)
-            self._log.note_end(exchange, outcome)
+            self._log.record_end(exchange, outcome)
 
     async def _serve(self, exchange: Exchange) -> str:
-        """Serve an admitted request; return the outcome in a word."""
+        """Serve an admitted request; return its outcome for the log."""
         try:
-            async with asyncio.timeout_at(exchange.ends_at):
+            async with asyncio.timeout_at(exchange.deadline):
                 await self._reserve_and_send(exchange)
         except Refusal as refusal:
-            return await self._end_refused(exchange, refusal)
+            return await self._refuse(exchange, refusal)
         except TimeoutError:
             title = "The time for this request is over."
-            late = exchange.refuse(Reason.TIMEOUT, title, self._clock())
-            return await self._end_refused(exchange, late)
+            timeout_refusal = exchange.refuse(Reason.TIMEOUT, title, self._clock())
+            return await self._refuse(exchange, timeout_refusal)
         return "served"
 
-    async def _end_refused(self, exchange: Exchange, refusal: Refusal) -> str:
+    async def _refuse(self, exchange: Exchange, refusal: Refusal) -> str:
         self._metrics.refusals.inc(refusal.reason.value)
         if exchange.respond.started:
-            # What the caller has of the answer must not look whole.
+            # The caller must be able to tell that the response is incomplete.
             exchange.respond.abort()
             return f"broken off: {refusal.reason.value}"
         await refusal.send(exchange.respond)
@@ -140,8 +140,9 @@
         reservation = await self._reserve(exchange)
         try:
             if exchange.route.kind is RequestKind.AT_MOST_ONCE:
-                # What a call does is worth knowing also without its caller; a
-                # stream's next events are not, and its engine's time is others'.
+                # The outcome of such a call matters even after its caller has
+                # disconnected. The rest of a stream does not, and the engine is needed
+                # by others.
                 exchange.respond.outlives_caller = True
             await self._send(exchange)
         finally:
@@ -151,7 +152,7 @@
         account = exchange.account
         tokens = exchange.most_tokens
         if account is None or account.prepaid is None or not tokens:
-            return NothingReserved()
+            return EmptyReservation()
         try:
             with self._metrics.reserve_seconds.time():
                 return await self._budgets.reserve(
@@ -165,59 +166,61 @@
             ) from error
 
     async def _send(self, exchange: Exchange) -> None:
-        """Send a request until an answer can be passed on."""
+        """Send a request until a response can be forwarded."""
         answer = await self._sender.send(exchange)
         while not _is_stream(answer):
-            held = await self._hold(exchange, answer)
-            if held.is_passed_on:
+            buffered = await self._buffer(exchange, answer)
+            if buffered.is_forwarded:
                 return
-            if held.is_good or not self._sender.may_send_again(exchange):
-                await self._forward(exchange, answer, held)
+            if buffered.is_success or not self._sender.claim_retry(exchange):
+                await self._forward_buffered(exchange, answer, buffered)
                 return
             exchange.tried.add(answer.entry.upstream.id)
             try:
                 answer = await self._sender.send(exchange)
             except Refusal:
-                if held.body is None:
+                if buffered.body is None:
                     raise
-                # The first answer is an answer, if a bad one.
-                await self._forward(exchange, answer, held)
+                # Without a second response, the error response is the best one.
+                await self._forward_buffered(exchange, answer, buffered)
                 return
         await self._stream(exchange, answer)
 
-    # Answers that are passed on whole.
+    # Buffered responses.
 
-    async def _forward(self, exchange: Exchange, answer: Answer, held: Held) -> None:
-        if held.body is None:
+    async def _forward_buffered(
+        self, exchange: Exchange, answer: Answer, buffered: BufferedAnswer
+    ) -> None:
+        if buffered.body is None:
             title = "The upstream's answer broke off; the request may have run."
             raise exchange.refuse(Reason.BROKEN, title, self._clock())
         headers = self._dialect.caller_headers(answer.response.headers)
         exchange.first_byte_at = self._clock()
-        await exchange.respond.forward(answer.response.status, headers, held.body)
+        await exchange.respond.forward(answer.response.status, headers, buffered.body)
 
-    async def _hold(self, exchange: Exchange, answer: Answer) -> Held:
-        """Read an answer whole; pass it on as it comes where it is too large."""
-        fate = SendOutcome.ABANDONED
+    async def _buffer(self, exchange: Exchange, answer: Answer) -> BufferedAnswer:
+        """Read a complete response, or forward it unbuffered if it is too large."""
+        send_outcome = SendOutcome.ABANDONED
         failed = answer.response.status >= SERVER_ERROR
-        parts: list[bytes] = []
+        chunks: list[bytes] = []
         size = 0
         try:
-            while size <= MAX_HELD_BYTES:
-                piece = await answer.response.read()
+            while size <= MAX_BUFFERED_BYTES:
+                chunk = await answer.response.read()
                 answer.entry.heard_at = self._clock()
-                if piece is None:
-                    fate = SendOutcome.FAILED if failed else SendOutcome.SERVED
-                    body = b"".join(parts)
-                    exchange.told_tokens = self._dialect.told_tokens(body)
-                    return Held(body, is_good=not failed)
+                if chunk is None:
+                    send_outcome = SendOutcome.FAILED if failed else SendOutcome.SERVED
+                    body = b"".join(chunks)
+                    exchange.reported_tokens = self._dialect.reported_tokens(body)
+                    return BufferedAnswer(body, is_success=not failed)
                 answer.send.note_answering(self._clock())
-                parts.append(piece)
-                size += len(piece)
-            await self._pass_on(exchange, answer, parts)
-            fate = SendOutcome.SERVED
-            return Held(None, is_passed_on=True)
+                chunks.append(chunk)
+                size += len(chunk)
+            await self._forward_unbuffered(exchange, answer, chunks)
+            send_outcome = SendOutcome.SERVED
+            return BufferedAnswer(None, is_forwarded=True)
         except ExchangeFailed as error:
-            fate = SendOutcome.BROKEN
+            send_outcome = SendOutcome.BROKEN
             self._sender.record_broken(answer)
             log_event(
                 "upstream response interrupted",
@@ -230,33 +233,33 @@
             if exchange.respond.started:
                 title = "The answer broke off."
                 raise Refusal(Reason.BROKEN, title, run=RunStatus.RAN) from error
-            return Held(None)
+            return BufferedAnswer(None)
         finally:
             answer.response.close()
-            self._sender.release(answer, fate)
+            self._sender.release(answer, send_outcome)
 
-    async def _pass_on(
-        self, exchange: Exchange, answer: Answer, parts: list[bytes]
+    async def _forward_unbuffered(
+        self, exchange: Exchange, answer: Answer, chunks: list[bytes]
     ) -> None:
-        """Pass a large answer on as it comes."""
+        """Forward a large response as it arrives."""
         headers = self._dialect.caller_headers(answer.response.headers)
         length = answer.response.headers.get("content-length")
         if length is not None:
             headers.append((b"Content-Length", length.encode()))
         exchange.first_byte_at = self._clock()
         await exchange.respond.start(answer.response.status, headers)
-        for part in parts:
-            await exchange.respond.send(part)
-        while (piece := await answer.response.read()) is not None:
-            await exchange.respond.send(piece)
+        for buffered_chunk in chunks:
+            await exchange.respond.send(buffered_chunk)
+        while (chunk := await answer.response.read()) is not None:
+            await exchange.respond.send(chunk)
         await exchange.respond.finish()
 
     # Streams.
 
     async def _stream(self, exchange: Exchange, answer: Answer) -> None:
-        while not await self._pass_events(exchange, answer):
+        while not await self._forward_events(exchange, answer):
             exchange.tried.add(answer.entry.upstream.id)
-            if not self._sender.may_send_again(exchange):
+            if not self._sender.claim_retry(exchange):
                 title = "The stream broke off and cannot go on elsewhere."
                 raise exchange.refuse(Reason.BROKEN, title, self._clock())
             answer = await self._sender.send(exchange)
@@ -267,22 +270,22 @@
                 raise exchange.refuse(Reason.BROKEN, title, self._clock())
         await exchange.respond.finish()
 
-    async def _pass_events(self, exchange: Exchange, answer: Answer) -> bool:
-        """Pass events on; return whether the stream came to its end."""
-        passing = EventPassing(
+    async def _forward_events(self, exchange: Exchange, answer: Answer) -> bool:
+        """Forward events; return whether the stream is complete."""
+        forwarder = EventForwarder(
             self._dialect, self._sender, exchange, answer, self._clock
         )
-        fate = SendOutcome.ABANDONED
+        send_outcome = SendOutcome.ABANDONED
         try:
-            while not await answer.response.read_each(passing.take):
+            while not await answer.response.read_each(forwarder.forward_events):
                 await exchange.respond.drained()
             answer.entry.heard_at = self._clock()
-            if passing.is_within_event:
-                fate = SendOutcome.BROKEN
+            if forwarder.is_within_event:
+                send_outcome = SendOutcome.BROKEN
                 return False
-            fate = SendOutcome.SERVED
+            send_outcome = SendOutcome.SERVED
         except (ExchangeFailed, EventsOutOfOrder) as error:
-            fate = SendOutcome.BROKEN
+            send_outcome = SendOutcome.BROKEN
             if isinstance(error, ExchangeFailed):
                 self._sender.record_broken(answer)
             log_event(
@@ -297,7 +300,7 @@
             return False
         finally:
             answer.response.close()
-            self._sender.release(answer, fate)
+            self._sender.release(answer, send_outcome)
         return True
 
 
--- a/lynxchute/relay/request_log.py
+++ b/lynxchute/relay/request_log.py
@@ -1,4 +1,4 @@
-"""Log and count how requests end."""
+"""Log lines and metrics for ended requests."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 
 class RequestLog:
-    """Write a line for each request, and count it.
+    """Logs and counts each request.
 
     Parameters
     ----------
     metrics
-        Where ends are counted.
+        Counts requests by outcome.
     clock
-        Seconds on the loop's clock.
+        Event loop clock in seconds.
     """
 
     def __init__(self, metrics: Metrics, clock: Callable[[], float]) -> None:
         self._metrics = metrics
         self._clock = clock
 
-    def note_refusal(self, request_id: str, refusal: Refusal) -> None:
-        """Note a request that is not admitted."""
+    def record_refusal(self, request_id: str, refusal: Refusal) -> None:
+        """Record a request that was not admitted."""
         self._metrics.requests.inc("not admitted")
         self._metrics.refusals.inc(refusal.reason.value)
         log_event(
@@ -37,8 +37,8 @@
             account=refusal.account,
         )
 
-    def note_end(self, exchange: Exchange, outcome: str) -> None:
-        """Note the end of an admitted request."""
+    def record_end(self, exchange: Exchange, outcome: str) -> None:
+        """Record the end of an admitted request."""
         seconds = self._clock() - exchange.received_at
         first_byte = max(exchange.first_byte_at - exchange.received_at, 0.0)
         self._metrics.requests.inc(outcome.partition(":")[0])
@@ -70,15 +70,15 @@
 
 
 def used_tokens(exchange: Exchange) -> int:
-    """Return what a request has used of its budget, at most."""
+    """Return an upper bound of the budget tokens that a request has used."""
     generation = exchange.call.generation
     if exchange.run is RunStatus.NOT_RUN:
         return 0
     if generation is None:
         return exchange.most_tokens
-    if exchange.told_tokens is not None:
-        # No upstream may charge more than was asked for.
-        return min(exchange.told_tokens, generation.most_tokens)
+    if exchange.reported_tokens is not None:
+        # An upstream must not charge more than was requested.
+        return min(exchange.reported_tokens, generation.most_tokens)
     service = exchange.configuration.services_by_name.get(exchange.service)
     engine = service.engine if service is not None else None
     if engine is None:
--- a/lynxchute/relay/sender.py
+++ b/lynxchute/relay/sender.py
@@ -1,4 +1,4 @@
-"""Send a request to upstreams until one of them answers."""
+"""Send a request to upstreams until one of them responds."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from lynxchute.quarantine import Progress
 from lynxchute.reachability import Reachability
 from lynxchute.relay.answer import Answer, SendWithheld
-from lynxchute.relay.chooser import Chooser, nothing_answered
+from lynxchute.relay.chooser import Chooser, no_answer_refusal
 from lynxchute.relay.dialect import Dialect, Dispatch, ResponseKind
 from lynxchute.relay.exchange import Exchange
 from lynxchute.relay.hedging import Hedger
@@ -29,12 +29,12 @@
 from lynxchute.upstreams.send_gate import SendGate, WithheldReason
 from lynxchute.upstreams.service_times import ServiceTimes
 
-# A connection within a region comes about in a few ms; a SYN that is lost is
-# repeated only after a second, so that another try is worth more.
+# Connecting within a region takes a few milliseconds. A lost SYN is retransmitted only
+# after a second, so trying another upstream is faster.
 CONNECT_TIMEOUT = 0.3
-# A kept connection that was idle for longer may have been dropped by the
-# upstream; the outcome of a request that meets its reset is unknown, which
-# only a request that may run again can afford.
+# A keep-alive connection that was idle for longer may have been closed by the upstream.
+# A request that hits such a reset has an unknown outcome, which only requests that are
+# safe to repeat can tolerate.
 FRESH_WITHIN = 0.25
 SERVER_ERROR = 500
 UPSTREAM_TIMEOUTS = Timeouts(
@@ -43,36 +43,36 @@
 
 
 class Sender:
-    """Send exchanges to upstreams, and again where that is allowed.
+    """Sends exchanges to upstreams, with retries where they are allowed.
 
     Parameters
     ----------
     chooser
         Chooses the upstreams.
     dialect
-        How to write a send and read an answer.
+        Encodes requests and decodes responses.
     clients
         Connections to the upstreams.
     retries
-        How often requests may be sent again.
+        Limits how often requests are sent again.
     generations
-        Is told of the runs of model engines.
+        Placement that tracks the runs at model engines.
     metrics
-        Where the ends of sends are counted.
+        Counts sends by outcome.
     reachability
-        Which data centres can be reached.
+        Tracks which data centres can be reached.
     containment
-        Which requests end the upstreams that run them.
+        Tracks which requests crash the upstreams that run them.
     gate
-        Holds back what must not reach an upstream.
+        Withholds sends that must not reach an upstream.
     statements
-        Takes what upstreams state in their answers.
+        Reads the limits and state that upstreams report in responses.
     clock
-        Seconds on the loop's clock.
+        Event loop clock in seconds.
     times
-        Learns how long plain calls take; None where nobody asks.
+        Records the latency of plain calls; None if no feature needs it.
     hedger
-        Sends slow calls to a second upstream; None where that is not wanted.
+        Hedges slow calls; None if hedging is disabled.
     """
 
     def __init__(
@@ -107,12 +107,12 @@
         self._hedger = hedger
 
     async def send(self, exchange: Exchange) -> Answer:
-        """Return the first answer of an upstream to an exchange.
+        """Return the first response of an upstream to an exchange.
 
         Raises
         ------
         Refusal
-            Where there is none to be had.
+            If no upstream responds.
         """
         if not exchange.sends:
             self._retries.record_request(exchange.service, self._clock())
@@ -120,44 +120,46 @@
             self.check_quarantine(exchange)
             choice = await self._chooser.choose(exchange)
             try:
-                answer = await self._try_or_hedge(exchange, choice)
+                answer = await self._attempt_or_hedge(exchange, choice)
             except SendWithheld as error:
-                # Nothing was sent: this is not one more send.
-                self._note_withheld(exchange, choice, error.reason)
+                # Nothing was sent, so this does not count as a send.
+                self._record_withheld(exchange, choice, error.reason)
                 continue
             if answer is not None:
                 return answer
             exchange.tried.add(choice.entry.upstream.id)
-            if exchange.sends and not self.may_send_again(exchange):
-                raise nothing_answered(exchange, self._clock())
+            if exchange.sends and not self.claim_retry(exchange):
+                raise no_answer_refusal(exchange, self._clock())
 
-    async def _try_or_hedge(self, exchange: Exchange, choice: Choice) -> Answer | None:
+    async def _attempt_or_hedge(
+        self, exchange: Exchange, choice: Choice
+    ) -> Answer | None:
         if self._hedger is None or not self._hedger.may_hedge(exchange):
-            return await self._try(exchange, choice)
+            return await self._attempt(exchange, choice)
         return await self._hedger.send(
-            exchange, choice, self._try_unless_withheld, self._drop
+            exchange, choice, self._attempt_unless_withheld, self._discard_answer
         )
 
-    async def _try_unless_withheld(
+    async def _attempt_unless_withheld(
         self, exchange: Exchange, choice: Choice
     ) -> Answer | None:
-        # The first of two sends may have ended upstreams meanwhile.
+        # The first send may have crashed upstreams in the meantime.
         self.check_quarantine(exchange)
         try:
-            return await self._try(exchange, choice)
+            return await self._attempt(exchange, choice)
         except SendWithheld as error:
-            self._note_withheld(exchange, choice, error.reason)
+            self._record_withheld(exchange, choice, error.reason)
             return None
 
-    def _drop(self, answer: Answer) -> None:
-        """Give up an answer that nobody reads."""
+    def _discard_answer(self, answer: Answer) -> None:
+        """Close a response that is not needed."""
         failed = answer.response.status >= SERVER_ERROR
         answer.response.close()
         self.release(answer, SendOutcome.FAILED if failed else SendOutcome.ABANDONED)
 
-    def may_send_again(self, exchange: Exchange) -> bool:
-        """Return whether an exchange may be sent once more, and count it."""
-        if not exchange.may_be_sent_again:
+    def claim_retry(self, exchange: Exchange) -> bool:
+        """Return whether an exchange may be sent again; spend retry budget if so."""
+        if not exchange.may_retry:
             return False
         if self._retries.spend(exchange.service, self._clock()):
             return True
@@ -169,19 +171,19 @@
         )
         return False
 
-    def release(self, answer: Answer, fate: SendOutcome) -> None:
-        """Note that an upstream no longer works on a request."""
+    def release(self, answer: Answer, outcome: SendOutcome) -> None:
+        """Record that an upstream no longer works on a request."""
         answer.entry.open_sends.discard(answer.send)
-        fate = _fate_of(answer.send, fate)
-        is_whole = fate in (SendOutcome.SERVED, SendOutcome.FAILED)
+        outcome = _outcome_of(answer.send, outcome)
+        is_whole = outcome in (SendOutcome.SERVED, SendOutcome.FAILED)
         self._containment.record_end(answer.send, is_whole=is_whole)
-        self._note_fate(answer.entry, answer.cost, fate)
-        failed = fate not in (SendOutcome.SERVED, SendOutcome.ABANDONED)
+        self._record_outcome(answer.entry, answer.cost, outcome)
+        failed = outcome not in (SendOutcome.SERVED, SendOutcome.ABANDONED)
         upstream_id = answer.entry.upstream.id
         self._generations.record_end(answer.run_id, upstream_id, failed=failed)
 
     def record_first_event(self, answer: Answer) -> None:
-        """Note the first event of a stream."""
+        """Record the first event of a stream."""
         own = self._clients.meter.own_delay()
         took_ms = max(self._clock() - answer.sent_at - own, 0.0) * 1000.0
         upstream_id = answer.entry.upstream.id
@@ -189,20 +191,20 @@
             answer.run_id, upstream_id, took_ms=took_ms
         )
 
-    def record_pause(self, answer: Answer, pause: float, longest: float) -> None:
-        """Note that a stream has paused for longer than is on time.
+    def record_pause(self, answer: Answer, pause: float, max_pause: float) -> None:
+        """Record that a stream paused for longer than its route allows.
 
         Parameters
         ----------
-        pause, longest
-            How long it was, and may be on time, in seconds.
+        pause, max_pause
+            Length of the pause and the longest allowed pause, in seconds.
         """
-        if pause - self._clients.meter.own_delay() <= longest:
+        if pause - self._clients.meter.own_delay() <= max_pause:
             return
         self._generations.record_pause(answer.run_id, answer.entry.upstream.id)
 
     def check_quarantine(self, exchange: Exchange) -> None:
-        """Refuse a request at once that has ended the upstreams that ran it."""
+        """Refuse a request that has crashed the upstreams that ran it."""
         left = self._containment.quarantine_seconds_left(exchange.content_id)
         if left is None:
             return
@@ -215,36 +217,38 @@
         )
 
     def record_broken(self, answer: Answer) -> None:
-        """Note an answer that broke off, maybe since its upstream ended."""
+        """Record an interrupted response, which may mean that its upstream crashed."""
         self._containment.record_broken(answer.entry.upstream, answer.send)
 
-    async def _try(self, exchange: Exchange, choice: Choice) -> Answer | None:
-        """Send once; return None where there was no answer to pass on."""
+    async def _attempt(self, exchange: Exchange, choice: Choice) -> Answer | None:
+        """Send once; return None if there is no response to forward."""
         entry = choice.entry
         generation = exchange.call.generation
         cost = generation.most_tokens if generation is not None else 0
         entry.open_requests += 1
         entry.open_tokens += cost
         run_before = exchange.run
-        send = OpenSend(AbortHandle(), lambda: exchange.may_move, exchange.content_id)
+        send = OpenSend(
+            AbortHandle(), lambda: exchange.may_migrate, exchange.content_id
+        )
         entry.open_sends.add(send)
         sent_at = self._clock()
         entry.heard_at = max(entry.heard_at, sent_at)
         try:
-            response = await self._exchange_heads(exchange, choice, send)
+            response = await self._send_request(exchange, choice, send)
         except ExchangeFailed as error:
             entry.open_sends.discard(send)
-            fate = _fate_of(
+            outcome = _outcome_of(
                 send, SendOutcome.BROKEN if error.sent else SendOutcome.UNREACHED
             )
-            if fate is SendOutcome.BROKEN:
+            if outcome is SendOutcome.BROKEN:
                 self._containment.record_broken(entry.upstream, send)
-            if fate is SendOutcome.UNREACHED and error.is_silence:
+            if outcome is SendOutcome.UNREACHED and error.is_silence:
                 upstream = entry.upstream
                 self._reachability.note_silent(
                     upstream.data_centre, upstream.id, self._clock(), is_upstream=True
                 )
-            self._failed(exchange, entry, cost, fate, str(error))
+            self._record_failure(exchange, entry, cost, outcome, str(error))
             return None
         except BaseException:
             entry.open_sends.discard(send)
@@ -261,7 +265,7 @@
         self._reachability.note_heard(entry.upstream.data_centre)
         response_kind = self._dialect.response_kind(response.status, response.headers)
         if response_kind is not ResponseKind.MOVED:
-            # Any other process that has the address by now speaks for itself only.
+            # Another process that reuses the address reports its own state only.
             self._statements.read(
                 exchange.call.request_id,
                 entry,
@@ -271,35 +275,35 @@
             )
         answer = Answer(response, entry, cost, exchange.run_id, send, sent_at)
         if response_kind is ResponseKind.ANSWERED:
-            self._note_time(exchange, answer)
+            self._record_latency(exchange, answer)
             send.progress = Progress.BEGUN
             exchange.run = RunStatus.RAN
             return answer
         entry.open_sends.discard(send)
         reason = f"{response_kind.value}, status {response.status}"
         if response_kind in (ResponseKind.NOT_RUN, ResponseKind.MOVED):
-            await self._discard(response)
-            exchange.note_declined(run_before)
-            self._failed(exchange, entry, cost, SendOutcome.DECLINED, reason)
+            await self._drain(response)
+            exchange.record_declined(run_before)
+            self._record_failure(exchange, entry, cost, SendOutcome.DECLINED, reason)
             return None
         response.close()
-        self._failed(exchange, entry, cost, SendOutcome.BROKEN, reason)
+        self._record_failure(exchange, entry, cost, SendOutcome.BROKEN, reason)
         return None
 
-    async def _exchange_heads(
+    async def _send_request(
         self, exchange: Exchange, choice: Choice, send: OpenSend
     ) -> Response:
         call, entry = exchange.call, choice.entry
         dispatch = Dispatch(
             upstream=entry.upstream,
-            time_left=max(exchange.ends_at - self._clock(), 0.0),
+            time_left=max(exchange.deadline - self._clock(), 0.0),
             account=exchange.account.name if exchange.account else "",
             priority=exchange.priority,
             last_event_id=exchange.last_event or call.last_event_id,
             fetch_from=choice.fetch_from,
         )
 
-        def note_sent() -> None:
+        def before_send() -> None:
             withheld = self._gate.withheld_reason(
                 entry,
                 permit_until=choice.permit_until,
@@ -308,15 +312,15 @@
             )
             if withheld is not None:
                 raise SendWithheld(withheld)
-            self._check_way(exchange)
+            self._check_link(exchange)
             if self._gate.rates.is_limited(entry, self._clock()):
-                part = "counted" if choice.admitted_until else "turn"
-                self._metrics.limited_sends.inc(part)
-            # What waits for this VM's link is not the upstream's time.
+                admitted_by = "counted" if choice.admitted_until else "turn"
+                self._metrics.limited_sends.inc(admitted_by)
+            # Time spent queueing for this VM's link is not latency of the upstream.
             meter = self._clients.meter
             leaves_at = self._clock() + meter.delay() - meter.own_delay()
-            exchange.note_sent(entry.upstream.id, leaves_at)
-            self._note_work(exchange, send)
+            exchange.record_send(entry.upstream.id, leaves_at)
+            self._set_typical_seconds(exchange, send)
             self._log_send(exchange, choice, dispatch)
 
         fresh_within = None if exchange.route.is_repeatable else FRESH_WITHIN
@@ -328,12 +332,12 @@
             timeouts=UPSTREAM_TIMEOUTS,
             fresh_within=fresh_within,
             is_answer=lambda head: self._dialect.is_answer(call, head),
-            on_sent=note_sent,
+            on_sent=before_send,
             abort_handle=send.handle,
         )
 
-    def _note_work(self, exchange: Exchange, send: OpenSend) -> None:
-        """Note what a plain call that is being sent usually takes."""
+    def _set_typical_seconds(self, exchange: Exchange, send: OpenSend) -> None:
+        """Store the typical latency of a plain call with its open send."""
         if self._times is None or exchange.call.generation is not None:
             return
         send.sent_at = exchange.sent_at
@@ -341,13 +345,13 @@
             self._times.median_latency(exchange.service, exchange.route.name) or 0.0
         )
 
-    def _note_time(self, exchange: Exchange, answer: Answer) -> None:
-        """Learn from a plain call that was served."""
+    def _record_latency(self, exchange: Exchange, answer: Answer) -> None:
+        """Record the latency of a plain call that was served."""
         sent_at = answer.send.sent_at
         if self._times is None or sent_at is None:
             return
         if answer.response.status >= SERVER_ERROR:
-            # A failure may come at once, and tells nothing of the work.
+            # An error may be returned immediately and says nothing about latency.
             return
         now = self._clock()
         self._times.record(
@@ -358,17 +362,17 @@
             now,
         )
 
-    def _check_way(self, exchange: Exchange) -> None:
-        """Refuse what would cross the VM's full link for longer than it has left.
+    def _check_link(self, exchange: Exchange) -> None:
+        """Refuse a request that would queue for the VM's link beyond its deadline.
 
-        It would reach its upstream after its caller has left, who could have had an
-        answer from another router. Where one account filled the link of a VM (5 Mbit/s)
-        for six seconds, four requests came to an upstream 0.5 s and more after that.
+        It would reach its upstream after the caller has left, while another router
+        could have answered it. When one account filled the link of a VM (5 Mbit/s) for
+        six seconds, four requests reached an upstream 0.5 s or more after that point.
         """
         meter = self._clients.meter
-        # What is sent goes to the link at once, whatever else the loop has to do.
+        # Sent bytes go to the link at once, however busy the event loop is.
         delay = meter.delay() - meter.own_delay()
-        left = exchange.ends_at - self._clock()
+        left = exchange.deadline - self._clock()
         if left > delay:
             return
         log_event(
@@ -380,11 +384,12 @@
         title = "This router's link is full. Send the request to another one."
         raise exchange.refuse(Reason.TOO_LATE, title, self._clock())
 
-    def _note_withheld(
+    def _record_withheld(
         self, exchange: Exchange, choice: Choice, reason: WithheldReason
     ) -> None:
         entry = choice.entry
-        # Its place is given up under this run's name, so the next one needs another.
+        # The placement under this run id is released, so the next attempt needs a new
+        # id. The id contains the number of tried upstreams.
         exchange.tried.add(entry.upstream.id)
         if reason is WithheldReason.LIMITED:
             rate = entry.backpressure.rate(self._clock()) or 0.0
@@ -418,23 +423,23 @@
             after_event=dispatch.last_event_id,
         )
 
-    async def _discard(self, response: Response) -> None:
-        """Read a refusal to its end, so that its connection can be kept."""
+    async def _drain(self, response: Response) -> None:
+        """Read a rejection to its end so that its connection can be reused."""
         try:
             await response.body()
         except ExchangeFailed as error:
             log_event("upstream rejection interrupted", reason=str(error))
 
-    def _failed(
+    def _record_failure(
         self,
         exchange: Exchange,
         entry: Entry,
         cost: int,
-        fate: SendOutcome,
+        outcome: SendOutcome,
         reason: str,
     ) -> None:
-        self._note_fate(entry, cost, fate)
-        failed = fate is not SendOutcome.ABANDONED
+        self._record_outcome(entry, cost, outcome)
+        failed = outcome is not SendOutcome.ABANDONED
         self._generations.record_end(exchange.run_id, entry.upstream.id, failed=failed)
         log_event(
             "upstream attempt failed",
@@ -442,18 +447,18 @@
             upstream=entry.upstream.id,
             content=exchange.content_id,
             send=exchange.sends,
-            fate=fate.value,
+            fate=outcome.value,
             reason=reason,
             bad_in_row=entry.health.bad_in_row,
         )
 
-    def _note_fate(self, entry: Entry, cost: int, fate: SendOutcome) -> None:
+    def _record_outcome(self, entry: Entry, cost: int, outcome: SendOutcome) -> None:
         entry.open_requests -= 1
         entry.open_tokens -= cost
-        entry.health.record(fate, self._clock())
-        self._metrics.sends.inc(fate.value)
+        entry.health.record(outcome, self._clock())
+        self._metrics.sends.inc(outcome.value)
 
 
-def _fate_of(send: OpenSend, fate: SendOutcome) -> SendOutcome:
-    """Return how a send ended as far as its upstream is to blame."""
-    return SendOutcome.ABANDONED if send.is_withdrawn else fate
+def _outcome_of(send: OpenSend, outcome: SendOutcome) -> SendOutcome:
+    """Return the outcome to attribute to the upstream of a send."""
+    return SendOutcome.ABANDONED if send.is_withdrawn else outcome
--- a/lynxchute/relay/statement_reader.py
+++ b/lynxchute/relay/statement_reader.py
@@ -1,4 +1,4 @@
-"""Take what the answers to requests state of the upstreams that gave them."""
+"""Read the limits and state that upstreams report in response headers."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 
 class StatementReader:
-    """Read each answer's head once, whatever way of sending it answers.
+    """Reads the headers of each response once, for all kinds of sends.
 
     Parameters
     ----------
     dialect
-        How upstreams write.
+        Decodes the headers.
     directory
-        Keeps what they state.
+        Stores what upstreams report.
     clock
-        Seconds on the steady clock.
+        Monotonic clock in seconds.
     """
 
     def __init__(
@@ -40,24 +40,24 @@
         sent_at: float,
         is_served: bool,
     ) -> None:
-        """Take what an answer states.
+        """Record and log what a response reports of its upstream.
 
         Parameters
         ----------
         sent_at
-            When the request was sent, in seconds.
+            Time at which the request was sent, in seconds.
         is_served
-            Whether it ran, as far as the answer says.
+            Whether the request ran, according to the response.
         """
         statement = self._dialect.statement(response.status, response.headers)
-        is_news = self._directory.record_statement(
+        has_changed = self._directory.record_statement(
             entry,
             statement,
             asked_at=sent_at,
             now=self._clock(),
             is_served=is_served,
         )
-        if not is_news:
+        if not has_changed:
             return
         log_event(
             "upstream backpressure changed",
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -171,16 +171,16 @@
                 continue
             count += events.count
             data = events.data
-            if dialect.told_tokens(data) is not None:
-                told.append(dialect.told_tokens(data))
-                data = dialect.for_caller(call, data)
+            if dialect.reported_tokens(data) is not None:
+                told.append(dialect.reported_tokens(data))
+                data = dialect.caller_events(call, data)
             out += data
         self.assertEqual(tokens + b"data: [DONE]\n\n", out)
         self.assertEqual((7, [9], b""), (count, told, splitter.rest))
 
     def test_what_a_model_writes_is_not_taken_for_its_usage(self):
         content = json.dumps({"content": '{"usage": {"total_tokens": 1}}'})
-        self.assertIsNone(ChatDialect(64).told_tokens(b"data: " + content.encode()))
+        self.assertIsNone(ChatDialect(64).reported_tokens(b"data: " + content.encode()))
 
 
 class QuestionTest(testtools.TestCase):
--- a/tests/test_hedging.py
+++ b/tests/test_hedging.py
@@ -12,7 +12,7 @@
 
 from lynxchute.edge.settings import Features
 from lynxchute.relay import hedge_rules, hedging, sender
-from lynxchute.relay.hedge_rules import has_room, hedge_delay
+from lynxchute.relay.hedge_rules import has_capacity, hedge_delay
 from lynxchute.relay.hedging import Hedger
 from lynxchute.relay.refusal import Reason, Refusal, RunStatus
 from lynxchute.standins.upstream_run import Fault
@@ -27,7 +27,7 @@
 HEDGING = Features(hedging=True)
 # Routes of the test configuration are late after 0.4 s; until anything is known, calls
 # are hedged after this.
-UNKNOWN_DELAY = 0.4 * hedge_rules.UNKNOWN_SHARE
+UNKNOWN_DELAY = 0.4 * hedge_rules.DEFAULT_DELAY_SHARE
 SLOW = 0.6
 
 
@@ -52,17 +52,17 @@
         slow = UpstreamState(slots=6, slowness=2.5)
         full = UpstreamState(slots=6, open_requests=6)
         waiting = UpstreamState(slots=6, overdue=3.0)
-        self.assertTrue(has_room([usual, usual, slow], 0))
-        self.assertTrue(has_room([usual, waiting], 0))
-        self.assertFalse(has_room([usual, slow, full], 0))
-        self.assertFalse(has_room([waiting, slow], 0))
-        self.assertFalse(has_room([usual], 0))
-        self.assertFalse(has_room([], 0))
+        self.assertTrue(has_capacity([usual, usual, slow], 0))
+        self.assertTrue(has_capacity([usual, waiting], 0))
+        self.assertFalse(has_capacity([usual, slow, full], 0))
+        self.assertFalse(has_capacity([waiting, slow], 0))
+        self.assertFalse(has_capacity([usual], 0))
+        self.assertFalse(has_capacity([], 0))
 
     def test_few_open_calls_have_a_second_send_at_once(self):
         open_here = [UpstreamState(slots=64, open_requests=20) for _ in range(2)]
-        self.assertTrue(has_room(open_here, 4))
-        self.assertFalse(has_room(open_here, 5))
+        self.assertTrue(has_capacity(open_here, 4))
+        self.assertFalse(has_capacity(open_here, 5))
 
 
 class RetryBudgetTest(testtools.TestCase):
@@ -70,7 +70,7 @@
         budget = RetryBudget(share=0.2, extra=0.0, window=10.0)
         for _ in range(100):
             budget.record_request("app", 1.0)
-        share = hedge_rules.BUDGET_SHARE
+        share = hedge_rules.HEDGE_BUDGET_SHARE
         hedges = sum(budget.spend("app", 1.0, used_share=share) for _ in range(50))
         self.assertEqual(8, hedges)
         tries = sum(budget.spend("app", 1.0) for _ in range(50))
@@ -470,14 +470,14 @@
 
 
 def keep_losers():
-    return mock.patch.object(hedging, "_leave", lambda *_: None)
+    return mock.patch.object(hedging, "_cancel", lambda *_: None)
 
 
 def cancel_without_a_look():
     def leave(task, answer, drop):
         task.cancel()
 
-    return mock.patch.object(hedging, "_leave", leave)
+    return mock.patch.object(hedging, "_cancel", leave)
 
 
 def take_any_answer():
@@ -485,10 +485,10 @@
 
 
 def believe_an_old_refusal():
-    def nothing_answered(exchange, now):
+    def no_answer_refusal(exchange, now):
         return Refusal(Reason.TOO_LATE, "late", run=RunStatus.NOT_RUN)
 
-    return mock.patch.object(hedging, "nothing_answered", nothing_answered)
+    return mock.patch.object(hedging, "no_answer_refusal", no_answer_refusal)
 
 
 def read_the_loser():
@@ -497,7 +497,7 @@
         if answer is not None:
             drop(answer)
 
-    return mock.patch.object(hedging, "_leave", leave)
+    return mock.patch.object(hedging, "_cancel", leave)
 
 
 MUTANTS = (
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -11,7 +11,7 @@
 from lynxchute.http import ExchangeFailed, HttpServer, LinkMeter
 from lynxchute.http.client import HttpClient, Timeouts
 from lynxchute.http.link_meter import MAX_DELAY
-from lynxchute.relay.load import KEPT_USE, SHED_SECONDS, RouterLoad
+from lynxchute.relay.load import SHED_SECONDS, TARGET_USE, RouterLoad
 from tests.link_play import LinkPlay
 from tests.platform_support import PlatformCaller, PlatformTestCase
 from tests.support import AsyncTestCase, until
@@ -101,7 +101,7 @@
             load.is_too_slow(10.0)
         self.assertTrue(load.is_shedding)
         ended = sum(load.ends_connection() for _ in range(1_000))
-        self.assertAlmostEqual(1_000 * (1 - KEPT_USE / meter.use()), ended, delta=50)
+        self.assertAlmostEqual(1_000 * (1 - TARGET_USE / meter.use()), ended, delta=50)
         clock.now += 2.0
         self.assertTrue(load.is_shedding)
         self.assertFalse(any(load.ends_connection() for _ in range(100)))
