--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""Bad input, the language, the settings and a client library."""
+"""Tests of malformed input, the query language, the settings and an OpenAI client."""
 
 import asyncio
 import json
@@ -80,7 +80,7 @@
 class LanguageTest(testtools.TestCase):
     @given(STATEMENTS)
     @settings(max_examples=300)
-    def test_what_is_printed_parses_back(self, statement):
+    def test_printed_statements_parse_back(self, statement):
         parsed = parse(to_text(statement))
         self.assertTrue(parsed.is_ok(), to_text(statement))
         self.assertEqual(statement, parsed.ok)
@@ -91,11 +91,11 @@
         result = parse(text)
         self.assertTrue(result.is_ok() or result.error)
 
-    def test_a_mistake_names_the_nearest_word(self):
+    def test_a_typo_suggests_the_nearest_word(self):
         (mistake,) = parse("show budgets odrer by free").error
         self.assertEqual((14, "order"), (mistake.column, mistake.nearest))
 
-    def test_all_mistakes_of_a_query_are_told_together(self):
+    def test_all_mistakes_of_a_query_are_reported_together(self):
         show = Show("budgets", (Condition("fre", "=", 1),), (), "chraged")
         mistakes = run_query(show, ("free", "charged"), []).error
         self.assertEqual(2, len(mistakes))
@@ -112,7 +112,7 @@
 
 
 class SettingsTest(testtools.TestCase):
-    def test_all_findings_come_together_with_their_places(self):
+    def test_all_findings_are_reported_with_their_locations(self):
         text = "vm: a\ndata_centre: b\nlisten: {callers: nowhere}\nstroe: {}\n"
         findings = load_router_settings(text, "router.yaml").error
         places = {(f.line, f.path) for f in findings}
@@ -122,7 +122,7 @@
         self.assertEqual("Did you mean 'store'?", advice)
         self.assertGreater(len(findings), 4)
 
-    def test_a_configuration_that_does_not_hold_together_is_refused(self):
+    def test_an_inconsistent_configuration_is_rejected(self):
         document = FleetDocument(
             services=(ServiceDocument(name="s", kind=ServiceKind.PLAIN),),
             upstreams=(
@@ -157,33 +157,33 @@
 class EventsTest(testtools.TestCase):
     @given(st.lists(st.integers(1, 40), max_size=30))
     @settings(max_examples=200)
-    def test_any_cutting_gives_the_same_events(self, cuts):
+    def test_any_chunking_gives_the_same_events(self, sizes):
         usage = b'data: {"choices":[],"usage":{"total_tokens":9}}\n\n'
         tokens = b"".join(b'data: {"n":%d}\n\n' % number for number in range(5))
         stream = tokens + usage + b"data: [DONE]\n\n"
         dialect, splitter = ChatDialect(64), EventSplitter()
         call = ChatCall(request=Request("POST", "/", {}), request_id="r", host="m")
-        out, count, told = b"", 0, []
-        for cut in [*cuts, len(stream)]:
-            piece, stream = stream[:cut], stream[cut:]
+        out, count, usages = b"", 0, []
+        for size in [*sizes, len(stream)]:
+            piece, stream = stream[:size], stream[size:]
             events = splitter.feed(piece)
             if events is None:
                 continue
             count += events.count
             data = events.data
             if dialect.reported_tokens(data) is not None:
-                told.append(dialect.reported_tokens(data))
+                usages.append(dialect.reported_tokens(data))
                 data = dialect.caller_events(call, data)
             out += data
         self.assertEqual(tokens + b"data: [DONE]\n\n", out)
-        self.assertEqual((7, [9], b""), (count, told, splitter.rest))
+        self.assertEqual((7, [9], b""), (count, usages, splitter.rest))
 
-    def test_what_a_model_writes_is_not_taken_for_its_usage(self):
+    def test_usage_in_model_output_is_not_parsed_as_usage(self):
         content = json.dumps({"content": '{"usage": {"total_tokens": 1}}'})
         self.assertIsNone(ChatDialect(64).reported_tokens(b"data: " + content.encode()))
 
 
-class QuestionTest(testtools.TestCase):
+class ChatRequestTest(testtools.TestCase):
     @given(
         st.recursive(
             st.one_of(st.none(), st.booleans(), st.integers(), st.text(max_size=5)),
@@ -201,7 +201,7 @@
         )
     )
     @settings(max_examples=300)
-    def test_no_json_breaks_the_check(self, value):
+    def test_any_json_can_be_validated(self, value):
         body = json.dumps(value).encode()
         result = parse_chat_request(Request("POST", "/", {}, body))
         if result.is_ok():
@@ -248,7 +248,7 @@
 
         with_deployment(self, scenario)
 
-    def test_raw_bytes_never_end_a_router(self):
+    def test_raw_bytes_do_not_crash_a_router(self):
         @given(st.one_of(st.sampled_from(self.SHAPES), st.binary(max_size=200)))
         @settings(max_examples=60)
         def send(data):
@@ -290,12 +290,12 @@
                     api_key=caller_key(ACCOUNT),
                     base_url=f"http://127.0.0.1:{deployment.caller_port(vm)}/v1",
                 )
-                asked = question(f"asked at {vm}")
-                expected = "".join(answer_tokens(asked))
-                whole = await client.chat.completions.create(**asked)
+                prompt = question(f"asked at {vm}")
+                expected = "".join(answer_tokens(prompt))
+                whole = await client.chat.completions.create(**prompt)
                 self.assertEqual(expected, whole.choices[0].message.content)
                 text = ""
-                stream = await client.chat.completions.create(**asked, stream=True)
+                stream = await client.chat.completions.create(**prompt, stream=True)
                 async for chunk in stream:
                     text += chunk.choices[0].delta.content or ""
                 self.assertEqual(expected, text)
--- a/tests/test_hedging.py
+++ b/tests/test_hedging.py
@@ -1,4 +1,4 @@
-"""Calls that may be repeated go to a second upstream where the first one is slow."""
+"""Hedging of repeatable calls that are slow at their first upstream."""
 
 import asyncio
 import contextlib
@@ -25,8 +25,8 @@
 from tests.support import AsyncTestCase, until
 
 HEDGING = Features(hedging=True)
-# Routes of the test configuration are late after 0.4 s; until anything is known, calls
-# are hedged after this.
+# The latency objective of the test routes is 0.4 s; calls are hedged after this delay
+# until latencies are known.
 UNKNOWN_DELAY = 0.4 * hedge_rules.DEFAULT_DELAY_SHARE
 SLOW = 0.6
 
@@ -38,35 +38,33 @@
         st.none() | st.floats(0.0002, 100),
         st.floats(allow_nan=True, allow_infinity=True),
     )
-    def test_it_is_never_sooner_than_twice_the_usual_time(
-        self, longest, usual, objective
-    ):
-        delay = hedge_delay(longest, usual, objective)
+    def test_the_delay_is_at_least_twice_the_median(self, quantile, median, objective):
+        delay = hedge_delay(quantile, median, objective)
         if delay is None:
             self.assertFalse(objective > 0)
-        elif usual is not None:
-            self.assertTrue(2 * usual <= delay <= 3 * usual)
+        elif median is not None:
+            self.assertTrue(2 * median <= delay <= 3 * median)
 
     def test_nothing_is_hedged_while_more_than_half_are_busy(self):
-        usual = UpstreamState(slots=6)
+        normal = UpstreamState(slots=6)
         slow = UpstreamState(slots=6, slowness=2.5)
         full = UpstreamState(slots=6, open_requests=6)
         waiting = UpstreamState(slots=6, overdue=3.0)
-        self.assertTrue(has_capacity([usual, usual, slow], 0))
-        self.assertTrue(has_capacity([usual, waiting], 0))
-        self.assertFalse(has_capacity([usual, slow, full], 0))
+        self.assertTrue(has_capacity([normal, normal, slow], 0))
+        self.assertTrue(has_capacity([normal, waiting], 0))
+        self.assertFalse(has_capacity([normal, slow, full], 0))
         self.assertFalse(has_capacity([waiting, slow], 0))
-        self.assertFalse(has_capacity([usual], 0))
+        self.assertFalse(has_capacity([normal], 0))
         self.assertFalse(has_capacity([], 0))
 
-    def test_few_open_calls_have_a_second_send_at_once(self):
+    def test_only_a_small_share_of_open_calls_is_hedged(self):
         open_here = [UpstreamState(slots=64, open_requests=20) for _ in range(2)]
         self.assertTrue(has_capacity(open_here, 4))
         self.assertFalse(has_capacity(open_here, 5))
 
 
 class RetryBudgetTest(testtools.TestCase):
-    def test_hedges_leave_most_of_it_to_tries_after_failures(self):
+    def test_hedges_leave_most_of_the_budget_to_retries(self):
         budget = RetryBudget(share=0.2, extra=0.0, window=10.0)
         for _ in range(100):
             budget.record_request("app", 1.0)
@@ -77,8 +75,8 @@
         self.assertEqual(8, tries)
 
 
-def warm(deployment, router):
-    """Let a router know that calls take 20 ms at each upstream."""
+def record_latencies(deployment, router):
+    """Record latencies of 20 ms at each upstream for a router."""
     times = deployment.routers[router].plain_calls.times
     now = asyncio.get_running_loop().time()
     for route in ("safe", "unsafe"):
@@ -87,8 +85,8 @@
                 times.record("app", route, app.id, 0.02, now - 5.0)
 
 
-class UsedUpTest(PlatformTestCase):
-    def test_a_try_that_the_retry_budget_forbids_is_logged(self):
+class ExhaustedRetryBudgetTest(PlatformTestCase):
+    def test_a_retry_without_budget_is_logged(self):
         async def scenario(deployment):
             for app in deployment.apps:
                 app.faults = [Fault.FAIL, Fault.FAIL]
@@ -97,18 +95,18 @@
                 status, _, _ = await PlatformCaller(deployment).send("GET", "/safe/x")
             self.assertEqual(500, status)
             self.assertEqual(1, sum(len(app.arrivals) for app in deployment.apps))
-            told = [call.kwargs for call in logged.call_args_list if call.args]
-            named = [call.args[0] for call in logged.call_args_list]
-            self.assertIn("retry budget used up", named)
+            fields = [call.kwargs for call in logged.call_args_list if call.args]
+            events = [call.args[0] for call in logged.call_args_list]
+            self.assertIn("retry budget used up", events)
             self.assertEqual(
-                "app", told[named.index("retry budget used up")]["service"]
+                "app", fields[events.index("retry budget used up")]["service"]
             )
 
         self.with_platform(scenario)
 
 
 class HedgedCallsTest(PlatformTestCase):
-    def play(self, scenario, **more):
+    def run_scenario(self, scenario, **more):
         more = {"apps": 3, "features": HEDGING, "routers": ("a-1",), **more}
         self.with_platform(scenario, **more)
 
@@ -120,27 +118,27 @@
         for entry in deployment.routers["a-1"].directory.entries_by_id.values():
             self.assertEqual((0, set()), (entry.open_requests, entry.open_sends))
 
-    def test_callers_of_a_slow_upstream_are_served_by_another(self):
+    def test_calls_to_a_slow_upstream_are_answered_by_another(self):
         async def scenario(deployment):
-            warm(deployment, "a-1")
+            record_latencies(deployment, "a-1")
             deployment.apps[0].event_delay = SLOW
             caller = PlatformCaller(deployment)
             loop = asyncio.get_running_loop()
-            took = []
+            durations = []
             for number in range(12):
                 began = loop.time()
                 status, _, body = await caller.send("GET", f"/safe/{number}")
-                took.append(loop.time() - began)
+                durations.append(loop.time() - began)
                 self.assertEqual(200, status)
                 self.assertTrue(body.startswith(b"answer to"))
-            self.assertLess(max(took), SLOW / 2)
+            self.assertLess(max(durations), SLOW / 2)
             self.assertGreater(self.hedges(deployment)["won"], 0)
             await asyncio.sleep(0)
             self.assert_nothing_open(deployment)
 
-        self.play(scenario)
+        self.run_scenario(scenario)
 
-    def test_without_the_feature_they_wait(self):
+    def test_without_the_feature_calls_are_not_hedged(self):
         async def scenario(deployment):
             for app in deployment.apps:
                 app.event_delay = SLOW
@@ -149,9 +147,9 @@
             self.assertEqual(1, sum(len(app.arrivals) for app in deployment.apps))
             self.assertEqual({}, self.hedges(deployment))
 
-        self.play(scenario, features=Features())
+        self.run_scenario(scenario, features=Features())
 
-    def test_the_loser_is_cut_off_at_once(self):
+    def test_the_losing_send_is_cancelled_at_once(self):
         async def scenario(deployment):
             near, far = deployment.apps
             near.faults = [Fault.HANG]
@@ -164,9 +162,9 @@
             self.assertEqual({"won": 1}, self.hedges(deployment))
             self.assert_nothing_open(deployment)
 
-        self.play(scenario, apps=2)
+        self.run_scenario(scenario, apps=2)
 
-    def test_a_second_upstream_that_is_slower_changes_nothing(self):
+    def test_a_slower_hedge_is_cancelled(self):
         async def scenario(deployment):
             near, far = deployment.apps
             near.event_delay = UNKNOWN_DELAY + 0.15
@@ -180,9 +178,9 @@
             self.assertEqual({"lost": 1}, self.hedges(deployment))
             self.assert_nothing_open(deployment)
 
-        self.play(scenario, apps=2)
+        self.run_scenario(scenario, apps=2)
 
-    def test_the_first_dies_while_the_second_works(self):
+    def test_the_first_upstream_stops_while_the_hedge_runs(self):
         async def scenario(deployment):
             near, far = deployment.apps
             near.faults = [Fault.HANG]
@@ -194,9 +192,9 @@
             self.assertEqual(200, status)
             self.assertEqual(1, len(far.runs))
 
-        self.play(scenario, apps=2)
+        self.run_scenario(scenario, apps=2)
 
-    def test_a_caller_that_leaves_frees_both(self):
+    def test_a_disconnect_frees_both_upstreams(self):
         async def scenario(deployment):
             for app in deployment.apps:
                 app.faults = [Fault.HANG]
@@ -209,9 +207,9 @@
             await until(lambda: self.hedges(deployment) == {"left": 1})
             self.assert_nothing_open(deployment)
 
-        self.play(scenario, apps=2)
+        self.run_scenario(scenario, apps=2)
 
-    def test_what_may_have_run_is_not_said_to_be_not_run(self):
+    def test_a_call_that_may_have_run_is_not_reported_as_not_run(self):
         async def scenario(deployment):
             near, far = deployment.apps
             near.faults, far.faults = [Fault.HANG], [Fault.DECLINE]
@@ -223,9 +221,9 @@
             self.assertIsNone(headers.get("retry-after"))
             self.assertEqual(1, len(far.arrivals))
 
-        self.play(scenario, apps=2)
+        self.run_scenario(scenario, apps=2)
 
-    def test_what_has_been_quarantined_meanwhile_is_not_hedged(self):
+    def test_a_call_quarantined_in_the_meantime_is_not_hedged(self):
         async def scenario(deployment):
             near, far = deployment.apps
             near.faults = [Fault.HANG]
@@ -245,20 +243,20 @@
             self.assertEqual(502, status)
             self.assertEqual([], far.arrivals)
 
-        self.play(scenario, apps=2)
+        self.run_scenario(scenario, apps=2)
 
-    def test_what_may_not_be_repeated_is_sent_once(self):
+    def test_calls_that_may_not_be_repeated_are_not_hedged(self):
         async def scenario(deployment):
-            warm(deployment, "a-1")
+            record_latencies(deployment, "a-1")
             for app in deployment.apps:
                 app.event_delay = 0.3
             status, _, _ = await PlatformCaller(deployment).send("POST", "/unsafe/x")
             self.assertEqual(200, status)
             self.assertEqual(1, sum(len(app.arrivals) for app in deployment.apps))
 
-        self.play(scenario)
+        self.run_scenario(scenario)
 
-    def test_what_waits_for_the_own_link_is_not_the_upstreams_time(self):
+    def test_link_delay_does_not_count_as_upstream_latency(self):
         async def scenario(deployment):
             router = deployment.routers["a-1"]
             router.clients.meter.delay = lambda: 0.12
@@ -269,11 +267,11 @@
             self.assertEqual(1, sum(len(app.arrivals) for app in deployment.apps))
             self.assertEqual({}, self.hedges(deployment))
 
-        self.play(scenario)
+        self.run_scenario(scenario)
 
-    def test_load_grows_by_a_tenth_at_most_where_all_are_slow(self):
+    def test_hedges_add_at_most_a_tenth_of_load_if_all_are_slow(self):
         async def scenario(deployment):
-            warm(deployment, "a-1")
+            record_latencies(deployment, "a-1")
             for app in deployment.apps:
                 app.event_delay = 0.3
             caller = PlatformCaller(deployment)
@@ -284,7 +282,7 @@
             self.assertLessEqual(arrivals, 44)
             self.assertGreater(self.hedges(deployment)["busy"], 30)
 
-        self.play(scenario)
+        self.run_scenario(scenario)
 
 
 @attrs.define(eq=False)
@@ -359,7 +357,7 @@
 
 
 class Race:
-    """One race whose sends end as it is told, in the order that it is told."""
+    """One race whose sends end with given outcomes, in a given order."""
 
     ENDS = ("good", "failed", "declined", "lost", "too late")
 
@@ -390,14 +388,14 @@
         if end in ("declined", "lost"):
             return None
         if end == "too late":
-            # Made before the other send began to leave.
+            # Raised before the other send left.
             raise Refusal(Reason.TOO_LATE, "late", run=RunStatus.NOT_RUN)
         status = 200 if end == "good" else 500
         answer = FakeAnswer(choice.entry, FakeResponse(status))
         self.answers.append(answer)
         return answer
 
-    def begin(self):
+    def start(self):
         choice = FakeChoice(ENTRIES[0])
         work = self.hedger.send(
             self.exchange, choice, self.attempt, self.dropped.append
@@ -405,15 +403,15 @@
         return asyncio.create_task(work)
 
 
-async def turns(count=8):
+async def run_loop(count=8):
     for _ in range(count):
         await asyncio.sleep(0)
 
 
-async def play(ends, order, together, leaves):
-    """Play one race; return it, and its answer or None."""
+async def run_scenario(ends, order, together, leaves):
+    """Run one race; return it, its answer or None, and its error or None."""
     race = Race()
-    task = race.begin()
+    task = race.start()
     while len(race.open) < 2:
         await asyncio.sleep(0.0005)
     if leaves:
@@ -422,8 +420,8 @@
         if name in race.open:
             race.open[name].set_result(ends[name])
         if not together:
-            await turns()
-    await turns()
+            await run_loop()
+    await run_loop()
     answer = error = None
     try:
         answer = await task
@@ -431,7 +429,7 @@
         error = refusal
     except asyncio.CancelledError:
         error = leaves
-    await turns()
+    await run_loop()
     return race, answer, error
 
 
@@ -463,61 +461,61 @@
         yield {"a": a, "b": b}, order, together, leaves
 
 
-async def play_all(case):
+async def race_all(case):
     for ends, order, together, leaves in all_races():
-        race, answer, error = await play(ends, order, together, leaves)
+        race, answer, error = await run_scenario(ends, order, together, leaves)
         check(case, race, answer, error, ends, leaves)
 
 
-def keep_losers():
+def mutant_keep_losers():
     return mock.patch.object(hedging, "_cancel", lambda *_: None)
 
 
-def cancel_without_a_look():
-    def leave(task, answer, drop):
+def mutant_cancel_without_drop():
+    def cancel_task(task, answer, drop):
         task.cancel()
 
-    return mock.patch.object(hedging, "_cancel", leave)
+    return mock.patch.object(hedging, "_cancel", cancel_task)
 
 
-def take_any_answer():
+def mutant_accept_any_status():
     return mock.patch.object(hedging, "SERVER_ERROR", 600)
 
 
-def believe_an_old_refusal():
+def mutant_report_stale_refusal():
     def no_answer_refusal(exchange, now):
         return Refusal(Reason.TOO_LATE, "late", run=RunStatus.NOT_RUN)
 
     return mock.patch.object(hedging, "no_answer_refusal", no_answer_refusal)
 
 
-def read_the_loser():
-    def leave(task, answer, drop):
+def mutant_drop_the_winner():
+    def cancel_task(task, answer, drop):
         task.cancel()
         if answer is not None:
             drop(answer)
 
-    return mock.patch.object(hedging, "_cancel", leave)
+    return mock.patch.object(hedging, "_cancel", cancel_task)
 
 
 MUTANTS = (
-    keep_losers,
-    cancel_without_a_look,
-    take_any_answer,
-    believe_an_old_refusal,
-    read_the_loser,
+    mutant_keep_losers,
+    mutant_cancel_without_drop,
+    mutant_accept_any_status,
+    mutant_report_stale_refusal,
+    mutant_drop_the_winner,
 )
 
 
 class RaceTest(AsyncTestCase):
-    def test_one_answer_is_passed_on_and_every_other_is_given_up(self):
-        self.run_async(play_all(self))
+    def test_one_answer_is_returned_and_all_others_are_dropped(self):
+        self.run_async(race_all(self))
 
-    def test_each_broken_decision_is_found(self):
+    def test_each_mutant_is_detected(self):
         for mutant in MUTANTS:
             with mutant():
                 try:
-                    self.run_async(play_all(self))
+                    self.run_async(race_all(self))
                 except AssertionError:
                     continue
-            self.fail(f"{mutant.__name__} is not found")
+            self.fail(f"{mutant.__name__} was not detected")
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -1,4 +1,4 @@
-"""A VM whose link is full: what it waits for, and whom it sends elsewhere."""
+"""A VM whose link is full: timeouts, load shedding and accepting connections."""
 
 import asyncio
 import random
@@ -12,7 +12,7 @@
 from lynxchute.http.client import HttpClient, Timeouts
 from lynxchute.http.link_meter import MAX_DELAY
 from lynxchute.relay.load import SHED_SECONDS, TARGET_USE, RouterLoad
-from tests.link_play import LinkPlay
+from tests.link_play import LinkSimulation
 from tests.platform_support import PlatformCaller, PlatformTestCase
 from tests.support import AsyncTestCase, until
 
@@ -29,10 +29,10 @@
     def setUp(self):
         super().setUp()
         self.clock = Clock()
-        # A megabyte a second.
+        # One megabyte per second.
         self.meter = LinkMeter(8.0, self.clock)
 
-    def test_what_is_sent_waits_for_what_was_sent_before(self):
+    def test_sent_bytes_queue_behind_earlier_ones(self):
         self.meter.note_sent(100_000)
         self.assertAlmostEqual(0.108, self.meter.delay(), places=3)
         self.clock.now += 0.1
@@ -40,7 +40,7 @@
         self.clock.now += 0.1
         self.assertEqual(0.0, self.meter.delay())
 
-    def test_arrivals_count_once_the_link_is_nearly_full(self):
+    def test_received_bytes_add_delay_once_the_link_is_nearly_full(self):
         for _ in range(100):
             self.clock.now += 0.01
             self.meter.note_received(5_000)
@@ -50,7 +50,7 @@
             self.meter.note_received(9_600)
         self.assertGreater(self.meter.delay(), 0.1)
 
-    def test_the_use_is_that_of_the_fuller_direction_of_late(self):
+    def test_use_is_the_recent_use_of_the_busier_direction(self):
         for _ in range(100):
             self.clock.now += 0.01
             self.meter.note_sent(5_000)
@@ -60,7 +60,7 @@
         self.assertLess(self.meter.use(), 0.02)
 
     @given(st.lists(st.tuples(st.integers(0, 10**8), st.floats(0, 5)), max_size=30))
-    def test_delays_are_bounded_and_pass(self, sends):
+    def test_delays_are_bounded_and_temporary(self, sends):
         clock = Clock()
         meter = LinkMeter(5.0, clock)
         for size, pause in sends:
@@ -73,7 +73,7 @@
 
 
 class RouterLoadTest(testtools.TestCase):
-    def test_callers_go_elsewhere_while_the_link_would_make_them_late(self):
+    def test_load_is_shed_while_the_link_is_too_slow(self):
         clock = Clock()
         meter = LinkMeter(8.0, clock)
         load = RouterLoad(meter, clock)
@@ -91,7 +91,7 @@
         clock.now += 0.2
         self.assertFalse(load.is_shedding)
 
-    def test_only_what_the_link_carries_too_much_goes_elsewhere(self):
+    def test_only_the_excess_load_is_shed(self):
         clock = Clock()
         meter = LinkMeter(8.0, clock)
         load = RouterLoad(meter, clock, random.Random(1))
@@ -108,12 +108,12 @@
 
 
 class FullLinkTest(PlatformTestCase):
-    def test_a_router_with_a_full_link_refuses_at_once_and_is_not_ready(self):
+    def test_a_router_with_a_full_link_refuses_and_is_not_ready(self):
         async def scenario(deployment):
             router = deployment.routers["a-1"]
             caller = PlatformCaller(deployment)
             self.assertEqual(200, (await caller.stream())[0])
-            # As much as half a second of an ample link.
+            # As much as half a second of a fast link.
             router.load._meter.note_sent(70_000_000)
             status, headers, body = await caller.stream()
             self.assertEqual(503, status)
@@ -122,15 +122,15 @@
             self.assertLess(float(headers["retry-after"]), 0.1)
             self.assertFalse(router.is_ready())
             self.assertEqual(1, sum(len(e.runs) for e in deployment.engines))
-            # Another router serves the same caller at once.
+            # Another router serves the same caller immediately.
             other = PlatformCaller(deployment, "b-1")
             self.assertEqual(200, (await other.stream())[0])
 
         self.with_platform(scenario)
 
 
-class PatienceTest(AsyncTestCase):
-    def test_what_waits_for_the_own_link_is_no_silence(self):
+class LinkDelayTimeoutTest(AsyncTestCase):
+    def test_timeouts_are_extended_by_the_link_delay(self):
         async def work():
             async def handle(request, respond):
                 await respond.json(200, {})
@@ -153,18 +153,19 @@
 
 
 class SlowWayTest(PlatformTestCase):
-    """A send that its link holds up until its caller has left is not begun.
+    """A request whose link delay exceeds its remaining time is not sent.
 
-    A VM whose link one account filled sent a caller's check-in with 357 ms left; it
-    reached its upstream 581 ms after the caller had gone, and four did in a day.
+    One account filled a VM's link, and the VM sent a call with 357 ms left. It reached
+    its upstream 581 ms after the caller had disconnected, as did four calls in a day.
     """
 
-    def test_what_would_arrive_too_late_is_refused_and_not_sent(self):
+    def test_a_request_that_would_arrive_too_late_is_not_sent(self):
         async def scenario(deployment):
             router = deployment.routers["a-1"]
             caller = PlatformCaller(deployment)
             for deadline_ms, expected in ((300, 503), (3000, 200)):
-                # Admitted while the link was free, and full as it is to be sent.
+                # The request is admitted while the link is free; the link is full when
+                # it is sent.
                 router.clients.meter = LinkMeter(8.0, lambda: 0.0)
                 router.clients.meter.note_sent(400_000)
                 status, headers, body = await caller.send(
@@ -181,41 +182,42 @@
 
 
 class EntranceTest(PlatformTestCase):
-    """A VM whose link is full takes no connection, and serves those that it has.
+    """A VM whose link is full accepts no connections, and serves the open ones.
 
-    On a day of 22 VMs with links of 5 Mbit/s one account sent 2.7 times its usual to
-    one VM: 112 of 1,000 requests of the day were refused, nearly all there, after their
-    bodies had crossed the link that they were refused for.
+    On a day of 22 VMs with links of 5 Mbit/s, one account sent 2.7 times its usual rate
+    to one VM. 112 of 1,000 requests were refused, nearly all there, after their bodies
+    had already crossed the full link.
     """
 
-    def test_nobody_is_let_in_until_the_link_has_room_again(self):
+    def test_no_connection_is_accepted_until_the_link_has_capacity(self):
         async def scenario(deployment):
             router = deployment.routers["a-1"]
-            kept = PlatformCaller(deployment)
-            self.assertEqual(200, (await kept.send("GET", "/safe/x"))[0])
-            # Two seconds of a link of 8 Mbit/s, of which one is believed.
+            open_caller = PlatformCaller(deployment)
+            self.assertEqual(200, (await open_caller.send("GET", "/safe/x"))[0])
+            # Two seconds of an 8 Mbit/s link; the meter counts at most one second.
             meter = LinkMeter(8.0)
             router.load._meter = meter
             meter.note_sent(600_000)
             await until(lambda: not router.callers.is_accepting)
-            # Whoever says that it is ready takes connections.
+            # A router that reports ready must accept connections.
             self.assertFalse(router.is_ready())
-            stranger = PlatformCaller(deployment)
+            new_caller = PlatformCaller(deployment)
             with self.assertRaises(ExchangeFailed) as caught:
-                await stranger.send("GET", "/safe/x")
+                await new_caller.send("GET", "/safe/x")
             self.assertFalse(caught.exception.sent)
-            # What is kept still gets an answer, if only that it is refused.
-            self.assertIn((await kept.send("GET", "/safe/x"))[0], (200, 503))
+            # An open connection still gets a response, even if that is a refusal.
+            self.assertIn((await open_caller.send("GET", "/safe/x"))[0], (200, 503))
             await until(lambda: router.callers.is_accepting)
-            # It takes connections at delays that are still too long for this route.
+            # Connections are accepted again at delays that are still too long for this
+            # route.
             await until(lambda: meter.delay() == 0.0)
-            self.assertEqual(200, (await stranger.send("GET", "/safe/x"))[0])
+            self.assertEqual(200, (await new_caller.send("GET", "/safe/x"))[0])
 
         self.with_platform(scenario)
 
 
 class AcceptingTest(AsyncTestCase):
-    def test_whom_the_kernel_has_taken_is_served_though_nobody_else_is(self):
+    def test_connections_in_the_kernel_backlog_are_served_on_pause(self):
         async def scenario():
             async def answer(request, respond):
                 await respond.json(200, {})
@@ -223,20 +225,20 @@
             server = HttpServer(answer)
             await server.start("127.0.0.1", 0)
             reader, writer = await asyncio.open_connection("127.0.0.1", server.port)
-            # As many connections as the kernel takes before this loop looks.
-            waiting = [socket.create_connection(("127.0.0.1", server.port), 1.0)]
-            for connection in waiting:
+            # Connections that the kernel completes before the event loop accepts them.
+            connections = [socket.create_connection(("127.0.0.1", server.port), 1.0)]
+            for connection in connections:
                 connection.sendall(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
             await server.pause_accepting()
             self.assertFalse(server.is_accepting)
             with self.assertRaises(ConnectionRefusedError):
                 socket.create_connection(("127.0.0.1", server.port), 1.0)
             loop = asyncio.get_running_loop()
-            for connection in waiting:
+            for connection in connections:
                 connection.setblocking(False)
                 async with asyncio.timeout(5):
-                    told = await loop.sock_recv(connection, 100)
-                self.assertIn(b"200", told)
+                    response = await loop.sock_recv(connection, 100)
+                self.assertIn(b"200", response)
                 connection.close()
             await server.resume_accepting()
             self.assertTrue(server.is_accepting)
@@ -246,9 +248,10 @@
 
         self.run_async(scenario())
 
-    def test_whom_the_loop_has_just_taken_is_served_as_well(self):
-        # asyncio takes a connection in one turn of the loop and gives it a protocol in
-        # the next one; a server closed between the two drops it without an answer.
+    def test_connections_just_accepted_by_asyncio_are_served_on_pause(self):
+        # asyncio accepts a connection in one iteration of the event loop and assigns
+        # its protocol in the next one. A server that is closed in between drops it
+        # unanswered.
         async def scenario():
             async def answer(request, respond):
                 await respond.json(200, {})
@@ -256,19 +259,19 @@
             server = HttpServer(answer)
             await server.start("127.0.0.1", 0)
             loop = asyncio.get_running_loop()
-            waiting = []
+            connections = []
             for _ in range(5):
                 connection = socket.create_connection(("127.0.0.1", server.port), 1.0)
                 connection.sendall(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
                 connection.setblocking(False)
-                waiting.append(connection)
+                connections.append(connection)
             for _ in range(2):
                 await asyncio.sleep(0)
             await server.pause_accepting()
-            for connection in waiting:
+            for connection in connections:
                 async with asyncio.timeout(5):
-                    told = await loop.sock_recv(connection, 100)
-                self.assertIn(b"200", told)
+                    response = await loop.sock_recv(connection, 100)
+                self.assertIn(b"200", response)
                 connection.close()
             await server.kill()
 
@@ -276,30 +279,39 @@
 
 
 class HotAccountTest(testtools.TestCase):
-    """What callers get while one account sends five times what a VM's link carries.
+    """Service for callers while one account sends five times what a VM's link carries.
 
-    All connections of a VM whose link was full used to end, so that the next VM was as
-    full a moment later; and what it refused had crossed the link. Of 240 requests a
-    second from the third second on, 8 to 9 in 100 were served in time.
+    A VM with a full link used to close all connections, which overloaded the next VM a
+    moment later, and refused requests after they had crossed the link. Of 240 requests
+    per second from the third second on, 8 to 9 in 100 were served in time.
     """
 
-    def played(self, seed, *, ends, closes):
-        play = LinkPlay(vms=8, ends=ends, closes=closes, seed=seed)
-        play.run(18.0, lambda now: 240.0 if 6.0 <= now < 12.0 else 45.0)
-        return play
+    def simulate(self, seed, *, should_close, pauses_accepting):
+        simulation = LinkSimulation(
+            vms=8,
+            should_close=should_close,
+            pauses_accepting=pauses_accepting,
+            seed=seed,
+        )
+        simulation.run(18.0, lambda now: 240.0 if 6.0 <= now < 12.0 else 45.0)
+        return simulation
 
     def test_callers_are_served_in_time_once_the_balancer_has_noticed(self):
         for seed in range(1, 6):
-            play = self.played(seed, ends=RouterLoad.ends_connection, closes=True)
-            self.assertGreater(play.share(6.0, 8.0, "served"), 0.9)
-            self.assertGreater(play.share(8.0, 12.0, "served"), 0.95)
-            self.assertEqual(1.0, play.share(12.0, 18.0, "served"))
+            simulation = self.simulate(
+                seed, should_close=RouterLoad.ends_connection, pauses_accepting=True
+            )
+            self.assertGreater(simulation.share(6.0, 8.0, "served"), 0.9)
+            self.assertGreater(simulation.share(8.0, 12.0, "served"), 0.95)
+            self.assertEqual(1.0, simulation.share(12.0, 18.0, "served"))
 
-    def test_either_way_alone_serves_fewer(self):
-        for ends, closes in (
+    def test_each_measure_alone_serves_fewer(self):
+        for should_close, pauses_accepting in (
             (lambda load: load.is_shedding, False),
             (lambda load: load.is_shedding, True),
             (RouterLoad.ends_connection, False),
         ):
-            play = self.played(1, ends=ends, closes=closes)
-            self.assertLess(play.share(8.0, 12.0, "served"), 0.95)
+            simulation = self.simulate(
+                1, should_close=should_close, pauses_accepting=pauses_accepting
+            )
+            self.assertLess(simulation.share(8.0, 12.0, "served"), 0.95)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -19,7 +19,7 @@
 from tests.support import until
 
 
-def faults(upstreams, *kinds):
+def set_faults(upstreams, *kinds):
     for upstream in upstreams:
         upstream.faults = list(kinds)
 
@@ -32,7 +32,7 @@
     return [arrival for upstream in upstreams for arrival in upstream.arrivals]
 
 
-def forget_health(deployment):
+def reset_health(deployment):
     for router in deployment.routers.values():
         for entry in router.directory.entries_by_id.values():
             entry.health = Health()
@@ -106,15 +106,15 @@
 
         self.with_platform(scenario)
 
-    def test_a_failure_of_a_repeatable_call_is_made_good_elsewhere(self):
+    def test_failed_repeatable_calls_are_retried_at_another_upstream(self):
         async def scenario(deployment):
             for kind in (Fault.FAIL, Fault.LOSE, Fault.RESET, Fault.CUT, Fault.GARBLE):
-                faults(deployment.apps)
+                set_faults(deployment.apps)
                 deployment.apps[0].faults = [kind]
                 deployment.apps[1].faults = []
                 for upstream in deployment.apps:
                     upstream.runs.clear()
-                forget_health(deployment)
+                reset_health(deployment)
                 caller = PlatformCaller(deployment)
                 for turn in range(2):
                     status, _, body = await caller.send("GET", f"/safe/{turn}")
@@ -136,7 +136,7 @@
                 (Fault.UNSIGNED, 502),
             )
             for kind, expected in kinds:
-                faults(deployment.apps, kind)
+                set_faults(deployment.apps, kind)
                 for upstream in deployment.apps:
                     upstream.runs.clear()
                     upstream.arrivals.clear()
@@ -154,7 +154,7 @@
         async def scenario(deployment):
             caller = PlatformCaller(deployment)
             for kind in (Fault.DECLINE, Fault.BUSY, Fault.MOVED, Fault.EARLY):
-                faults(deployment.apps, kind)
+                set_faults(deployment.apps, kind)
                 status, headers, body = await caller.send("POST", "/unsafe/x", b"b")
                 self.assertEqual(503, status, kind)
                 self.assertEqual("not_run", json.loads(body)["run"])
@@ -166,7 +166,7 @@
     def test_answers_to_other_requests_are_skipped(self):
         async def scenario(deployment):
             caller = PlatformCaller(deployment)
-            faults(deployment.apps, Fault.LATE_EXTRA, Fault.LATE_EXTRA)
+            set_faults(deployment.apps, Fault.LATE_EXTRA, Fault.LATE_EXTRA)
             for turn in range(4):
                 answer = await caller.send("POST", "/unsafe/x", b"", f"own-{turn}")
                 self.assertEqual(200, answer[0])
@@ -177,7 +177,7 @@
     def test_a_connection_with_an_extra_answer_is_not_used_again(self):
         async def scenario(deployment):
             caller = PlatformCaller(deployment)
-            faults(deployment.apps, Fault.EXTRA, Fault.EXTRA)
+            set_faults(deployment.apps, Fault.EXTRA, Fault.EXTRA)
             for turn in range(6):
                 answer = await caller.send("GET", "/safe/x", b"", f"own-{turn}")
                 self.assertEqual(f"answer to own-{turn}".encode(), answer[2])
@@ -187,17 +187,17 @@
     def test_an_answer_without_a_length_ends_with_its_connection(self):
         async def scenario(deployment):
             caller = PlatformCaller(deployment)
-            faults(deployment.apps, Fault.UNFRAMED)
+            set_faults(deployment.apps, Fault.UNFRAMED)
             status, headers, body = await caller.send("POST", "/unsafe/x", b"", "u1")
             self.assertEqual((200, b"answer to u1"), (status, body))
             self.assertEqual(str(len(body)), headers["content-length"])
 
         self.with_platform(scenario)
 
-    def test_a_silent_upstream_ends_in_a_timeout_at_the_routes_time(self):
+    def test_an_unresponsive_upstream_times_out_at_the_deadline(self):
         async def scenario(deployment):
             caller = PlatformCaller(deployment)
-            faults(deployment.apps, Fault.HANG)
+            set_faults(deployment.apps, Fault.HANG)
             started = asyncio.get_running_loop().time()
             status, _, body = await caller.send("POST", "/unsafe/x", deadline_ms=300)
             took = asyncio.get_running_loop().time() - started
@@ -206,7 +206,7 @@
 
         self.with_platform(scenario)
 
-    def test_without_upstreams_the_refusal_comes_early_and_says_when(self):
+    def test_without_upstreams_the_refusal_is_early_and_has_retry_after(self):
         async def scenario(deployment):
             caller = PlatformCaller(deployment)
             for upstream in deployment.apps:
@@ -224,7 +224,7 @@
 
         self.with_platform(scenario)
 
-    def test_an_upstream_that_is_down_is_passed_over(self):
+    def test_an_upstream_that_is_down_is_skipped(self):
         async def scenario(deployment):
             caller = PlatformCaller(deployment)
             await deployment.apps[0].stop()
@@ -254,12 +254,12 @@
     def test_routes_and_keys(self):
         async def scenario(deployment):
             caller = PlatformCaller(deployment)
-            stranger = PlatformCaller(deployment, key="unknown")
-            nobody = PlatformCaller(deployment, key="")
+            unknown_caller = PlatformCaller(deployment, key="unknown")
+            anonymous_caller = PlatformCaller(deployment, key="")
             self.assertEqual(404, (await caller.send("GET", "/none/x"))[0])
-            self.assertEqual(401, (await stranger.send("GET", "/safe/x"))[0])
-            self.assertEqual(401, (await nobody.send("GET", "/safe/x"))[0])
-            self.assertEqual(200, (await nobody.send("GET", "/public/x"))[0])
+            self.assertEqual(401, (await unknown_caller.send("GET", "/safe/x"))[0])
+            self.assertEqual(401, (await anonymous_caller.send("GET", "/safe/x"))[0])
+            self.assertEqual(200, (await anonymous_caller.send("GET", "/public/x"))[0])
             (run,) = runs(deployment.apps)
             self.assertNotIn("x-tenant", run.headers)
 
@@ -285,29 +285,30 @@
     def test_a_router_that_has_lost_the_store_does_not_deny(self):
         async def scenario(deployment):
             caller = PlatformCaller(deployment)
-            stranger = PlatformCaller(deployment, key="unknown")
+            unknown_caller = PlatformCaller(deployment, key="unknown")
             router = deployment.routers["a-1"]
             for port in deployment.store_ports.values():
                 deployment.store.faults_by_port[port].outage = Outage.SILENT
-            # Whatever it has heard since, what confirms is too old to deny by.
+            # Even with recent news, the last confirmation is too old to reject a
+            # caller.
             router.configurations.feed.confirmed_at = float("-inf")
             router.configurations.unconfirmed_seconds = lambda: 0.0
             self.assertEqual(503, (await caller.send("GET", "/none/x"))[0])
-            self.assertEqual(503, (await stranger.send("GET", "/safe/x"))[0])
+            self.assertEqual(503, (await unknown_caller.send("GET", "/safe/x"))[0])
             self.assertEqual(200, (await caller.send("GET", "/safe/x"))[0])
 
         self.with_platform(scenario)
 
-    def test_without_the_store_a_crowd_is_refused_as_soon_as_one(self):
+    def test_without_the_store_concurrent_calls_are_refused_promptly(self):
         async def scenario(deployment):
-            stranger = PlatformCaller(deployment, key="unknown")
+            unknown_caller = PlatformCaller(deployment, key="unknown")
             router = deployment.routers["a-1"]
             for port in deployment.store_ports.values():
                 deployment.store.faults_by_port[port].outage = Outage.SILENT
             router.configurations.feed.confirmed_at = float("-inf")
             started = asyncio.get_running_loop().time()
             answers = await asyncio.gather(
-                *(stranger.send("GET", "/safe/x") for _ in range(20))
+                *(unknown_caller.send("GET", "/safe/x") for _ in range(20))
             )
             self.assertEqual({503}, {status for status, _, _ in answers})
             self.assertLess(asyncio.get_running_loop().time() - started, 1.5)
@@ -319,7 +320,7 @@
             caller = PlatformCaller(deployment)
             router = deployment.routers["a-1"]
             port = deployment.store_ports["a-1"]
-            # Answers come, and say nothing of what is new.
+            # The store responds, but hides what has changed.
             deployment.store.faults_by_port[port].hides_changes = True
             added = route("added", "/added/", "app", "safe", public=True)
             tenants = [{"name": ACCOUNT, "api_keys": ["new"], "prepaid": 1_000_000}]
@@ -328,14 +329,14 @@
             router.configurations.feed.listed_at = float("-inf")
             self.assertEqual(200, (await caller.send("GET", "/added/x"))[0])
             self.assertEqual(7, router.configurations.current.version)
-            newcomer = PlatformCaller(deployment, key="new")
-            self.assertEqual(200, (await newcomer.send("GET", "/safe/x"))[0])
+            new_caller = PlatformCaller(deployment, key="new")
+            self.assertEqual(200, (await new_caller.send("GET", "/safe/x"))[0])
 
         self.with_platform(scenario)
 
-    def test_a_crowd_of_strangers_costs_few_lists(self):
+    def test_concurrent_unknown_keys_cause_few_store_scans(self):
         async def scenario(deployment):
-            stranger = PlatformCaller(deployment, key="unknown")
+            unknown_caller = PlatformCaller(deployment, key="unknown")
             router = deployment.routers["a-1"]
             lists = []
             scan = router.platform.store.scan
@@ -346,7 +347,7 @@
 
             router.platform.store.scan = counted
             answers = await asyncio.gather(
-                *(stranger.send("GET", "/safe/x") for _ in range(20))
+                *(unknown_caller.send("GET", "/safe/x") for _ in range(20))
             )
             self.assertEqual({401}, {status for status, _, _ in answers})
             self.assertLessEqual(lists.count("op"), 2)
@@ -367,13 +368,13 @@
             for extra in bad:
                 status, _, _ = await caller.send("POST", "/stream/x", extra=extra)
                 self.assertEqual(400, status, extra)
-            late = await caller.send("GET", "/safe/x", deadline_ms="soon")
-            self.assertEqual(400, late[0])
-            nameless = await caller.client.request(
+            invalid_deadline = await caller.send("GET", "/safe/x", deadline_ms="soon")
+            self.assertEqual(400, invalid_deadline[0])
+            response = await caller.client.request(
                 "GET", "/safe/x", headers=[("Host", "app.example")]
             )
-            self.assertEqual(400, nameless.status)
-            nameless.close()
+            self.assertEqual(400, response.status)
+            response.close()
             self.assertEqual([], arrivals(deployment.upstreams))
 
         self.with_platform(scenario)
@@ -387,7 +388,7 @@
             self.assertEqual((200, [1, 2, 3, 4, 5, 6]), (status, ids_of(body)))
             self.assertEqual("text/event-stream", headers["content-type"])
             (run,) = runs(deployment.engines)
-            # The account's rank is 1, and the route's within it 1 as well.
+            # The account's rank is 1, and the route's rank within it is 1 as well.
             self.assertEqual("4", run.headers["x-request-priority"])
 
         self.with_platform(scenario)
@@ -395,12 +396,12 @@
     def test_a_broken_stream_goes_on_at_another_engine_without_a_gap(self):
         async def scenario(deployment):
             for kind in (Fault.CUT, Fault.RESET, Fault.LOSE, Fault.GARBLE):
-                # Whichever engine comes first meets the fault.
+                # The engine that is asked first has the fault.
                 faults_for_all = [kind]
                 for engine in deployment.engines:
                     engine.runs.clear()
                     engine.faults = faults_for_all
-                forget_health(deployment)
+                reset_health(deployment)
                 status, _, body = await PlatformCaller(deployment).stream()
                 self.assertEqual((200, [1, 2, 3, 4, 5, 6]), (status, ids_of(body)))
                 self.assertEqual(2, len(runs(deployment.engines)), kind)
@@ -410,17 +411,17 @@
     def test_a_stream_that_may_not_go_on_ends_visibly_broken(self):
         async def scenario(deployment):
             caller = PlatformCaller(deployment)
-            faults(deployment.engines, Fault.CUT)
-            broke = await caller.fails("POST", "/once/x", b"", tokens=(100, 60))
-            self.assertTrue(broke)
+            set_faults(deployment.engines, Fault.CUT)
+            was_aborted = await caller.fails("POST", "/once/x", b"", tokens=(100, 60))
+            self.assertTrue(was_aborted)
             self.assertEqual(1, len(arrivals(deployment.engines)))
-            faults(deployment.engines, Fault.LOSE)
+            set_faults(deployment.engines, Fault.LOSE)
             status, _, body = await caller.stream("/once/x")
             self.assertEqual((502, "unknown"), (status, json.loads(body)["run"]))
 
         self.with_platform(scenario)
 
-    def test_a_callers_resumption_goes_on_where_it_was(self):
+    def test_a_caller_can_resume_after_its_last_event(self):
         async def scenario(deployment):
             caller = PlatformCaller(deployment)
             extra = [("Last-Event-Id", "4")]
@@ -433,7 +434,7 @@
         async def scenario(deployment):
             caller = PlatformCaller(deployment)
             for path in ("/once/x", "/stream/x"):
-                faults(deployment.engines, Fault.HANG)
+                set_faults(deployment.engines, Fault.HANG)
                 sending = asyncio.create_task(caller.stream(path=path))
                 await until(lambda: runs(deployment.engines))
                 (run,) = runs(deployment.engines)
@@ -461,7 +462,7 @@
 
         self.with_platform(scenario)
 
-    def test_what_is_counted_is_the_prompt_and_what_was_delivered(self):
+    def test_the_prompt_and_delivered_tokens_are_billed(self):
         async def scenario(deployment):
             caller = PlatformCaller(deployment)
             await caller.stream(tokens=(100, 60))
@@ -486,7 +487,7 @@
     def test_a_declined_generation_costs_nothing(self):
         async def scenario(deployment):
             caller = PlatformCaller(deployment)
-            faults(deployment.engines, Fault.DECLINE, Fault.DECLINE)
+            set_faults(deployment.engines, Fault.DECLINE, Fault.DECLINE)
             status, _, _ = await caller.stream()
             self.assertEqual(503, status)
             self.assertEqual(0, await _used(deployment))
@@ -504,21 +505,21 @@
     return total
 
 
-class PauseNewsTest(PlatformTestCase):
-    def test_a_pause_that_is_too_long_is_told_once(self):
+class PauseReportTest(PlatformTestCase):
+    def test_a_pause_that_is_too_long_is_reported_once(self):
         async def scenario(deployment):
-            told = []
+            reported = []
             for router in deployment.routers.values():
                 router.relay._sender._generations.record_pause = (
-                    lambda run_id, upstream_id: told.append((run_id, upstream_id))
+                    lambda run_id, upstream_id: reported.append((run_id, upstream_id))
                 )
             caller = PlatformCaller(deployment)
             await caller.stream()
-            self.assertEqual([], told)
+            self.assertEqual([], reported)
             # Longer than the 0.4 s that the route allows.
             for engine in deployment.engines:
                 engine.event_delay = 0.45
             await caller.stream()
-            self.assertEqual(1, len(told))
+            self.assertEqual(1, len(reported))
 
         self.with_platform(scenario, events=3)
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -1,4 +1,4 @@
-"""Callers who wait for an engine, from their sockets to the engines and back."""
+"""Callers that queue for an engine, from their sockets to the engines and back."""
 
 import asyncio
 from unittest import mock
@@ -18,9 +18,9 @@
     with_deployment,
 )
 
-# The places of the one engine, by the document's usual setting.
-PLACES = 16
-ASKED = 24
+# Slots of the one engine, as configured by default.
+SLOTS = 16
+REQUESTS = 24
 SHAPE = {
     "routers_by_data_centre": {"kyu-a": 2},
     "budgets": {ACCOUNT: 1_000_000},
@@ -52,44 +52,44 @@
         routers = deployment.routers_by_vm.values()
         return sum(sum_of(router.turns.describe(0.0)) for router in routers)
 
-    def test_more_than_the_engine_has_places_for_are_all_served_once(self):
+    def test_requests_beyond_the_engine_slots_are_all_served_once(self):
         async def scenario(deployment):
             callers = [Caller(deployment, vm) for vm in deployment.routers_by_vm]
-            asks = []
-            for number in range(ASKED):
+            calls = []
+            for number in range(REQUESTS):
                 caller = callers[number % len(callers)]
-                asks.append(caller.ask(question(f"which road, {number}?")))
-            answers = await asyncio.gather(*asks)
+                calls.append(caller.ask(question(f"which road, {number}?")))
+            answers = await asyncio.gather(*calls)
             self.assertEqual({200}, {status for status, _, _ in answers})
-            self.assertEqual(ASKED, len(engine_runs(deployment)))
+            self.assertEqual(REQUESTS, len(engine_runs(deployment)))
             self.assertEqual(0, self.waiting(deployment))
 
         with_deployment(self, scenario, **SHAPE)
         self.assertEqual(
-            ASKED - PLACES, self.events.count("request queued for an engine")
+            REQUESTS - SLOTS, self.events.count("request queued for an engine")
         )
         self.assertEqual(
             self.events.count("queued request assigned to an engine"),
             self.events.count("request queued for an engine"),
         )
 
-    def test_a_caller_who_leaves_while_it_waits_has_no_turn_and_no_run(self):
+    def test_a_caller_that_disconnects_while_queued_is_not_run(self):
         async def scenario(deployment):
             vm = next(iter(deployment.routers_by_vm))
             caller = Caller(deployment, vm)
-            asks = []
-            for number in range(PLACES):
+            calls = []
+            for number in range(SLOTS):
                 ask = caller.ask(question(f"which road, {number}?"))
-                asks.append(asyncio.create_task(ask))
-            await until(lambda: len(engine_runs(deployment)) == PLACES)
-            leaver = Caller(deployment, vm)
-            leaving = asyncio.create_task(leaver.ask(question("who leaves?")))
+                calls.append(asyncio.create_task(ask))
+            await until(lambda: len(engine_runs(deployment)) == SLOTS)
+            leaving_caller = Caller(deployment, vm)
+            leaving = asyncio.create_task(leaving_caller.ask(question("who leaves?")))
             await until(lambda: self.waiting(deployment) == 1)
             leaving.cancel()
-            leaver.client.close()
+            leaving_caller.client.close()
             await until(lambda: not self.waiting(deployment))
-            await asyncio.gather(*asks)
-            self.assertEqual(PLACES, len(engine_runs(deployment)))
+            await asyncio.gather(*calls)
+            self.assertEqual(SLOTS, len(engine_runs(deployment)))
 
         with_deployment(self, scenario, **SHAPE)
 
