--- a/lynxchute/callers/dialect.py
+++ b/lynxchute/callers/dialect.py
@@ -102,18 +102,20 @@
         """Return the request headers for an upstream, except for the body length."""
         dropped = NOT_FORWARDED | {names.LAST_EVENT.lower()}
         headers = call.request.headers.end_to_end(dropped)
-        own = [
+        router_headers = [
             (names.REQUEST_ID, call.request_id),
             (names.TIME_LEFT, f"{dispatch.time_left:.3f}"),
             (names.EXPECTED_UPSTREAM, dispatch.upstream.id),
         ]
         if dispatch.account:
-            own.append((names.ACCOUNT, dispatch.account))
+            router_headers.append((names.ACCOUNT, dispatch.account))
         if call.generation is not None:
-            own.append((names.PRIORITY, str(dispatch.priority)))
+            router_headers.append((names.PRIORITY, str(dispatch.priority)))
         if dispatch.last_event_id:
-            own.append((names.LAST_EVENT, dispatch.last_event_id))
-        headers.extend((name.encode(), value.encode("latin-1")) for name, value in own)
+            router_headers.append((names.LAST_EVENT, dispatch.last_event_id))
+        headers.extend(
+            (name.encode(), value.encode("latin-1")) for name, value in router_headers
+        )
         return headers
 
     def is_answer(self, call: Call, head: h11.Response) -> bool:
@@ -149,11 +151,11 @@
         """Drop the usage event if only the router requested it."""
         if not isinstance(call, ChatCall) or call.wants_usage:
             return data
-        kept = []
+        kept_events = []
         for event in data.split(SEPARATOR):
             if event and USAGE_PATTERN.search(event) is None:
-                kept.append(event + SEPARATOR)
-        return b"".join(kept)
+                kept_events.append(event + SEPARATOR)
+        return b"".join(kept_events)
 
 
 def bearer_key(headers: Headers) -> str:
--- a/lynxchute/relay/chooser.py
+++ b/lynxchute/relay/chooser.py
@@ -87,14 +87,14 @@
         wait_until = min(self._clock() + wait_limit, exchange.deadline)
         wait = QueueWait(exchange, self._clock())
         try:
-            return await self._choose(exchange, wait_until, wait)
+            return await self._choose_or_wait(exchange, wait_until, wait)
         except BaseException:
             if wait.has_waited:
                 # Leave the admission queue, also if the caller has disconnected.
                 self._generations.record_end(exchange.run_id, "", failed=False)
             raise
 
-    async def _choose(
+    async def _choose_or_wait(
         self, exchange: Exchange, wait_until: float, wait: QueueWait
     ) -> Choice:
         while True:
--- a/lynxchute/relay/events.py
+++ b/lynxchute/relay/events.py
@@ -98,18 +98,18 @@
     def feed(self, data: bytes) -> Events | None:
         """Add received bytes; return the events that are now complete, or None."""
         data = self.rest + data if self.rest else data
-        cut = data.rfind(SEPARATOR)
-        if cut < 0:
+        boundary = data.rfind(SEPARATOR)
+        if boundary < 0:
             self.rest = data
             return None
-        cut += len(SEPARATOR)
-        whole, self.rest = data[:cut], data[cut:]
-        count = whole.count(SEPARATOR)
+        boundary += len(SEPARATOR)
+        complete, self.rest = data[:boundary], data[boundary:]
+        count = complete.count(SEPARATOR)
         if count == 1:
-            only = _event_id(whole)
-            return Events(whole, 1, only, only)
-        events = whole[: -len(SEPARATOR)].split(SEPARATOR)
-        return Events(whole, count, _event_id(events[0]), _event_id(events[-1]))
+            only = _event_id(complete)
+            return Events(complete, 1, only, only)
+        events = complete[: -len(SEPARATOR)].split(SEPARATOR)
+        return Events(complete, count, _event_id(events[0]), _event_id(events[-1]))
 
 
 def _event_id(event: bytes) -> str:
--- a/lynxchute/relay/hedge_rules.py
+++ b/lynxchute/relay/hedge_rules.py
@@ -7,7 +7,7 @@
 from lynxchute.upstreams.expected_finish import UpstreamState
 
 # Share of an upstream's calls that complete before a call to it is hedged.
-QUANTILE = 0.95
+HEDGE_QUANTILE = 0.95
 # Bounds of the hedge delay in multiples of the route's median latency. Twice the median
 # is ordinary; three times the median is slow, even for an upstream that is always slow.
 MIN_MEDIAN_FACTOR, MAX_MEDIAN_FACTOR = 2.0, 3.0
--- a/lynxchute/relay/hedging.py
+++ b/lynxchute/relay/hedging.py
@@ -12,7 +12,7 @@
 from lynxchute.relay.exchange import Exchange
 from lynxchute.relay.hedge_rules import (
     HEDGE_BUDGET_SHARE,
-    QUANTILE,
+    HEDGE_QUANTILE,
     has_capacity,
     hedge_delay,
 )
@@ -154,7 +154,7 @@
         """Wait until the first send ends or its hedge delay has passed."""
         exchange = race.exchange
         delay = self._hedge_delay(exchange, race.choice.entry)
-        sends, begun_at = exchange.sends, self._clock()
+        sends, started_at = exchange.sends, self._clock()
         left = delay
         while True:
             await asyncio.wait(tasks, timeout=left)
@@ -164,7 +164,7 @@
             # Time after the first byte was sent is spent at the upstream; time before
             # that may be lag of this router.
             is_sent = exchange.sends > sends
-            due = exchange.sent_at + delay if is_sent else begun_at + 2 * delay
+            due = exchange.sent_at + delay if is_sent else started_at + 2 * delay
             if now >= due:
                 return
             left = due - now
@@ -172,7 +172,7 @@
     def _hedge_delay(self, exchange: Exchange, entry: Entry) -> float | None:
         """Return the seconds after which a call is hedged, or None for never."""
         return hedge_delay(
-            self._times.latency_quantile(entry.upstream.id, QUANTILE),
+            self._times.latency_quantile(entry.upstream.id, HEDGE_QUANTILE),
             self._times.median_latency(exchange.service, exchange.route.name),
             exchange.route.latency_objective,
         )
