--- a/lynxchute/upstreams/backpressure.py
+++ b/lynxchute/upstreams/backpressure.py
@@ -105,9 +105,9 @@
         Parameters
         ----------
         is_start_known
-            Whether a new process at the same place could be told from the old one. If
-            not, a probe answer that no longer says that the upstream is leaving is
-            taken as a new process.
+            Whether a new process at the same place can be distinguished from the old
+            one. If not, a probe answer that no longer says that the upstream is
+            leaving is taken as a new process.
         """
         self._record_lasting_state(statement, now)
         if not is_start_known:
--- a/lynxchute/upstreams/evacuations.py
+++ b/lynxchute/upstreams/evacuations.py
@@ -67,7 +67,7 @@
         heard_at = now if known is None else known.heard_at
         self.by_data_centre[data_centre] = Evacuation(data_centre, version, heard_at)
         if known is None:
-            self._tell(data_centre)
+            self._notify_listeners(data_centre)
         return known is None
 
     def revoke(self, data_centre: str, version: int) -> bool:
@@ -76,7 +76,7 @@
             return False
         if self.by_data_centre.pop(data_centre, None) is None:
             return False
-        self._tell(data_centre)
+        self._notify_listeners(data_centre)
         return True
 
     def _is_newer(self, data_centre: str, version: int) -> bool:
@@ -85,6 +85,6 @@
         self._version_by_data_centre[data_centre] = version
         return True
 
-    def _tell(self, data_centre: str) -> None:
+    def _notify_listeners(self, data_centre: str) -> None:
         for listener in self.listeners:
             listener(data_centre)
--- a/lynxchute/upstreams/rate_limits.py
+++ b/lynxchute/upstreams/rate_limits.py
@@ -55,7 +55,7 @@
 
 
 class RateLimits:
-    """Keep the rate limits of upstreams together with the other routers.
+    """Enforce the rate limits of upstreams jointly with the other routers.
 
     Parameters
     ----------
--- a/lynxchute/upstreams/send_gate.py
+++ b/lynxchute/upstreams/send_gate.py
@@ -26,7 +26,8 @@
     COLD
         It is cold, and the request has no valid permit for cold upstreams.
     LIMITED
-        It has a rate limit, and the request has neither been admitted nor a turn.
+        It has a rate limit, and the request is neither admitted nor in this router's
+        turn.
     """
 
     EVACUATED = "data centre evacuated"
@@ -50,7 +51,7 @@
     limits_of
         Returns the limits for cold upstreams of a service.
     rates
-        Keeps the rate limits of upstreams.
+        Enforces the rate limits of upstreams.
     """
 
     def __init__(
--- a/tests/backpressure_machine.py
+++ b/tests/backpressure_machine.py
@@ -1,9 +1,9 @@
-"""Routers that send to a throttled upstream, with what they know of it and of others.
+"""Stateful fuzzing of routers that send to a throttled upstream.
 
-Each router has the real decisions, a view of who is registered, and a store's clock
-that is a little behind. Views lag, one router at a time is cut off and hears nothing,
-then all of them are; processes start again with nothing in memory; the upstream changes
-what it names, and its answers overtake one another.
+Each router makes the real decisions with its own view of which routers are registered,
+and its reading of the store's clock is a little behind. Views lag, one router at a time
+is isolated and learns nothing, then all of them are. Processes restart with empty
+memory, the upstream changes its limit, and its answers overtake one another.
 """
 
 import attrs
@@ -36,17 +36,18 @@
 ROUTERS = 4
 SERVICE = "pool"
 ENGINE = Upstream("e", SERVICE, "127.0.0.1:1", "a", started_ms=1)
-# The promise: from so long after the upstream has begun to name a limit, it gets within
-# any span no more than so many times what that allows, and some on top, from routers
-# that know of it.
-CONTACT_SECONDS = 3.0
+# The guarantee: from GRACE_SECONDS after the upstream first declares a limit, routers
+# that know it send at most FACTOR times the limit plus EXTRA requests within any
+# SPAN_SECONDS.
+GRACE_SECONDS = 3.0
 SPAN_SECONDS = 4.0
 FACTOR = 1.5
 EXTRA = 5
-# A router that is not cut off has heard of the others' comings and goings by then.
-HEARS_WITHIN = TAKE_OVER_SECONDS - 0.3
+# Seconds after which a router that is not isolated has learned of all membership
+# changes.
+MAX_VIEW_AGE = TAKE_OVER_SECONDS - 0.3
 LIMITS = (0.0, 0.25, 1.0, 1.1, 3.0, 8.0)
-# Milliseconds by which a router takes the store's clock to be earlier than it is.
+# Lag of each router's reading of the store's clock, in milliseconds.
 LAGS_MS = (0, 2, 30, 8)
 CLOCK_MS = 5_000_000
 
@@ -58,9 +59,9 @@
     Attributes
     ----------
     made_at, at
-        When the upstream makes it, and when it comes.
+        When the upstream generates it, and when it arrives.
     statement
-        What it states; None before it is made.
+        What it declares; None before it is generated.
     """
 
     made_at: float
@@ -73,7 +74,7 @@
 
 @attrs.frozen
 class Arrival:
-    """A request that reached the upstream from a router that knew of its limit."""
+    """A request that reached the upstream from a router that knew its limit."""
 
     at: float
     number: int
@@ -81,13 +82,13 @@
 
 @attrs.define(eq=False)
 class Router:
-    """One process: its view of who is registered, and its decisions."""
+    """One router process: its view of the registered routers, and its decisions."""
 
     number: int
     run: int
     view: set
-    heard_at: float
-    is_cut: bool = False
+    view_updated_at: float
+    is_isolated: bool = False
     directory: Directory = attrs.Factory(Directory)
     watch: RankWatch = None
     gate: SendGate = None
@@ -98,16 +99,16 @@
         rates = RateLimits(
             MostlyCentral(),
             self.watch.held_rank,
-            self.seat,
+            self.position,
             self.clock_ms,
-            lambda now: now - self.heard_at,
+            lambda now: now - self.view_updated_at,
         )
         self.gate = SendGate(Evacuations(), lambda name: ColdLimits(), rates)
 
     def rank(self, service):
         return sorted(self.view | {self.number}).index(self.number)
 
-    def seat(self, service):
+    def position(self, service):
         return TurnPosition(self.rank(service), len(self.view | {self.number}))
 
     def clock_ms(self, now):
@@ -122,7 +123,7 @@
 
 
 class BackpressureMachine(RuleBasedStateMachine):
-    """Check that a throttled upstream gets what it names."""
+    """Check that a throttled upstream receives no more than its limit permits."""
 
     def __init__(self):
         super().__init__()
@@ -131,11 +132,11 @@
         self.registered = set()
         self.routers = {}
         self.limit = None
-        self.named_at = None
+        self.limited_since = None
         self.limits = []
         self.arrivals = []
         self.answers = []
-        self.told = set()
+        self.informed = set()
 
     @initialize()
     def begin(self):
@@ -146,48 +147,48 @@
 
     @rule(number=st.integers(0, ROUTERS - 1))
     def start(self, number):
-        """Begin a new process; it reads who is registered before it serves."""
+        """Start a new process; it reads the registered routers before it serves."""
         self.registered.add(number)
         self.runs += 1
-        self.told.discard(number)
+        self.informed.discard(number)
         router = Router(number, self.runs, set(self.registered), self.now)
         router.directory.put(ENGINE, self.now)
         self.routers[number] = router
         router.refresh(self.now)
 
     @rule(number=st.integers(0, ROUTERS - 1))
-    def cut(self, number):
-        if any(router.is_cut for router in self.routers.values()):
+    def isolate(self, number):
+        if any(router.is_isolated for router in self.routers.values()):
             return
         if number in self.routers:
-            self.routers[number].is_cut = True
+            self.routers[number].is_isolated = True
 
     @rule()
-    def cut_all(self):
-        """Let no router reach another one."""
+    def isolate_all(self):
+        """Disconnect all routers from one another."""
         for router in self.routers.values():
-            self.hear(router)
-            router.is_cut = True
+            self.refresh_view(router)
+            router.is_isolated = True
 
     @rule()
-    def heal(self):
+    def reconnect(self):
         for router in self.routers.values():
-            if router.is_cut:
-                router.is_cut = False
-                self.hear(router)
+            if router.is_isolated:
+                router.is_isolated = False
+                self.refresh_view(router)
 
     @rule(limit=st.sampled_from(LIMITS))
-    def name(self, limit):
+    def set_limit(self, limit):
         if self.limit is None:
-            self.named_at = self.now
+            self.limited_since = self.now
         self.limit = limit
         self.limits.append((self.now, limit))
 
     @rule()
-    def name_none(self):
-        self.limit = self.named_at = None
+    def clear_limit(self):
+        self.limit = self.limited_since = None
         self.limits = []
-        self.told = set()
+        self.informed = set()
 
     @rule(seconds=st.sampled_from((0.1, 0.5, 1.0, 3.0, 20.0)))
     def advance(self, seconds):
@@ -200,69 +201,69 @@
         delay=st.sampled_from((0.02, 0.3, 1.5)),
         transit=st.sampled_from((0.0, 0.0, 0.6, 3.5)),
     )
-    def press(self, seconds, delay, transit=0.0):
-        """Have every router sent a request in each moment."""
+    def send_load(self, seconds, delay, transit=0.0):
+        """Give every router a request in each step."""
         end = self.now + seconds
         while self.now < end - 1e-9:
             for router in list(self.routers.values()):
-                # Not all answers take as long on their way.
+                # Answers differ in their transit time.
                 late = transit if router.number % 2 == int(self.now * 10) % 2 else 0.0
-                self.ask(router, delay, late)
+                self.place_and_send(router, delay, late)
             self.step()
 
     @rule(limit=st.sampled_from(LIMITS), idle=st.sampled_from((0.0, 0.0, 20.0)))
-    def press_at(self, limit, idle):
-        """Have the upstream name a limit that all hear of, and press it then."""
-        self.heal()
-        self.name(limit)
-        self.press(CONTACT_SECONDS + 0.5, 0.02)
+    def send_load_at_limit(self, limit, idle):
+        """Declare a limit to all routers, then send them requests."""
+        self.reconnect()
+        self.set_limit(limit)
+        self.send_load(GRACE_SECONDS + 0.5, 0.02)
         self.advance(idle)
-        self.press(SPAN_SECONDS + 1.0, 0.02)
+        self.send_load(SPAN_SECONDS + 1.0, 0.02)
 
     @rule()
-    def let_answers_overtake(self):
-        """Have answers that state a higher limit come long after it was lowered."""
-        self.heal()
-        self.name(8.0)
-        self.press(SPAN_SECONDS, 0.02, transit=9.0)
-        self.name(1.0)
-        self.press(9.0, 0.02)
+    def deliver_answers_out_of_order(self):
+        """Deliver answers with a higher limit long after it was lowered."""
+        self.reconnect()
+        self.set_limit(8.0)
+        self.send_load(SPAN_SECONDS, 0.02, transit=9.0)
+        self.set_limit(1.0)
+        self.send_load(9.0, 0.02)
 
     @rule(limit=st.sampled_from(LIMITS))
-    def press_where_nobody_reaches_another(self, limit):
-        self.press_at(limit, 0.0)
-        self.cut_all()
-        self.press(SPAN_SECONDS + 2.0, 0.02)
-        self.heal()
+    def send_load_while_all_are_isolated(self, limit):
+        self.send_load_at_limit(limit, 0.0)
+        self.isolate_all()
+        self.send_load(SPAN_SECONDS + 2.0, 0.02)
+        self.reconnect()
 
     @rule(limit=st.sampled_from(LIMITS))
-    def press_while_two_take_themselves_for_the_first(self, limit):
-        """Have the first router not hear of the one that becomes the first."""
-        self.press_at(limit, 0.0)
+    def send_load_with_two_rank_zero_routers(self, limit):
+        """Isolate the rank-0 router while another one takes over its rank."""
+        self.send_load_at_limit(limit, 0.0)
         self.registered.discard(0)
         for router in self.routers.values():
-            self.hear(router)
+            self.refresh_view(router)
         del self.routers[0]
-        self.press(TAKE_OVER_SECONDS, 0.02)
-        self.cut(1)
+        self.send_load(TAKE_OVER_SECONDS, 0.02)
+        self.isolate(1)
         self.start(0)
-        self.press(TAKE_OVER_SECONDS + SPAN_SECONDS, 0.02)
-        self.heal()
+        self.send_load(TAKE_OVER_SECONDS + SPAN_SECONDS, 0.02)
+        self.reconnect()
 
     @rule(times=st.integers(2, 12))
-    def press_with_starts(self, times):
-        """Have routers that send start again and again."""
+    def send_load_between_restarts(self, times):
+        """Restart sending routers repeatedly."""
         for _ in range(times):
             for number in range(1, ROUTERS):
                 self.start(number)
-            self.press(0.4, 0.02)
+            self.send_load(0.4, 0.02)
 
     @rule(number=st.integers(0, ROUTERS - 1))
-    def tell(self, number):
-        """Have one router tell the others what it has heard."""
-        teller = self.routers[number]
+    def share_with_all(self, number):
+        """Let one router share its known backpressure with the others."""
+        sender = self.routers[number]
         for router in self.routers.values():
-            self.exchange(teller, router)
+            self.share_backpressure(sender, router)
 
     def step(self):
         self.now += 0.1
@@ -274,39 +275,42 @@
         for answer in due:
             self.deliver(answer)
         for router in self.routers.values():
-            if not router.is_cut and self.now - router.heard_at >= HEARS_WITHIN:
-                self.hear(router)
-
-    def hear(self, router):
-        router.view, router.heard_at = set(self.registered), self.now
+            if (
+                not router.is_isolated
+                and self.now - router.view_updated_at >= MAX_VIEW_AGE
+            ):
+                self.refresh_view(router)
+
+    def refresh_view(self, router):
+        router.view, router.view_updated_at = set(self.registered), self.now
         router.refresh(self.now)
 
-    def exchange(self, teller, router):
-        if teller is router or teller.is_cut or router.is_cut:
+    def share_backpressure(self, sender, router):
+        if sender is router or sender.is_isolated or router.is_isolated:
             return
-        told = known_backpressure(teller.directory, SERVICE, self.now)
-        merge_backpressure(router.directory, told, self.now)
+        shared = known_backpressure(sender.directory, SERVICE, self.now)
+        merge_backpressure(router.directory, shared, self.now)
 
-    def ask(self, router, delay, transit):
-        """Have a router sent one request, and send it where it may."""
+    def place_and_send(self, router, delay, transit):
+        """Give a router one request, which it sends if it may."""
         asked_at, admitted_until = self.now, 0.0
-        first = self.first_for(router)
-        self.exchange(router, first)
-        self.exchange(first, router)
+        central = self.central_router_of(router)
+        self.share_backpressure(router, central)
+        self.share_backpressure(central, router)
         rates, entry = router.gate.rates, router.entry
         if rates.is_limited(entry, asked_at) and not rates.has_turn(entry, asked_at):
-            if not first.gate.rates.admit(first.entry, asked_at):
+            if not central.gate.rates.admit(central.entry, asked_at):
                 return
             admitted_until = asked_at + PERMIT_SECONDS
         self.send(router, delay, transit, admitted_until)
 
-    def first_for(self, router):
-        """Return whom a router takes for the first one of those that it reaches."""
+    def central_router_of(self, router):
+        """Return the router of lowest rank that a router can reach in its view."""
         for number in sorted(router.view | {router.number}):
             other = self.routers.get(number)
             if other is None:
                 continue
-            if other is router or not (other.is_cut or router.is_cut):
+            if other is router or not (other.is_isolated or router.is_isolated):
                 return other
         return router
 
@@ -319,7 +323,10 @@
         )
         if withheld is not None:
             return
-        if router.entry.backpressure.limit is not None or router.number in self.told:
+        if (
+            router.entry.backpressure.limit is not None
+            or router.number in self.informed
+        ):
             self.arrivals.append(Arrival(self.now, router.number))
         made_at = self.now + delay
         self.answers.append(
@@ -334,21 +341,21 @@
             router.entry, answer.statement, asked_at=answer.sent_at, now=self.now
         )
         if self.limit is not None and answer.statement.limit is not None:
-            self.told.add(answer.number)
+            self.informed.add(answer.number)
 
     @invariant()
-    def no_more_than_it_names(self):
-        if self.named_at is None:
+    def limit_is_kept(self):
+        if self.limited_since is None:
             return
-        since = self.named_at + CONTACT_SECONDS
+        since = self.limited_since + GRACE_SECONDS
         bound = [a.at for a in self.arrivals if a.at >= since]
         for index, begin in enumerate(bound):
             within = [at for at in bound[index:] if at < begin + SPAN_SECONDS]
-            most = FACTOR * SPAN_SECONDS * self.highest(begin, within[-1]) + EXTRA
+            most = FACTOR * SPAN_SECONDS * self.highest_limit(begin, within[-1]) + EXTRA
             assert len(within) <= int(most), f"limit passed: {len(within)} of {most}"
 
-    def highest(self, begin, end):
-        """Return the highest limit that was named in a span, or heard of in it."""
-        held_rank = [limit for at, limit in self.limits if at < end]
-        before = [at for at, _ in self.limits if at <= begin - CONTACT_SECONDS]
-        return max(held_rank[max(len(before) - 1, 0) :])
+    def highest_limit(self, begin, end):
+        """Return the highest limit that applies in a span, grace periods included."""
+        in_effect = [limit for at, limit in self.limits if at < end]
+        before = [at for at, _ in self.limits if at <= begin - GRACE_SECONDS]
+        return max(in_effect[max(len(before) - 1, 0) :])
--- a/tests/cold_machine.py
+++ b/tests/cold_machine.py
@@ -1,8 +1,8 @@
-"""Routers that place requests at a cold upstream, with what they know of one another.
+"""Stateful fuzzing of routers that place requests at a cold upstream.
 
-Each router has the real decisions and a view of who is registered. Views lag, one
-router at a time is cut off and hears nothing, processes restart with nothing in
-memory, and some other router than the one that counts may do the placing.
+Each router makes the real decisions with its own view of which routers are registered.
+Views lag, one router at a time is isolated and learns nothing, processes restart with
+empty memory, and a router other than the rank-0 router may do the placing.
 """
 
 import attrs
@@ -33,14 +33,15 @@
 LIMITS = ColdLimits(start_seconds=3.0, per_second=6.6, factor=1.5, extra=5.0)
 SERVICE = "pool"
 ENGINE = Upstream("e", SERVICE, "127.0.0.1:1", "a", started_ms=1)
-# A router that is not cut off has heard of the others' comings and goings by then.
-HEARS_WITHIN = TAKE_OVER_SECONDS - 0.3
+# Seconds after which a router that is not isolated has learned of all membership
+# changes.
+MAX_VIEW_AGE = TAKE_OVER_SECONDS - 0.3
 STEPS = (0.0, 0.01, 0.05, 0.2, 0.3, 0.5, 1.0)
 
 
 @attrs.frozen
 class PlacedSend:
-    """A request that has a place and is sent a little later."""
+    """A placed request that is sent a little later."""
 
     at: float
     sender: int
@@ -50,12 +51,12 @@
 
 @attrs.define(eq=False)
 class Router:
-    """One process: its view of who is registered, and its decisions."""
+    """One router process: its view of the registered routers, and its decisions."""
 
     number: int
     view: set
-    heard_at: float
-    is_cut: bool = False
+    view_updated_at: float
+    is_isolated: bool = False
     cold: ColdPlacementLimiter = None
     directory: Directory = attrs.Factory(Directory)
 
@@ -75,7 +76,7 @@
 
 
 class ColdMachine(RuleBasedStateMachine):
-    """Check that an upstream that all senders know as cold gets what it bears."""
+    """Check the limit of a cold upstream that all senders know to be cold."""
 
     def __init__(self):
         super().__init__()
@@ -84,7 +85,7 @@
         self.routers = {}
         self.cold_since, self.cold_until = 0.0, 0.0
         self.arrivals = []
-        self.told = set()
+        self.informed = set()
         self.waiting = []
         self.gate = SendGate(Evacuations(), lambda name: LIMITS, no_limits_kept())
 
@@ -97,34 +98,34 @@
 
     @rule(number=st.integers(0, ROUTERS - 1))
     def start(self, number):
-        """Begin a new process; it reads who is registered before it serves."""
+        """Start a new process; it reads the registered routers before it serves."""
         self.registered.add(number)
         router = Router(number, set(self.registered), self.now)
         router.directory.put(ENGINE, self.now)
         router.entry.extend_cold(self.cold_until - self.now, self.now)
         self.routers[number] = router
-        self.told.add(number)
+        self.informed.add(number)
         router.refresh(self.now)
 
     @rule(number=st.integers(0, ROUTERS - 1))
-    def leave(self, number):
+    def stop(self, number):
         if len(self.registered) > 1:
             self.registered.discard(number)
             self.routers.pop(number, None)
 
     @rule(number=st.integers(0, ROUTERS - 1))
-    def cut(self, number):
-        if any(router.is_cut for router in self.routers.values()):
+    def isolate(self, number):
+        if any(router.is_isolated for router in self.routers.values()):
             return
         if number in self.routers:
-            self.routers[number].is_cut = True
+            self.routers[number].is_isolated = True
 
     @rule()
-    def heal(self):
+    def reconnect(self):
         for router in self.routers.values():
-            if router.is_cut:
-                router.is_cut = False
-                self.hear(router)
+            if router.is_isolated:
+                router.is_isolated = False
+                self.refresh_view(router)
 
     @rule(seconds=st.sampled_from(STEPS))
     def advance(self, seconds):
@@ -133,34 +134,37 @@
             self.now = min(self.now + 0.1, end)
             self.send_due()
             for router in self.routers.values():
-                if not router.is_cut and self.now - router.heard_at >= HEARS_WITHIN:
-                    self.hear(router)
+                if (
+                    not router.is_isolated
+                    and self.now - router.view_updated_at >= MAX_VIEW_AGE
+                ):
+                    self.refresh_view(router)
 
     @rule(number=st.integers(0, ROUTERS - 1))
-    def hear_now(self, number):
+    def refresh_view_now(self, number):
         router = self.routers.get(number)
-        if router is not None and not router.is_cut:
-            self.hear(router)
+        if router is not None and not router.is_isolated:
+            self.refresh_view(router)
 
-    def hear(self, router):
-        router.view, router.heard_at = set(self.registered), self.now
+    def refresh_view(self, router):
+        router.view, router.view_updated_at = set(self.registered), self.now
         router.refresh(self.now)
 
     @precondition(lambda self: self.now >= self.cold_until)
-    @rule(knows=st.sets(st.integers(0, ROUTERS - 1)))
-    def start_upstream(self, knows):
-        """Let the upstream grow cold; some routers know at once."""
+    @rule(aware=st.sets(st.integers(0, ROUTERS - 1)))
+    def restart_upstream(self, aware):
+        """Restart the upstream cold; some routers learn of it at once."""
         self.advance(0.01)
         self.cold_since = self.now
         self.cold_until = self.now + LIMITS.start_seconds
-        self.told = set(knows)
+        self.informed = set(aware)
         for number, router in self.routers.items():
-            if number in knows:
+            if number in aware:
                 router.entry.extend_cold(LIMITS.start_seconds, self.now)
 
     @rule(number=st.integers(0, ROUTERS - 1), seconds=st.floats(0.0, 2.0))
-    def tell_late(self, number, seconds):
-        """Bring an old word of how long the upstream is cold."""
+    def deliver_late_report(self, number, seconds):
+        """Deliver an outdated report of the remaining warm-up time."""
         if number in self.routers:
             self.routers[number].directory.put(
                 attrs.evolve(ENGINE, warm_up=seconds), self.now
@@ -173,29 +177,29 @@
         delay=st.sampled_from((0.0, 0.1, 0.2, PERMIT_SECONDS, 0.6, 1.3, 2.6)),
     )
     def place(self, by, sender, count, delay):
-        """Have requests placed by one router and sent by another a little later."""
+        """Place requests at one router and send them by another a little later."""
         if by not in self.routers:
             return
         placing = self.routers[by]
         for _ in range(count):
             if placing.cold.admissible_entries([placing.entry], self.now):
-                counted = placing.cold.record_placement(placing.entry, self.now)
-                send = PlacedSend(self.now + delay, sender, self.now, counted)
+                is_counted = placing.cold.record_placement(placing.entry, self.now)
+                send = PlacedSend(self.now + delay, sender, self.now, is_counted)
                 self.waiting.append(send)
         self.send_due()
 
     @rule(number=st.integers(0, ROUTERS - 1), times=st.integers(1, 3))
-    def place_with_each_start(self, number, times):
-        """Let a router that counts be replaced again and again as it places."""
+    def place_between_restarts(self, number, times):
+        """Restart the placing router repeatedly while it places requests."""
         for _ in range(times):
             self.place(number, number, 20, 0.0)
             self.start(number)
 
     @rule()
-    def tell_all_late(self):
-        """Bring all routers an old word, and have some of them place at once."""
+    def deliver_late_reports_to_all(self):
+        """Deliver an outdated report to all routers, and let each place at once."""
         for number in self.routers:
-            self.tell_late(number, 0.1)
+            self.deliver_late_report(number, 0.1)
         self.advance(0.2)
         for number in list(self.routers):
             self.place(number, number, 20, 0.0)
@@ -203,38 +207,39 @@
     @precondition(lambda self: self.now >= self.cold_until)
     @rule()
     def send_all_at_once(self):
-        """Let what was placed over a while be sent at one moment."""
-        self.start_upstream(set(range(ROUTERS)))
+        """Send requests that were placed over a while at the same moment."""
+        self.restart_upstream(set(range(ROUTERS)))
         first = min(self.routers)
         for delay in (2.6, 1.3, 0.0):
             self.place(first, first, 20, delay)
             self.advance(1.3)
 
     @rule()
-    def let_two_count(self):
-        """Let a router that is cut off not hear of the one that is first by now."""
-        self.heal()
+    def have_two_rank_zero_routers(self):
+        """Isolate the rank-0 router while another one takes over its rank."""
+        self.reconnect()
         first = min(self.registered)
-        self.leave(first)
+        self.stop(first)
         for router in self.routers.values():
-            self.hear(router)
+            self.refresh_view(router)
         self.advance(TAKE_OVER_SECONDS)
         second = min(self.routers)
-        self.cut(second)
+        self.isolate(second)
         self.start(first)
         self.advance(TAKE_OVER_SECONDS + 0.1)
 
     def send_due(self):
-        """Send what is due, as far as the senders' gates let it."""
+        """Send what is due, as far as the senders' gates permit it."""
         due = [send for send in self.waiting if send.at <= self.now]
         self.waiting = [send for send in self.waiting if send.at > self.now]
         for send in due:
             if send.sender not in self.routers:
                 continue
             entry = self.routers[send.sender].entry
-            if send.sender not in self.told:
-                # It has heard by now that the upstream is cold, maybe after it asked.
-                self.told.add(send.sender)
+            if send.sender not in self.informed:
+                # It has learned by now that the upstream is cold, maybe after it asked
+                # for a placement.
+                self.informed.add(send.sender)
                 entry.extend_cold(self.cold_until - self.now, self.now)
             permit = send.asked_at + PERMIT_SECONDS if send.is_counted else 0.0
             if (
@@ -244,7 +249,7 @@
                 self.arrivals.append(self.now)
 
     @invariant()
-    def no_more_than_it_bears(self):
+    def limit_is_kept(self):
         cold = [t for t in self.arrivals if self.cold_since <= t < self.cold_until]
         for index, begin in enumerate(cold):
             within = [t for t in cold[index:] if t < begin + 1.0]
--- a/tests/cold_mutants.py
+++ b/tests/cold_mutants.py
@@ -1,4 +1,4 @@
-"""Break the decisions on cold upstreams one by one."""
+"""Mutants that each break one decision about cold upstreams."""
 
 from unittest import mock
 
@@ -9,19 +9,19 @@
 from lynxchute.upstreams.send_gate import SendGate
 
 
-def forget_the_check_before_a_send():
+def skip_the_cold_check_before_sending():
     return mock.patch.object(SendGate, "is_cold", lambda self, entry, now: False)
 
 
-def count_from_the_first_moment():
+def admit_without_take_over_delay():
     return mock.patch.object(cold_admission, "TAKE_OVER_SECONDS", 0.0)
 
 
-def keep_the_whole_bound():
+def admit_the_whole_limit():
     return mock.patch.object(cold_admission, "MAX_RANK_ZERO_ROUTERS", 1)
 
 
-def let_a_late_word_shorten():
+def let_late_reports_shorten_the_warm_up():
     def extend_cold(self, seconds, now):
         self.cold_until = now + seconds
         return True
@@ -29,7 +29,7 @@
     return mock.patch.object(Entry, "extend_cold", extend_cold)
 
 
-def let_permits_last():
+def extend_permits():
     withheld_reason = SendGate.withheld_reason
 
     def withhold(self, entry, *, permit_until, now, **more):
@@ -39,16 +39,16 @@
     return mock.patch.object(SendGate, "withheld_reason", withhold)
 
 
-def forget_what_was_placed_while_warm():
+def undercount_recent_placements():
     count = RecentPlacements.count
 
-    def counted(self, upstream_id, now):
+    def capped_count(self, upstream_id, now):
         return min(count(self, upstream_id, now), 3)
 
-    return mock.patch.object(RecentPlacements, "count", counted)
+    return mock.patch.object(RecentPlacements, "count", capped_count)
 
 
-def give_everybody_the_share():
+def give_every_router_the_share():
     def share(self, service, now):
         return self.limits_of(service).max_per_second // 2
 
@@ -56,11 +56,11 @@
 
 
 MUTANTS = (
-    forget_the_check_before_a_send,
-    count_from_the_first_moment,
-    keep_the_whole_bound,
-    let_a_late_word_shorten,
-    let_permits_last,
-    forget_what_was_placed_while_warm,
-    give_everybody_the_share,
+    skip_the_cold_check_before_sending,
+    admit_without_take_over_delay,
+    admit_the_whole_limit,
+    let_late_reports_shorten_the_warm_up,
+    extend_permits,
+    undercount_recent_placements,
+    give_every_router_the_share,
 )
--- a/tests/test_cold_upstreams.py
+++ b/tests/test_cold_upstreams.py
@@ -1,8 +1,9 @@
-"""Cold upstreams get no more than they bear, whoever sends.
+"""Cold upstreams receive no more requests than they can handle, from all routers.
 
-Nothing kept to what an upstream bears after its start: routers that cannot reach one
-another, that were just started or that had placed before they heard of it each sent as
-much as they had. An upstream that has just started is empty, so that it draws requests.
+Guards against routers that ignore the limit of an upstream after its start. Routers
+that could not reach one another, had just started, or had placed requests before they
+learned of the start each sent everything they had. An upstream that has just started is
+idle, so that it attracts requests.
 """
 
 import asyncio
@@ -43,7 +44,7 @@
 ENGINE = Upstream("e", "pool", "127.0.0.1:1", "a", started_ms=1_000)
 
 
-class ColdTimeTest(testtools.TestCase):
+class WarmUpTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
         self.directory = Directory()
@@ -56,46 +57,49 @@
     def put(self, now, **changes):
         return self.directory.put(attrs.evolve(ENGINE, **changes), now)
 
-    def test_no_word_makes_the_time_shorter(self):
+    def test_no_report_shortens_the_warm_up(self):
         self.put(10.0, warm_up=2.5)
-        for word in (0.0, 0.5):
-            self.put(10.2, warm_up=word)
+        for seconds in (0.0, 0.5):
+            self.put(10.2, warm_up=seconds)
             self.assertEqual(12.5, self.cold_until)
         self.put(11.0, warm_up=3.0)
         self.assertEqual(14.0, self.cold_until)
 
-    def test_how_cold_it_is_is_no_news_of_the_upstream(self):
+    def test_warm_up_time_does_not_count_as_a_change(self):
         self.put(10.0, warm_up=2.5)
         self.assertFalse(self.put(10.2, warm_up=2.3))
 
-    def test_a_start_that_was_not_there_before_is_cold(self):
+    def test_a_newly_started_upstream_is_cold(self):
         self.directory.put(ENGINE, 10.0, is_start=True)
         self.assertEqual(13.0, self.cold_until)
 
-    def test_another_start_under_the_id_is_cold_and_the_one_before_tells_nothing(self):
+    def test_a_restart_is_cold_and_reports_of_the_old_process_are_ignored(self):
         self.put(10.0)
         self.put(20.0, started_ms=2_000)
         self.assertEqual(23.0, self.cold_until)
         self.put(21.0, warm_up=60.0)
         self.assertEqual(23.0, self.cold_until)
 
-    def test_a_start_that_a_report_tells_is_cold(self):
+    def test_a_restart_found_by_a_probe_is_cold(self):
         self.put(10.0)
         self.directory.record_start(self.directory.entries_by_id["e"], 2_000, 30.0)
         self.assertEqual(33.0, self.cold_until)
 
 
 class ColdAdmissionTest(testtools.TestCase):
-    def test_only_the_first_registered_router_counts_and_not_at_once(self):
-        ways = FirstRegistered(), SharesByRank(), WarmOnly()
-        just = [way.share(LIMITS, HeldRank(0, 0.0)) for way in ways]
+    def test_only_first_ranks_admit_and_not_at_once(self):
+        admissions = FirstRegistered(), SharesByRank(), WarmOnly()
+        just = [admission.share(LIMITS, HeldRank(0, 0.0)) for admission in admissions]
         self.assertEqual([0, 0, 0], just)
         long = TAKE_OVER_SECONDS
         for rank, expected in ((0, [7, 1, 0]), (6, [0, 1, 0]), (7, [0, 0, 0])):
-            shares = [way.share(LIMITS, HeldRank(rank, long)) for way in ways]
+            shares = [
+                admission.share(LIMITS, HeldRank(rank, long))
+                for admission in admissions
+            ]
             self.assertEqual(expected, shares)
 
-    def test_a_service_without_a_bound_is_not_held_back(self):
+    def test_a_service_without_a_limit_is_not_limited(self):
         cold = ColdPlacementLimiter(WarmOnly(), RankWatch(lambda s: 0), lambda s: free)
         free = ColdLimits(start_seconds=3.0)
         entry = Entry(ENGINE, cold_until=1e9)
@@ -103,7 +107,7 @@
             self.assertTrue(cold.may_place(entry, 0.0))
             cold.record_placement(entry, 0.0)
 
-    def test_a_warm_upstream_with_the_bound_is_passed_over_since_it_may_grow_cold(self):
+    def test_a_warm_upstream_at_the_limit_is_skipped_since_it_may_become_cold(self):
         watch = RankWatch(lambda s: 1)
         cold = ColdPlacementLimiter(FirstRegistered(), watch, lambda s: LIMITS)
         entry, placed = Entry(ENGINE), 0
@@ -113,28 +117,29 @@
         self.assertEqual(LIMITS.max_per_second, placed)
         other = Entry(attrs.evolve(ENGINE, id="other"))
         self.assertEqual([other], cold.admissible_entries([entry, other], 5.0))
-        # Where no other has room it is better than a refusal.
+        # If no other has room, sending to it is better than a refusal.
         self.assertEqual([entry], cold.admissible_entries([entry], 5.0))
 
 
 class ColdFuzzTest(testtools.TestCase):
-    def test_no_second_has_more_than_a_cold_upstream_bears(self):
+    def test_no_second_exceeds_the_limit_of_a_cold_upstream(self):
         run(200, 30, machine=ColdMachine)
 
-    def test_the_fuzzing_finds_each_decision_that_is_broken(self):
+    def test_fuzzing_detects_each_mutant(self):
         self.patch(mutants, "EXAMPLES", 200)
         self.patch(mutants, "STEPS", 30)
         for mutant in cold_mutants.MUTANTS:
             self.assertIsNotNone(mutants.is_caught(mutant), mutant.__name__)
 
 
-class ShiftedWorkTest(testtools.TestCase):
+class EvacuationScenarioTest(testtools.TestCase):
     """A data centre that is evacuated, and one that comes back cold under a burst.
 
-    What callers get is a share of what answers on time are worth to them. Three seeds
-    of 60 s: 0.966 with the first registered router, 0.953 with shares by rank, 0.938
-    where nothing is sent to cold engines, and 0.968 where nobody knows that they are
-    cold; the fullest second of a cold engine had 7, 1, 0 and 13 requests.
+    The value is a share of what callers would get if all answers were on time. In three
+    runs of 60 s with different seeds it was 0.966 with the rank-0 router admitting
+    requests, 0.953 with shares by rank, 0.938 with nothing sent to cold engines, and
+    0.968 if no router knows that they are cold; the busiest second of a cold engine had
+    7, 1, 0 and 13 requests.
     """
 
     def value(self, played):
@@ -148,7 +153,7 @@
                 got += kind.late_value
         return got / owed
 
-    def test_callers_lose_next_to_nothing_and_no_engine_gets_too_much(self):
+    def test_callers_lose_little_and_no_cold_engine_is_overloaded(self):
         scenario = read_scenario("snow-dispatch-shifted").ok
         played = {
             name: Play(scenario, POLICIES_BY_NAME[name], 1).run()
@@ -162,7 +167,7 @@
 
 
 class ArrivalsTest(testtools.TestCase):
-    def test_the_fullest_second_of_a_cold_time_counts(self):
+    def test_the_busiest_second_of_a_warm_up_counts(self):
         taken = Arrivals()
         taken.note_cold(2.0, 10.0)
         for time in (9.9, 9.95, 10.5, 10.6, 11.4, 11.55, 12.1):
@@ -170,7 +175,7 @@
         self.assertEqual(3, taken.most_while_cold())
 
 
-def with_bound(**changes):
+def with_cold_limit(**changes):
     document = configuration(version=2)
     for service in document["services"]:
         if service["name"] == "pool":
@@ -179,10 +184,10 @@
 
 
 class ColdFleetTest(PlatformTestCase):
-    """Two routers, engines that bear 2 x 1.5 + 5 = 8 requests a second when cold."""
+    """Two routers; a cold engine may receive 2 x 1.5 + 5 = 8 requests a second."""
 
-    async def bind(self, deployment):
-        await deployment.store.configure(with_bound())
+    async def configure_cold_limit(self, deployment):
+        await deployment.store.configure(with_cold_limit())
         for router in deployment.routers.values():
             await until(lambda r=router: r.configurations.current.version == 2)
 
@@ -208,9 +213,9 @@
         ]
         return await asyncio.gather(*sends)
 
-    def test_a_burst_ends_no_cold_engine_and_is_served_by_the_warm_one(self):
+    def test_a_burst_crashes_no_cold_engine_and_the_warm_one_serves_it(self):
         async def scenario(deployment):
-            await self.bind(deployment)
+            await self.configure_cold_limit(deployment)
             cold, warm = deployment.engines
             await asyncio.sleep(TAKE_OVER_SECONDS)
             await self.grow_cold(deployment, [cold], 4.0)
@@ -221,9 +226,9 @@
 
         self.with_platform(scenario)
 
-    def test_where_all_are_cold_what_they_do_not_bear_is_refused_at_once(self):
+    def test_if_all_are_cold_excess_requests_are_refused_at_once(self):
         async def scenario(deployment):
-            await self.bind(deployment)
+            await self.configure_cold_limit(deployment)
             await asyncio.sleep(TAKE_OVER_SECONDS)
             await self.grow_cold(deployment, deployment.engines, 3.0)
             began = asyncio.get_running_loop().time()
@@ -247,11 +252,11 @@
 
         self.with_platform(scenario)
 
-    def test_routers_that_cannot_reach_the_one_that_counts_send_cold_engines_nothing(
+    def test_routers_that_cannot_reach_rank_zero_send_cold_engines_nothing(
         self,
     ):
         async def scenario(deployment):
-            await self.bind(deployment)
+            await self.configure_cold_limit(deployment)
             await asyncio.sleep(TAKE_OVER_SECONDS)
             members = deployment.routers["a-1"].members
             first = members.in_order("schedule pool", list(members.by_vm))[0]
@@ -266,21 +271,21 @@
         self.with_platform(scenario)
 
     def test_an_engine_that_grows_cold_in_an_outage_of_the_store_is_noticed(self):
-        """Its entry says so, but the store tells nobody.
+        """An engine restarts cold while the store answers no router.
 
-        Three of 50 seeds of the soak had 19 to 59 requests in a second at an engine
-        that bears 14: it had grown cold while the store answered no router.
+        Its entry says so, but no router can read it. In three of 50 seeds of the soak
+        test, an engine that can handle 14 requests a second got 19 to 59 in one second.
         """
 
         async def scenario(deployment):
-            await self.bind(deployment)
+            await self.configure_cold_limit(deployment)
             await asyncio.sleep(TAKE_OVER_SECONDS)
             for vm in deployment.routers:
                 deployment.faults(vm).outage = Outage.BUSY
             await asyncio.sleep(2.0)
             for engine in deployment.engines:
                 engine.grow_cold(6.0)
-            # Nobody can know at once; the aim is a second.
+            # Routers cannot notice it at once; the target is one second.
             await asyncio.sleep(1.0)
             for engine in deployment.engines:
                 engine.cold_most = 8
@@ -291,9 +296,9 @@
 
         self.with_platform(scenario)
 
-    def test_a_data_centre_that_is_taken_back_is_taken_for_cold(self):
+    def test_upstreams_are_cold_after_an_evacuation_is_revoked(self):
         async def scenario(deployment):
-            await self.bind(deployment)
+            await self.configure_cold_limit(deployment)
             for router in deployment.routers.values():
                 router.evacuations.order("a", 10**9, 0.0)
                 router.evacuations.revoke("a", 10**9 + 1)
--- a/tests/test_neighbourhood.py
+++ b/tests/test_neighbourhood.py
@@ -1,8 +1,9 @@
-"""Many upstreams: what is looked at for one request, and what that costs.
+"""Selection of candidates in services with many upstreams, and its cost.
 
-With 3,000 engines and 300 routers each request took 54 ms of a processor: the router
-that placed for all answered 24 a second, the others gave it up and placed by
-themselves, and 32 in 100 requests of the first seconds were not served.
+Guards against considering every upstream for each request. With 3,000 engines and 300
+routers each request took 54 ms of CPU time: the router that placed requests for all
+others answered 24 a second, the others timed out and placed requests by themselves, and
+32 of 100 requests in the first seconds were not served.
 """
 
 import collections
@@ -44,8 +45,8 @@
     return directory
 
 
-class RingTest(testtools.TestCase):
-    def test_a_name_that_goes_takes_few_neighbours_with_it(self):
+class HashRingTest(testtools.TestCase):
+    def test_removing_a_name_changes_at_most_one_neighbour(self):
         names = [f"e{number}" for number in range(MANY)]
         before = HashRing(names)
         after = HashRing(names[1:])
@@ -68,17 +69,17 @@
         found = Neighbourhood(directory).entries("pool", key, 0.0)
         return [entry.upstream.id for entry in found]
 
-    def test_few_are_all_looked_at(self):
+    def test_all_of_a_few_upstreams_are_candidates(self):
         directory = directory_of(FULL_SCAN_LIMIT)
         self.assertEqual(list(directory.entries_by_id), self.entries(directory))
 
-    def test_of_many_some_are_and_the_same_for_everybody(self):
+    def test_of_many_upstreams_all_routers_choose_the_same_subset(self):
         found = self.entries(directory_of(MANY))
         self.assertEqual(found, self.entries(directory_of(MANY)))
         self.assertLessEqual(len(found), RING_LOOKUPS * NEIGHBOURS_PER_LOOKUP)
         self.assertGreater(len(found), RING_LOOKUPS * NEIGHBOURS_PER_LOOKUP * 0.9)
 
-    def test_what_has_gone_or_come_since_is_known(self):
+    def test_removed_upstreams_are_no_candidates(self):
         directory = directory_of(MANY)
         neighbourhood = Neighbourhood(directory)
         first = neighbourhood.entries("pool", "key", 0.0)[0].upstream.id
@@ -88,7 +89,7 @@
         directory.changed()
         self.assertNotIn(first, neighbourhood.ids("pool", "key"))
 
-    def test_where_all_neighbours_are_gone_others_serve(self):
+    def test_others_are_candidates_if_all_neighbours_are_gone(self):
         directory = directory_of(MANY)
         neighbourhood = Neighbourhood(directory)
         for upstream_id in neighbourhood.ids("pool", "key"):
@@ -96,8 +97,8 @@
         self.assertGreater(len(neighbourhood.entries("pool", "key", 0.0)), MANY // 2)
 
 
-class LargePlacingTest(AsyncTestCase):
-    def test_load_is_spread_and_prompts_find_what_is_kept(self):
+class LargePlacementTest(AsyncTestCase):
+    def test_load_is_balanced_and_prompts_find_their_cache(self):
         directory = directory_of(MANY)
         limits = ColdLimits()
         cold = ColdPlacementLimiter(
@@ -129,17 +130,17 @@
                 chosen[reply.upstream] += 1
                 parts_asked[part] += 1
                 if not number:
-                    # What is not looked at costs nothing.
-                    looked_at = len(scheduler.board.engines_by_id)
+                    # Only considered engines get a state on the board.
+                    considered = len(scheduler.board.engines_by_id)
                     self.assertLessEqual(
-                        looked_at, RING_LOOKUPS * NEIGHBOURS_PER_LOOKUP
+                        considered, RING_LOOKUPS * NEIGHBOURS_PER_LOOKUP
                     )
                 engines_by_part[part].add(reply.upstream)
             return chosen, parts_asked, engines_by_part
 
         chosen, parts_asked, engines_by_part = self.run_async(scenario())
-        # Three requests a part, at few engines; and no engine has much more than the
-        # requests of the part that is asked for most.
-        homes = [len(engines) for engines in engines_by_part.values()]
-        self.assertLess(sum(homes) / len(homes), 2.5)
+        # Each prompt part has three requests on average, which go to few engines, and
+        # no engine gets much more than the requests of the most frequent part.
+        engine_counts = [len(engines) for engines in engines_by_part.values()]
+        self.assertLess(sum(engine_counts) / len(engine_counts), 2.5)
         self.assertLessEqual(max(chosen.values()), max(parts_asked.values()) + 2)
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -1,4 +1,4 @@
-"""Data centres that fall silent at one moment, and what is tried then."""
+"""Data centres that become unreachable at once, and what is probed then."""
 
 import asyncio
 
@@ -24,23 +24,23 @@
         for name in names:
             self.reach.note_silent(place, name, now, is_upstream=name[0] == "u")
 
-    def test_one_silent_upstream_is_no_cut(self):
+    def test_one_silent_upstream_does_not_cut_a_data_centre(self):
         self.silent("u1", "u1")
         self.assertFalse(self.reach.is_cut("b"))
 
-    def test_routers_alone_prove_nothing_of_upstreams(self):
+    def test_silent_routers_alone_do_not_cut_a_data_centre(self):
         self.silent("r1", "r2", "r3")
         self.assertFalse(self.reach.is_cut("b"))
         self.silent("u1")
         self.assertTrue(self.reach.is_cut("b"))
 
-    def test_whatever_is_heard_ends_the_suspicion(self):
+    def test_any_answer_resets_the_evidence(self):
         self.silent("u1")
         self.reach.note_heard("b")
         self.silent("u2")
         self.assertFalse(self.reach.is_cut("b"))
 
-    def test_old_evidence_is_dropped_but_a_cut_lasts_until_something_is_heard(self):
+    def test_evidence_expires_but_a_cut_lasts_until_an_answer(self):
         self.silent("u1", now=10.0)
         self.silent("u2", now=10.1 + EVIDENCE_SECONDS)
         self.assertFalse(self.reach.is_cut("b"))
@@ -50,7 +50,7 @@
         self.reach.note_heard("b")
         self.assertFalse(self.reach.is_cut("b"))
 
-    def test_the_own_data_centre_is_never_given_up(self):
+    def test_the_own_data_centre_is_never_cut(self):
         self.silent("u1", "u2", place="a")
         self.assertFalse(self.reach.is_cut("a"))
 
@@ -66,7 +66,7 @@
         self.assertEqual(2, len(members.homes_elsewhere("account")))
 
 
-class FakeEngines(EngineClient):
+class FakeEngineClient(EngineClient):
     def __init__(self, cut):
         self.cut = cut
         self.probed = []
@@ -82,21 +82,21 @@
 
 
 class FakeHandle:
-    def __init__(self, moved, name):
-        self._moved = moved
+    def __init__(self, aborted, name):
+        self._aborted = aborted
         self._name = name
 
     def abort(self):
-        self._moved.append(self._name)
+        self._aborted.append(self._name)
 
 
 class SilenceWatchTest(AsyncTestCase):
     def setUp(self):
         super().setUp()
         self.now = 100.0
-        self.moved = []
+        self.aborted = []
         self.directory = Directory()
-        self.engines = FakeEngines({"b"})
+        self.engines = FakeEngineClient({"b"})
         self.reach = Reachability("a")
         self.watch = SilenceWatch(
             self.directory, self.engines, self.reach, lambda: self.now
@@ -108,52 +108,52 @@
         return self.directory.entries_by_id[name]
 
     def open_send(self, name, heard_at):
-        handle = FakeHandle(self.moved, name)
+        handle = FakeHandle(self.aborted, name)
         self.entry(name).open_sends.add(OpenSend(handle, lambda: True))
         self.entry(name).heard_at = heard_at
 
-    async def look(self):
+    async def step(self):
         await self.watch._step()
         while self.watch.tasks._tasks:
             await asyncio.sleep(0)
 
-    def test_the_others_of_a_silent_upstreams_data_centre_are_asked_at_once(self):
+    def test_other_upstreams_of_a_silent_data_centre_are_probed_at_once(self):
         async def work():
             self.open_send("b1", self.now - 0.4)
             self.open_send("b2", self.now - 0.15)
             self.open_send("a1", self.now - 0.15)
-            await self.look()
+            await self.step()
             self.assertEqual(["b1", "b2"], self.engines.probed)
-            self.assertEqual({"b1", "b2"}, set(self.moved))
+            self.assertEqual({"b1", "b2"}, set(self.aborted))
             self.assertTrue(self.reach.is_cut("b"))
 
         self.run_async(work())
 
-    def test_a_cut_data_centre_is_asked_until_it_answers_and_then_used_at_once(self):
+    def test_a_cut_data_centre_is_probed_until_it_answers_and_then_used_at_once(self):
         async def work():
             for name in ("b1", "b2"):
                 self.reach.note_silent("b", name, self.now, is_upstream=True)
                 self.entry(name).health.record(SendOutcome.UNREACHED, self.now)
             for _ in range(10):
                 self.now += 0.1
-                await self.look()
+                await self.step()
             self.assertEqual(2, len(self.engines.probed))
             self.engines.cut = set()
             self.now += 0.6
-            await self.look()
+            await self.step()
             self.assertFalse(self.reach.is_cut("b"))
             self.assertFalse(self.entry("b1").health.is_paused(self.now))
             probed = len(self.engines.probed)
             self.now += 2.0
-            await self.look()
+            await self.step()
             self.assertEqual(probed, len(self.engines.probed))
 
         self.run_async(work())
 
-    def test_an_upstream_that_sends_events_is_not_asked(self):
+    def test_an_upstream_that_sends_events_is_not_probed(self):
         async def work():
             self.open_send("b1", self.now - 0.05)
-            await self.look()
+            await self.step()
             self.assertEqual([], self.engines.probed)
 
         self.run_async(work())
--- a/tests/test_stated_backoff.py
+++ b/tests/test_stated_backoff.py
@@ -1,14 +1,14 @@
-"""Upstreams that turn a request away and ask for backoff.
+"""Upstreams that refuse a request with 503 and ask for backoff.
 
-Two engines turned routers away with 503 and asked for three seconds of backoff. Each
-router came back within tenths of a second: three requests reached each engine from one
-router between half a second after its refusal and the end of the backoff, where two are
-the most. Callers whose questions were first sent where they were not wanted were late.
+Guards against routers that ignore the backoff. A refusal with a backoff was handled
+like any other refusal: the upstream was skipped for 0.05 s, doubled with each refusal
+in a row, so that routers retried within tenths of a second. With a backoff of three
+seconds, an engine got three requests from one router between half a second after its
+refusal and the end of the backoff, where two are the most. Callers whose requests were
+first sent to such an engine got late answers.
 
-A refusal with a backoff was taken like any other: the upstream was passed over for
-0.05 s, doubled with each one in a row. Where all upstreams of a service were passed
-over, the one whose pause ended first got the request all the same: 22 in the three
-seconds of the second test below.
+If all upstreams of a service were skipped, the one whose pause ended first got the
+request anyway: 22 requests in the three seconds of the second test of BackoffTest.
 """
 
 import asyncio
@@ -32,13 +32,14 @@
 from tests.words_machine import WordsMachine
 
 BACKOFF_SECONDS = 3.0
-# The promise: from so long after the refusal to the end of it, no more than two.
-SOON_SECONDS = 0.5
-MOST_IN_BACKOFF = 2
+# The guarantee: from GRACE_SECONDS after the refusal to the end of the backoff, at most
+# MAX_IN_BACKOFF requests arrive.
+GRACE_SECONDS = 0.5
+MAX_IN_BACKOFF = 2
 
 
 class BackpressureTest(testtools.TestCase):
-    def test_a_later_shorter_backoff_does_not_cut_a_longer_one(self):
+    def test_a_later_shorter_backoff_does_not_shorten_a_longer_one(self):
         backpressure = Backpressure()
         for backoff, now in ((3.0, 1.0), (0.5, 2.0), (0.0, 3.0)):
             statement = Statement(backoff=backoff)
@@ -48,13 +49,13 @@
         self.assertFalse(backpressure.is_backing_off(4.0))
 
 
-class WordsFuzzTest(testtools.TestCase):
-    """Backoff and leaving, in answers, reports and entries, over starts."""
+class BackoffFuzzTest(testtools.TestCase):
+    """Backoff and leaving in answers, probe answers and entries, across restarts."""
 
-    def test_nothing_is_sent_that_is_not_wanted(self):
+    def test_nothing_is_sent_during_backoff_or_to_leaving_upstreams(self):
         run(300, 40, machine=WordsMachine)
 
-    def test_the_fuzzing_finds_each_decision_that_is_broken(self):
+    def test_fuzzing_detects_each_mutant(self):
         self.patch(mutants, "EXAMPLES", 200)
         self.patch(mutants, "STEPS", 30)
         for mutant in backpressure_mutants.WORD_MUTANTS:
@@ -69,25 +70,25 @@
             backing_off.faults = [Fault.DECLINE] * 1000
             statuses = await press(deployment, ask, seconds=BACKOFF_SECONDS)
             (refused_at, *later) = backing_off.taken.times
-            in_backoff = [t for t in later if t - refused_at > SOON_SECONDS]
-            self.assertLessEqual(len(in_backoff), MOST_IN_BACKOFF)
+            in_backoff = [t for t in later if t - refused_at > GRACE_SECONDS]
+            self.assertLessEqual(len(in_backoff), MAX_IN_BACKOFF)
             return statuses
 
         return self.with_platform(scenario, routers=("a-1",), **more)
 
-    def test_an_engine_gets_the_backoff_that_it_asks_for(self):
+    def test_the_backoff_of_an_engine_is_respected(self):
         statuses = self.check(lambda deployment: deployment.engines, stream)
         self.assertEqual({200}, set(statuses))
 
-    def test_the_only_engine_gets_the_backoff_that_it_asks_for(self):
+    def test_the_backoff_of_the_only_engine_is_respected(self):
         statuses = self.check(lambda deployment: deployment.engines, stream, engines=1)
         self.assertEqual({503}, set(statuses))
 
-    def test_the_only_plain_upstream_gets_the_backoff_that_it_asks_for(self):
+    def test_the_backoff_of_the_only_plain_upstream_is_respected(self):
         statuses = self.check(lambda deployment: deployment.apps, plain, apps=1)
         self.assertEqual({503}, set(statuses))
 
-    def test_where_all_want_backoff_the_refusal_comes_at_once(self):
+    def test_requests_are_refused_at_once_if_all_upstreams_back_off(self):
         async def scenario(deployment):
             for engine in deployment.engines:
                 engine.backoff = BACKOFF_SECONDS
@@ -110,7 +111,7 @@
 
         self.with_platform(scenario, routers=("a-1",))
 
-    def test_a_backoff_of_one_router_is_no_other_ones(self):
+    def test_a_backoff_applies_to_the_refused_router_only(self):
         async def scenario(deployment):
             (engine,) = deployment.engines
             engine.backoff, engine.faults = BACKOFF_SECONDS, [Fault.DECLINE]
@@ -120,7 +121,7 @@
 
         self.with_platform(scenario, engines=1)
 
-    def test_a_stream_does_not_go_on_where_backoff_is_wanted(self):
+    def test_a_stream_is_not_resumed_at_an_upstream_in_backoff(self):
         async def scenario(deployment):
             stream_, busy, idle = await stream_at_one_engine(deployment)
             now = asyncio.get_running_loop().time()
@@ -138,13 +139,13 @@
         self.with_platform(scenario)
 
 
-class ReturnTest(PlatformTestCase):
-    """Work comes back after bad times.
+class RecoveryTest(PlatformTestCase):
+    """Upstreams receive requests again after a period of refusals.
 
-    A plain upstream that had declined everything for four seconds got two requests at
-    most in the last eight of the eleven seconds that followed, of some 40 a second: its
-    share of bad ends stood for as long as nothing was sent, and nothing was sent for as
-    long as it stood.
+    Guards against a share of bad outcomes that does not decay while nothing is sent. A
+    plain upstream that had declined everything for four seconds got two requests at
+    most in the last eight of the next eleven seconds, of some 40 a second: it received
+    nothing because of its share, and the share stayed because nothing was sent.
     """
 
     def check(self, upstreams_of, ask):
@@ -157,13 +158,13 @@
             before = len(declining.arrivals)
             statuses = await press(deployment, ask, seconds=4.0)
             self.assertEqual({200}, set(statuses))
-            # A quarter of its half, at least.
+            # At least a quarter of its half of the requests.
             self.assertGreater(len(declining.arrivals) - before, len(statuses) / 8)
 
         self.with_platform(scenario, routers=("a-1",))
 
-    def test_work_comes_back_to_an_engine_that_declined_everything(self):
+    def test_an_engine_recovers_after_declining_everything(self):
         self.check(lambda deployment: deployment.engines, stream)
 
-    def test_work_comes_back_to_a_plain_upstream_that_declined_everything(self):
+    def test_a_plain_upstream_recovers_after_declining_everything(self):
         self.check(lambda deployment: deployment.apps, plain)
--- a/tests/test_stated_leaving.py
+++ b/tests/test_stated_leaving.py
@@ -1,14 +1,14 @@
-"""Upstreams that say in their answers that they leave.
+"""Upstreams that declare in their answers that they are leaving.
 
-An engine said in an answer that it leaves, while the store answered nobody and its
-entry stood as ready for eleven seconds more. Five of eight routers sent it 11 more
-requests; two of them reached it 2.9 and 4.4 s after its word had been passed on, where
-2 s are allowed. They were served; had the engine ended in time, their streams would
-have been cut.
+Guards against routers that learn of a leaving upstream only from its entry in the
+store, and ignore what its answers declare. While the store was unavailable, the entry
+of a leaving engine read as ready for eleven seconds more. Five of eight routers sent it
+11 more requests; two of these arrived 2.9 and 4.4 s after its answer had been
+forwarded, where 2 s are the most. They were served, but their streams would have been
+cut if the engine had ended in time.
 
-Only the entry in the store told routers that an upstream leaves; what it says itself in
-the head of an answer was read by nothing. With an entry that goes on saying ready, an
-engine got half of all requests three seconds after its word in the first test below.
+With an entry that stays ready, an engine got half of all requests three seconds after
+its declaration in the first test of LeavingFleetTest.
 """
 
 import asyncio
@@ -33,7 +33,8 @@
 from tests.press import plain, press, stream
 
 ROUTERS = ("a-1", "a-2", "b-1", "b-2")
-# The promise: so long after a router has passed on the word, nothing new comes from it.
+# The guarantee: a router sends nothing new from DRAIN_SECONDS after it has forwarded
+# the answer.
 DRAIN_SECONDS = 2.0
 
 
@@ -49,7 +50,7 @@
         directory.record_statement(entry, LEAVING, asked_at=0.0, now=1.0)
         return directory
 
-    def test_neither_a_later_entry_nor_a_later_answer_takes_it_back(self):
+    def test_neither_a_later_entry_nor_a_later_answer_revokes_leaving(self):
         directory = self.leaving()
         entry = directory.entries_by_id["e"]
         directory.put(attrs.evolve(ENGINE, slots=2), 2.0)
@@ -58,37 +59,37 @@
         self.assertFalse(entry.takes_work)
         self.assertEqual([], list(directory.available("pool", 4.0)))
 
-    def test_an_entry_that_lapses_meanwhile_brings_nothing_back(self):
+    def test_a_lapsed_entry_does_not_revoke_leaving(self):
         directory = self.leaving()
         directory.remove("e", 2.0, expires_at=9.0)
         self.assertEqual([], list(directory.available("pool", 3.0)))
         directory.put(ENGINE, 4.0)
         self.assertEqual([], list(directory.available("pool", 5.0)))
 
-    def test_another_process_under_its_id_takes_work(self):
+    def test_a_new_process_with_its_id_accepts_work(self):
         for started_ms in (2, 0):
             directory = self.leaving()
             directory.put(attrs.evolve(ENGINE, started_ms=started_ms), 2.0)
             self.assertTrue(directory.entries_by_id["e"].takes_work)
 
-    def test_the_other_routers_hear_of_it(self):
-        heard, other = self.leaving(), Directory()
+    def test_other_routers_learn_that_it_is_leaving(self):
+        informed, other = self.leaving(), Directory()
         other.put(ENGINE)
-        told = known_backpressure(heard, "pool", 1.0)
-        merge_backpressure(other, told, 1.0)
+        received = known_backpressure(informed, "pool", 1.0)
+        merge_backpressure(other, received, 1.0)
         self.assertFalse(other.entries_by_id["e"].takes_work)
         later = Directory()
         later.put(attrs.evolve(ENGINE, started_ms=2))
-        merge_backpressure(later, told, 1.0)
+        merge_backpressure(later, received, 1.0)
         self.assertTrue(later.entries_by_id["e"].takes_work)
 
 
-def hear_after_each_choice(router, upstream_id, statement):
-    """Have a word heard between the choice of an upstream and the send."""
+def record_after_each_choice(router, upstream_id, statement):
+    """Record a statement between the choice of an upstream and the send."""
     chooser = router.relay._sender._chooser
     choose = chooser.choose
 
-    async def choose_and_hear(exchange):
+    async def choose_and_record(exchange):
         choice = await choose(exchange)
         if choice.entry.upstream.id == upstream_id:
             now = asyncio.get_running_loop().time()
@@ -97,7 +98,7 @@
             )
         return choice
 
-    chooser.choose = choose_and_hear
+    chooser.choose = choose_and_record
 
 
 class LeavingFleetTest(PlatformTestCase):
@@ -105,7 +106,7 @@
         async def scenario(deployment):
             leaving = upstreams_of(deployment)[0]
             leaving.says_it_leaves = True
-            # All routers have passed on an answer of it by the end of this.
+            # Every router has forwarded one of its answers by the end of this load.
             await press(deployment, ask, seconds=1.0)
             await asyncio.sleep(DRAIN_SECONDS)
             before = len(leaving.arrivals)
@@ -115,19 +116,19 @@
 
         self.with_platform(scenario, routers=ROUTERS)
 
-    def test_an_engine_that_says_so_in_an_answer_gets_nothing_new(self):
+    def test_an_engine_that_declares_leaving_gets_nothing_new(self):
         self.check(lambda deployment: deployment.engines, stream)
 
-    def test_a_plain_upstream_that_says_so_in_an_answer_gets_nothing_new(self):
+    def test_a_plain_upstream_that_declares_leaving_gets_nothing_new(self):
         self.check(lambda deployment: deployment.apps, plain)
 
-    def test_what_was_placed_before_the_word_is_not_sent_after_it(self):
+    def test_placed_requests_are_not_sent_to_a_leaving_upstream(self):
         for kind in ("engines", "apps"):
 
             async def scenario(deployment, kind=kind):
                 leaving = getattr(deployment, kind)[0]
                 for router in deployment.routers.values():
-                    hear_after_each_choice(router, leaving.id, LEAVING)
+                    record_after_each_choice(router, leaving.id, LEAVING)
                 ask = stream if kind == "engines" else plain
                 statuses = await press(deployment, ask, seconds=0.5)
                 self.assertEqual({200}, set(statuses))
@@ -135,14 +136,14 @@
 
             self.with_platform(scenario)
 
-    def came_of_a_stream_that_breaks_off(self, *, is_gate_asked=True):
-        """Return what came to an engine that leaves as a stream broke off elsewhere."""
+    def arrivals_after_a_broken_stream(self, *, is_gate_active=True):
+        """Return the arrivals at a leaving engine after a stream broke elsewhere."""
 
         async def scenario(deployment):
             stream_, busy, idle = await stream_at_one_engine(deployment)
             for router in deployment.routers.values():
-                hear_after_each_choice(router, idle.id, LEAVING)
-                if not is_gate_asked:
+                record_after_each_choice(router, idle.id, LEAVING)
+                if not is_gate_active:
                     gate = router.relay._sender._gate
                     self.patch(gate, "withheld_reason", lambda entry, **more: None)
             await busy.stop()
@@ -152,14 +153,14 @@
 
         return self.with_platform(scenario)
 
-    def test_a_stream_does_not_go_on_at_an_engine_that_leaves(self):
-        self.assertEqual([], self.came_of_a_stream_that_breaks_off())
+    def test_a_stream_is_not_resumed_at_a_leaving_engine(self):
+        self.assertEqual([], self.arrivals_after_a_broken_stream())
 
-    def test_without_the_gate_it_would(self):
-        arrivals = self.came_of_a_stream_that_breaks_off(is_gate_asked=False)
+    def test_without_the_gate_a_stream_is_resumed_at_a_leaving_engine(self):
+        arrivals = self.arrivals_after_a_broken_stream(is_gate_active=False)
         self.assertNotEqual([], arrivals)
 
-    def test_what_runs_there_goes_on_to_its_end(self):
+    def test_running_requests_of_a_leaving_engine_complete(self):
         async def scenario(deployment):
             stream_, busy, _ = await stream_at_one_engine(deployment)
             busy.says_it_leaves = True
@@ -170,7 +171,7 @@
 
         self.with_platform(scenario)
 
-    def test_a_router_that_starts_hears_of_it_from_the_others(self):
+    def test_a_restarted_router_learns_of_leaving_from_others(self):
         async def scenario(deployment):
             leaving = deployment.engines[0]
             leaving.says_it_leaves = True
--- a/tests/test_stated_limits.py
+++ b/tests/test_stated_limits.py
@@ -1,14 +1,14 @@
-"""Upstreams that name the rate that they take from all routers together.
+"""Upstreams that declare a rate limit for all routers together.
 
-Two engines named 1.1 and 1 requests a second as their limit in all their answers.
-Routers went on as before: within four seconds each got 12 requests and more from
-routers that had been told, where 12 and 11 are the most. The engines' arrivals did not
-change as they named their limit.
+Guards against routers that ignore the limit, or keep it each by itself. Two engines
+declared 1.1 and 1 requests a second in all their answers, but neither the router that
+forwarded an answer nor the one that places requests read its head. Within four seconds
+each engine got 12 requests and more from routers that had received the limit, where 12
+and 11 are the most, and its arrivals did not change when it declared the limit.
 
-No router read what the head of an answer states: not the one that had passed it on, and
-not the one that places. Four routers sent 89 requests in four seconds to an upstream
-that names 1 a second; with the limit read, but kept by each router for itself, the
-fuzzing below finds 14 where 11 are the most.
+Four routers sent 89 requests in four seconds to an upstream with a limit of 1 a second.
+If each router keeps the limit by itself, the fuzzing below finds 14 where 11 are the
+most.
 """
 
 import asyncio
@@ -42,9 +42,9 @@
 from tests.support import until
 
 ROUTERS = ("a-1", "a-2", "b-1", "b-2")
-# The promise: from so long after an upstream has first named its limit, it gets within
-# each span no more than so many times what that allows, and some on top.
-CONTACT_SECONDS = 3.0
+# The guarantee: from GRACE_SECONDS after an upstream first declares its limit, it
+# receives at most FACTOR times the limit plus EXTRA requests within any SPAN_SECONDS.
+GRACE_SECONDS = 3.0
 SPAN_SECONDS = 4.0
 FACTOR = 1.5
 EXTRA = 5
@@ -55,12 +55,12 @@
         raw = [(name.encode(), value.encode()) for name, value in headers]
         return STATEMENT_HEADERS.decode(status, Headers(raw))
 
-    def test_a_fraction_and_nothing_at_all_are_limits(self):
+    def test_a_fraction_and_zero_are_valid_limits(self):
         self.assertEqual(0.25, self.decode(("server-limit", "0.25")).limit)
         self.assertEqual(0.0, self.decode(("Server-Limit", "0")).limit)
         self.assertEqual(NOTHING_STATED, self.decode(("X-Other", "1")))
 
-    def test_odd_values_count_for_nothing_and_are_told(self):
+    def test_invalid_values_are_ignored_and_reported(self):
         for value in ("-1", "nan", "inf", "1e9", "", "two", "9" * 13, "\xb2"):
             found = self.decode(("Server-Limit", value))
             self.assertIsNone(found.limit, value)
@@ -71,7 +71,7 @@
         self.assertEqual(1, len(found.unreadable))
         self.assertFalse(self.decode(("Server-Leaving", "maybe")).is_leaving)
 
-    def test_huge_values_are_bounded_and_the_strictest_of_several_counts(self):
+    def test_large_values_are_clamped_and_the_strictest_counts(self):
         self.assertEqual(MAX_LIMIT, self.decode(("Server-Limit", "9" * 12)).limit)
         backoff = self.decode(("Retry-After", "9" * 12), status=503).backoff
         self.assertEqual(MAX_BACKOFF, backoff)
@@ -95,7 +95,7 @@
         record_answer(backpressure, Statement(limit), asked_at=0.9, now=1.0)
         return backpressure
 
-    def test_a_lower_limit_counts_at_once_and_a_higher_one_once_it_is_newer(self):
+    def test_a_lower_limit_applies_at_once_and_a_higher_one_if_newer(self):
         backpressure = self.backpressure()
         record_answer(backpressure, Statement(1.0), asked_at=0.1, now=1.1)
         self.assertEqual(1.0, backpressure.rate(1.1))
@@ -104,9 +104,7 @@
         record_answer(backpressure, Statement(4.0), asked_at=1.15, now=1.3)
         self.assertEqual(4.0, backpressure.rate(1.3))
 
-    def test_a_limit_ends_by_a_newer_answer_without_it_and_work_comes_back_by_steps(
-        self,
-    ):
+    def test_a_newer_answer_without_a_limit_ends_it_with_a_ramp(self):
         backpressure = self.backpressure()
         record_answer(backpressure, NOTHING_STATED, asked_at=0.5, now=1.5)
         self.assertEqual(2.0, backpressure.rate(1.5))
@@ -115,7 +113,7 @@
         self.assertEqual([2.0, 4.0, 8.0, 64.0], rates)
         self.assertIsNone(backpressure.rate(2.0 + RAMP_SECONDS))
 
-    def test_a_refusal_that_names_no_limit_ends_none(self):
+    def test_a_refusal_without_a_limit_does_not_end_it(self):
         backpressure = self.backpressure()
         backpressure.record_answer(
             Statement(backoff=1.0),
@@ -126,7 +124,7 @@
         )
         self.assertEqual(2.0, backpressure.rate(9.0))
 
-    def test_an_upstream_that_is_silent_about_its_limit_when_asked_is_tried_only(self):
+    def test_a_limit_missing_from_probe_answers_permits_trials_only(self):
         backpressure = self.backpressure(limit=0.0)
         backpressure.record_probe_answer(NOTHING_STATED, 2.0, 2000)
         self.assertEqual(0.0, backpressure.rate(2.0))
@@ -135,24 +133,24 @@
         backpressure.record_probe_answer(Statement(0.0), later, 4000)
         self.assertEqual(0.0, backpressure.rate(later + 9.0))
 
-    def test_what_others_have_heard_counts_where_it_is_newer(self):
+    def test_limits_from_other_routers_apply_if_newer(self):
         backpressure = self.backpressure()
 
-        def told(limit, heard_ms, now):
+        def record_peer(limit, heard_ms, now):
             clock_ms = int(now * 1000)
             return backpressure.record_peer_limit(
                 limit, heard_ms=heard_ms, now=now, clock_ms=clock_ms
             )
 
-        self.assertFalse(told(None, 900, 1.5))
-        self.assertTrue(told(None, 1400, 1.5))
-        self.assertFalse(told(5.0, 1300, 1.6))
-        self.assertFalse(told(5.0, 99_000, 1.6))
+        self.assertFalse(record_peer(None, 900, 1.5))
+        self.assertTrue(record_peer(None, 1400, 1.5))
+        self.assertFalse(record_peer(5.0, 1300, 1.6))
+        self.assertFalse(record_peer(5.0, 99_000, 1.6))
         self.assertEqual(2.0, backpressure.rate(1.5))
 
     def test_a_word_that_comes_back_is_not_newer(self):
-        # Two routers told one another of a limit of 0 again and again, each time a
-        # little later, and neither ever took it for uncertain.
+        # Two routers sent each other a limit of 0 again and again, each time with a
+        # slightly later time, so that neither ever considered it uncertain.
         backpressure = self.backpressure(limit=0.0)
         backpressure.record_probe_answer(NOTHING_STATED, 2.0, 2000)
         for later in range(10):
@@ -162,7 +160,7 @@
             )
         self.assertEqual(TRIAL_RATE, backpressure.rate(12.0))
 
-    def test_a_process_that_starts_again_is_not_throttled(self):
+    def test_a_restarted_process_is_not_throttled(self):
         directory = Directory()
         upstream = Upstream("e", "pool", "127.0.0.1:1", "a", started_ms=1)
         directory.put(upstream)
@@ -175,7 +173,7 @@
 
 
 class RankTest(testtools.TestCase):
-    def test_the_order_of_routers_follows_each_of_their_changes(self):
+    def test_router_ranks_follow_membership_changes(self):
         members = Members(Member("a", "x", "run", "127.0.0.1:1"))
         ranks = [members.own_rank("k")]
         for vm in "bcdefg":
@@ -195,10 +193,10 @@
 
 
 class LimitFuzzTest(testtools.TestCase):
-    def test_no_span_has_more_than_an_upstream_names(self):
+    def test_no_span_exceeds_the_limit(self):
         run(150, 30, machine=BackpressureMachine)
 
-    def test_the_fuzzing_finds_each_decision_that_is_broken(self):
+    def test_fuzzing_detects_each_mutant(self):
         self.patch(mutants, "EXAMPLES", 250)
         self.patch(mutants, "STEPS", 30)
         for mutant in backpressure_mutants.MUTANTS:
@@ -206,22 +204,22 @@
 
 
 class LimitSharingTest(testtools.TestCase):
-    """Fleets of 8 to 195 routers on a virtual clock, by way of sharing a limit."""
+    """Fleets of 8 to 195 routers on a virtual clock, for each sharing policy."""
 
-    def test_most_of_a_limit_is_used_where_routers_reach_one_another(self):
+    def test_most_of_a_limit_is_used_if_routers_are_connected(self):
         for fleet in FLEETS:
             if fleet.is_cut:
                 continue
             self.assertGreater(play(fleet, "counted").used, 0.7, fleet)
 
-    def test_no_way_of_sharing_passes_the_bound(self):
+    def test_no_sharing_policy_exceeds_the_bound(self):
         for fleet in FLEETS:
             most = FACTOR + EXTRA / (fleet.limit * SPAN_SECONDS)
-            for way in SHARINGS_BY_NAME:
-                self.assertLessEqual(play(fleet, way).most, most, (fleet, way))
+            for policy in SHARINGS_BY_NAME:
+                self.assertLessEqual(play(fleet, policy).most, most, (fleet, policy))
 
 
-def allowed(limit):
+def max_in_span(limit):
     return int(FACTOR * limit * SPAN_SECONDS + EXTRA)
 
 
@@ -229,21 +227,23 @@
     def with_routers(self, scenario, **more):
         return self.with_platform(scenario, routers=ROUTERS, **more)
 
-    def most_bound(self, limited, named_at):
+    def busiest_span(self, limited, limited_since):
         return most_within(
-            limited.taken.since(named_at + CONTACT_SECONDS), SPAN_SECONDS
+            limited.taken.since(limited_since + GRACE_SECONDS), SPAN_SECONDS
         )
 
     def check(self, upstreams_of, ask, limit=1.0):
         async def scenario(deployment):
             limited = upstreams_of(deployment)[0]
             limited.limit = limit
-            named_at = asyncio.get_running_loop().time()
+            limited_since = asyncio.get_running_loop().time()
             statuses = await press(deployment, ask, seconds=9.0)
             self.assertEqual({200}, set(statuses))
-            self.assertLessEqual(self.most_bound(limited, named_at), allowed(limit))
-            # It takes part as far as it can.
-            came = len(limited.taken.since(named_at + CONTACT_SECONDS))
+            self.assertLessEqual(
+                self.busiest_span(limited, limited_since), max_in_span(limit)
+            )
+            # It receives requests at half of its limit at least.
+            came = len(limited.taken.since(limited_since + GRACE_SECONDS))
             self.assertGreaterEqual(came, 6.0 * limit / 2)
 
         self.with_routers(scenario)
@@ -258,7 +258,7 @@
         async def scenario(deployment):
             limited = upstreams_of(deployment)[0]
             limited.limit = 1.0
-            named_at = asyncio.get_running_loop().time()
+            limited_since = asyncio.get_running_loop().time()
 
             async def unreachable(vm, message, **more):
                 raise PeerUnreachable(f"{vm} is cut off")
@@ -267,17 +267,19 @@
                 self.patch(router.peers, "ask", unreachable)
             statuses = await press(deployment, ask, seconds=9.0)
             self.assertEqual({200}, set(statuses))
-            self.assertLessEqual(self.most_bound(limited, named_at), allowed(1.0))
+            self.assertLessEqual(
+                self.busiest_span(limited, limited_since), max_in_span(1.0)
+            )
 
         self.with_routers(scenario)
 
-    def test_routers_that_reach_nobody_keep_to_it_together(self):
+    def test_isolated_routers_keep_an_engines_limit_together(self):
         self.check_cut_off(lambda deployment: deployment.engines, stream)
 
-    def test_routers_that_reach_nobody_keep_to_a_plain_upstreams_limit(self):
+    def test_isolated_routers_keep_a_plain_upstreams_limit_together(self):
         self.check_cut_off(lambda deployment: deployment.apps, plain)
 
-    def test_a_stream_does_not_go_on_at_an_engine_that_takes_nothing(self):
+    def test_a_stream_is_not_resumed_at_an_engine_with_limit_zero(self):
         async def scenario(deployment):
             for engine in deployment.engines:
                 engine.events, engine.event_delay = 30, 0.02
@@ -299,11 +301,11 @@
 
         self.with_routers(scenario)
 
-    def test_where_all_are_throttled_what_they_do_not_take_is_refused_at_once(self):
+    def test_if_all_are_throttled_excess_requests_are_refused_at_once(self):
         async def scenario(deployment):
             for engine in deployment.engines:
                 engine.limit = 0.25
-            named_at = asyncio.get_running_loop().time()
+            limited_since = asyncio.get_running_loop().time()
             await press(deployment, stream, seconds=4.0)
             caller = PlatformCaller(deployment)
             refused = []
@@ -320,14 +322,16 @@
                     "urn:lynxchute:problem:upstreams-throttled", problem["type"]
                 )
                 self.assertEqual("not_run", problem["run"])
-                # Two engines take one request in four seconds each.
+                # Two engines accept one request in four seconds each.
                 self.assertAlmostEqual(2.0, float(headers["retry-after"]), places=1)
             for engine in deployment.engines:
-                self.assertLessEqual(self.most_bound(engine, named_at), allowed(0.25))
+                self.assertLessEqual(
+                    self.busiest_span(engine, limited_since), max_in_span(0.25)
+                )
 
         self.with_routers(scenario)
 
-    def test_work_comes_back_after_a_limit_that_let_nothing_through(self):
+    def test_work_resumes_after_a_limit_of_zero(self):
         async def scenario(deployment):
             for engine in deployment.engines:
                 engine.limit = 0.0
@@ -337,14 +341,15 @@
             for engine, count in zip(deployment.engines, before, strict=True):
                 self.assertEqual(count, len(engine.arrivals))
                 engine.limit = None
-            # An engine that does not name it is tried, and an answer tells the end.
+            # An engine that does not repeat its limit gets trial requests, and an
+            # answer to one of them ends the limit.
             await press(deployment, stream, seconds=14.0)
             statuses = await press(deployment, stream, seconds=1.0)
             self.assertEqual({200}, set(statuses))
 
         self.with_routers(scenario)
 
-    def test_a_router_that_starts_hears_of_limits_from_the_others(self):
+    def test_a_restarted_router_learns_limits_from_others(self):
         async def scenario(deployment):
             limited = deployment.engines[0]
             limited.limit = 0.0
@@ -361,12 +366,12 @@
 
         self.with_routers(scenario)
 
-    def test_an_odd_limit_changes_nothing(self):
+    def test_an_invalid_limit_is_ignored(self):
         async def scenario(deployment):
-            odd = deployment.engines[0]
-            odd.limit = float("nan")
+            invalid = deployment.engines[0]
+            invalid.limit = float("nan")
             statuses = await press(deployment, stream, seconds=1.0)
             self.assertEqual({200}, set(statuses))
-            self.assertGreater(len(odd.arrivals), 10)
+            self.assertGreater(len(invalid.arrivals), 10)
 
         self.with_routers(scenario)
--- a/tests/test_uneven.py
+++ b/tests/test_uneven.py
@@ -1,4 +1,4 @@
-"""Work goes around upstreams that are slow, for good or for a moment."""
+"""Requests avoid upstreams that are slow, permanently or for a moment."""
 
 import asyncio
 import math
@@ -39,9 +39,9 @@
 from lynxchute.upstreams.upstream import Upstream
 from tests.support import no_limits_kept
 
-WAYS = (TwoTimescaleSpeeds, ChangeDetector)
+ESTIMATORS = (TwoTimescaleSpeeds, ChangeDetector)
 WORK = 0.045
-# What a clock or a configuration that is wrong may bring.
+# Values that a faulty clock or configuration may yield.
 ANY = st.one_of(
     st.floats(allow_nan=True, allow_infinity=True), st.sampled_from((0.0, -1.0, 0.02))
 )
@@ -58,17 +58,19 @@
 
 
 class SpeedsTest(testtools.TestCase):
-    def test_a_lasting_speed_is_known_within_ten_calls(self):
-        for way in WAYS:
+    def test_a_lasting_speed_is_learned_within_ten_calls(self):
+        for estimator in ESTIMATORS:
             for ratio in (0.7, 1.7):
-                speeds, rng = way(), random.Random(1)
+                speeds, rng = estimator(), random.Random(1)
                 for number in range(10):
                     seconds = WORK * ratio * rng.uniform(0.95, 1.05)
                     speeds.record("u", WORK, seconds, number * 0.2)
                 seen = speeds.slowness("u", 2.0)
-                self.assertTrue(abs(seen - ratio) < 0.1 * ratio, (way, ratio, seen))
+                self.assertTrue(
+                    abs(seen - ratio) < 0.1 * ratio, (estimator, ratio, seen)
+                )
 
-    def test_a_slow_moment_counts_at_once_and_has_passed_a_second_later(self):
+    def test_a_slow_call_counts_at_once_and_decays_within_a_second(self):
         speeds = TwoTimescaleSpeeds()
         for number in range(20):
             speeds.record("u", WORK, WORK, number * 0.1)
@@ -76,9 +78,9 @@
         self.assertGreater(speeds.slowness("u", 2.01), 1.8)
         self.assertLess(speeds.slowness("u", 3.0), 1.1)
 
-    def test_slow_moments_do_not_look_like_a_lasting_speed(self):
-        for way in WAYS:
-            speeds, rng = way(), random.Random(2)
+    def test_slow_periods_do_not_count_as_a_lasting_speed(self):
+        for estimator in ESTIMATORS:
+            speeds, rng = estimator(), random.Random(2)
             now, seen = 0.0, []
             for _ in range(300):
                 slow_until = now + 0.6 if rng.random() < 0.03 else 0.0
@@ -87,27 +89,27 @@
                     ratio = 2.5 if now < slow_until else 1.0
                     speeds.record("u", WORK, ratio * WORK, now)
                 seen.append(speeds.slowness("u", now + 1.5))
-            self.assertLess(sorted(seen)[int(0.9 * len(seen))], 1.3, way)
+            self.assertLess(sorted(seen)[int(0.9 * len(seen))], 1.3, estimator)
 
-    def test_an_upstream_that_nobody_sends_to_is_usual_again(self):
-        for way in WAYS:
-            speeds = way()
+    def test_slowness_decays_without_samples(self):
+        for estimator in ESTIMATORS:
+            speeds = estimator()
             for number in range(40):
                 speeds.record("u", WORK, 8 * WORK, number * 0.05)
             self.assertGreater(speeds.slowness("u", 2.0), 6)
-            self.assertLess(speeds.slowness("u", 30.0), 1.2, way)
+            self.assertLess(speeds.slowness("u", 30.0), 1.2, estimator)
             speeds.record("u", WORK, WORK, 30.0)
-            self.assertLess(speeds.slowness("u", 30.5), 1.2, way)
+            self.assertLess(speeds.slowness("u", 30.5), 1.2, estimator)
 
     @settings(max_examples=300, deadline=None)
     @given(
-        st.sampled_from(WAYS),
+        st.sampled_from(ESTIMATORS),
         st.lists(st.tuples(ANY, ANY, ANY), max_size=40),
         ANY,
     )
-    def test_it_is_always_positive_and_finite(self, way, notes, now):
-        speeds = way()
-        for typical_seconds, seconds, at in notes:
+    def test_slowness_is_always_positive_and_finite(self, estimator, samples, now):
+        speeds = estimator()
+        for typical_seconds, seconds, at in samples:
             speeds.record("u", typical_seconds, seconds, at)
             seen = speeds.slowness("u", at)
             self.assertTrue(MIN_SLOWNESS <= seen <= MAX_SLOWNESS, seen)
@@ -118,7 +120,7 @@
 
 
 class ServiceTimesTest(testtools.TestCase):
-    def test_what_is_usual_is_the_median_of_a_route_over_all_upstreams(self):
+    def test_median_latency_covers_a_route_at_all_upstreams(self):
         times = ServiceTimes(TwoTimescaleSpeeds())
         self.assertIsNone(times.median_latency("app", "look"))
         for number in range(30):
@@ -130,14 +132,14 @@
         self.assertAlmostEqual(3.0, times.speeds.slowness("c", 2.9), 1)
         self.assertEqual(3 * WORK, times.latency_quantile("c", 0.95))
 
-    def test_a_call_broken_off_early_tells_nothing_and_a_late_one_does(self):
+    def test_an_aborted_call_counts_only_if_it_was_late(self):
         times = ServiceTimes(TwoTimescaleSpeeds())
         times.record_abort("a", WORK, 0.5 * WORK, 1.0)
         self.assertEqual(1.0, times.speeds.slowness("a", 1.0))
         times.record_abort("a", WORK, 5 * WORK, 1.0)
         self.assertGreater(times.speeds.slowness("a", 1.0), 2)
 
-    def test_bad_times_are_not_taken_and_few_routes_are_kept(self):
+    def test_invalid_times_are_ignored_and_routes_are_bounded(self):
         times = ServiceTimes(TwoTimescaleSpeeds())
         for seconds in (math.nan, math.inf, -1.0):
             times.record("app", "look", "a", seconds, 1.0)
@@ -148,7 +150,7 @@
         self.assertIsNone(times.median_latency("app", "r0"))
         self.assertGreater(times.median_latency("app", f"r{MAX_ROUTES + 49}"), 0)
 
-    def test_what_was_learned_goes_with_the_process(self):
+    def test_samples_are_discarded_with_the_process(self):
         times = ServiceTimes(TwoTimescaleSpeeds())
         for _ in range(30):
             times.record("app", "look", "a", WORK, 1.0)
@@ -162,26 +164,26 @@
 class WeightsTest(testtools.TestCase):
     @settings(max_examples=500, deadline=None)
     @given(st.lists(STATES, min_size=1, max_size=8))
-    def test_each_gets_some_and_none_gets_all(self, states):
+    def test_every_weight_is_positive_and_they_add_up_to_one(self, states):
         parts = weights(states)
         self.assertAlmostEqual(1.0, sum(parts))
         for part in parts:
             self.assertTrue(math.isfinite(part) and part > 0, parts)
 
-    def test_a_slow_a_full_and_a_failing_one_get_less(self):
-        median_latency = UpstreamState(slots=6)
+    def test_slow_full_and_failing_upstreams_get_less(self):
+        usual = UpstreamState(slots=6)
         for worse in (
             UpstreamState(slots=6, slowness=2.5),
             UpstreamState(slots=6, overdue=2.5),
             UpstreamState(slots=6, open_requests=6),
             UpstreamState(slots=6, lost_share=0.5),
         ):
-            part = weights([median_latency, worse])[1]
+            part = weights([usual, worse])[1]
             self.assertLess(part, 0.05, worse)
-        far = weights([median_latency, UpstreamState(slots=6, is_far=True)])[1]
+        far = weights([usual, UpstreamState(slots=6, is_far=True)])[1]
         self.assertTrue(0.02 < far < 0.1, far)
 
-    def test_a_far_one_gets_more_than_a_near_one_that_is_slow(self):
+    def test_a_far_upstream_gets_more_than_a_slow_near_one(self):
         near = UpstreamState(slots=6, slowness=2.5)
         self.assertGreater(weights([near, UpstreamState(slots=6, is_far=True)])[1], 0.9)
 
@@ -206,7 +208,7 @@
 
 
 class Fleet:
-    """One router's view of three upstreams of six places, one of them near."""
+    """One router's view of three upstreams with six slots, one of them near."""
 
     def __init__(self, **features):
         self.clock, self.directory = Clock(), Directory()
@@ -251,17 +253,17 @@
 
 
 class ExpectedFinishTest(testtools.TestCase):
-    def test_without_the_feature_open_requests_decide(self):
+    def test_without_learned_speeds_open_requests_decide(self):
         self.assertIsInstance(Fleet(hedging=True).calls.placement, LeastOpen)
         self.assertIsNone(Fleet(fair_shares=True).calls.times)
         self.assertIsInstance(Fleet().calls.placement, ExpectedFinish)
 
-    def test_the_near_one_gets_most_and_each_gets_some(self):
+    def test_the_near_upstream_gets_most_and_each_gets_some(self):
         found = Fleet().chosen()
         self.assertGreater(found["a"], 150)
         self.assertGreater(min(found.values()), 3)
 
-    def test_one_that_lets_a_call_wait_is_avoided_before_its_answer(self):
+    def test_an_upstream_with_an_overdue_call_is_avoided(self):
         fleet = Fleet()
         fleet.serve("a")
         send = fleet.open("a", sent_ago=0.1)
@@ -269,7 +271,7 @@
         fleet.entry("a").open_sends.discard(send)
         self.assertGreater(fleet.chosen()["a"], 120)
 
-    def test_work_comes_back_when_a_slow_moment_has_passed(self):
+    def test_work_returns_after_a_slow_period(self):
         fleet = Fleet()
         for name in "abc":
             fleet.serve(name)
@@ -280,7 +282,7 @@
         fleet.clock.now += 0.6
         self.assertGreater(fleet.chosen()["a"], 150)
 
-    def test_lasting_speeds_divide_the_work(self):
+    def test_work_is_divided_by_lasting_speeds(self):
         fleet = Fleet()
         for _ in range(10):
             fleet.serve("a", 1.7, count=1)
@@ -290,7 +292,7 @@
         self.assertGreater(found["c"], found["b"])
         self.assertGreater(found["b"], found["a"])
 
-    def test_the_fast_one_dies_and_what_it_was_is_forgotten(self):
+    def test_the_speed_of_a_restarted_upstream_is_discarded(self):
         fleet = Fleet()
         for _ in range(10):
             fleet.serve("b", 1.0, count=2)
@@ -304,7 +306,7 @@
             fleet.entry("a").health.record(SendOutcome.UNREACHED, fleet.clock.now)
         self.assertLess(fleet.chosen()["a"], 60)
 
-    def test_one_that_declined_for_seconds_gets_its_part_again(self):
+    def test_an_upstream_that_declined_for_seconds_recovers(self):
         fleet = Fleet()
         before = fleet.chosen()["a"]
         for number in range(50):
@@ -314,7 +316,7 @@
         fleet.clock.now += 5.0
         self.assertGreater(fleet.chosen()["a"], 0.8 * before)
 
-    def test_many_routers_that_see_the_same_do_not_go_one_way(self):
+    def test_routers_with_equal_state_spread_their_calls(self):
         found = dict.fromkeys("abc", 0)
         for seed in range(60):
             fleet = Fleet()
@@ -329,12 +331,13 @@
 
 
 ENGINE_SHAPE = Candidate("e", 64, 400_000, is_far=False)
-# What an engine of usual speed reads in a millisecond, and takes for a token.
+# Prompt tokens that an engine of usual speed reads in a millisecond, and its time for
+# one output token.
 TOKENS_PER_MS, TOKEN_SECONDS = 90.0, 0.02
 
 
 class EngineSpeedTest(testtools.TestCase):
-    """Engines of 0.7 and 1.7 times the usual speed, and slow moments of them."""
+    """Engines of 0.7 and 1.7 times the usual speed, with slow periods."""
 
     def setUp(self):
         super().setUp()
@@ -343,7 +346,7 @@
         self.count = 0
 
     def run_alone(self, name, speed, prompt=8_000, answer=100):
-        """Serve one request at an engine that has nothing else to do."""
+        """Serve one request at an otherwise idle engine."""
         self.count += 1
         run_id = f"r{self.count}"
         generation = Generation("m", prompt, answer, (), expected_output_tokens=answer)
@@ -361,7 +364,7 @@
     def state(self, name):
         return self.board.engines_by_id[name]
 
-    def test_a_speed_is_known_within_ten_requests_by_reading_and_by_token(self):
+    def test_prompt_and_token_speeds_are_learned_within_ten_requests(self):
         for name, speed in (("slow", 0.7), ("fast", 1.7)):
             for _ in range(10):
                 self.run_alone(name, speed)
@@ -370,16 +373,16 @@
             told = self.state(name).seconds_per_token * speed
             self.assertTrue(abs(told - TOKEN_SECONDS) < 0.12 * TOKEN_SECONDS, told)
 
-    def test_a_slow_moment_fades_and_a_lasting_speed_does_not(self):
+    def test_a_slow_period_decays_and_a_lasting_speed_does_not(self):
         for _ in range(30):
             self.run_alone("e", 1.0)
-        median_latency = self.state("e").slowness_now(self.now)
+        usual = self.state("e").slowness_now(self.now)
         for _ in range(3):
             self.run_alone("e", 0.4, answer=1)
         slow = self.state("e").slowness_now(self.now)
-        self.assertGreater(slow, 1.4 * median_latency)
+        self.assertGreater(slow, 1.4 * usual)
         later = self.state("e").slowness_now(self.now + 4.0)
-        self.assertLess(later, 1.25 * median_latency)
+        self.assertLess(later, 1.25 * usual)
         for _ in range(40):
             self.run_alone("e", 0.4, answer=1)
         expected, took = self.run_alone("e", 0.4)
@@ -388,7 +391,7 @@
         expected, took = self.run_alone("e", 0.4)
         self.assertTrue(abs(expected - took) < 0.2 * took, (expected, took))
 
-    def test_a_new_engine_is_taken_for_one_like_the_others(self):
+    def test_a_new_engine_starts_with_the_speed_of_the_others(self):
         for name in "abc":
             for _ in range(10):
                 self.run_alone(name, 1.0)
@@ -398,7 +401,7 @@
         expected, took = self.run_alone("a", 1.0)
         self.assertTrue(abs(expected - took) < 0.2 * took, (expected, took))
 
-    def test_without_the_feature_the_last_first_events_count_until_the_next(self):
+    def test_without_learned_speeds_estimates_do_not_decay(self):
         self.board = EngineBoard()
         for _ in range(10):
             self.run_alone("e", 1.0)
@@ -409,7 +412,7 @@
 
     @settings(max_examples=200, deadline=None)
     @given(st.lists(st.tuples(st.integers(0, 30_000), ANY, ANY), max_size=30))
-    def test_bad_times_leave_expectations_finite(self, runs):
+    def test_invalid_times_leave_estimates_finite(self, runs):
         board = EngineBoard(tracks_transients=True)
         for number, (prompt, took_ms, at) in enumerate(runs):
             now = at if math.isfinite(at) else 1.0
@@ -426,7 +429,7 @@
 
 
 class NoiseTest(testtools.TestCase):
-    def test_engines_are_slow_for_the_share_that_is_asked_for(self):
+    def test_engines_are_slow_for_the_configured_share(self):
         noise = Noise(share=0.15, times=2.5, seconds=0.6)
         spans = noise.spans(10_000.0, random.Random(1))
         slow = sum(end - begin for begin, end in spans)
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams that misbehave, callers that leave, and limits."""
+"""Faulty upstreams, callers that disconnect, and limits."""
 
 import asyncio
 import json
@@ -28,12 +28,12 @@
     return list(deployment.engines_by_name.values())
 
 
-def done(deployment):
+def completed_tokens(deployment):
     return sum(run["completion_tokens"] for run in engine_runs(deployment))
 
 
 class UpstreamsTest(AsyncTestCase):
-    def test_an_answer_to_another_request_is_never_passed_on(self):
+    def test_an_answer_to_another_request_is_never_forwarded(self):
         async def scenario(deployment):
             async def wrong(request, respond):
                 answer = {"choices": [], "usage": {"total_tokens": 3}}
@@ -49,24 +49,24 @@
 
         with_deployment(self, scenario)
 
-    def test_a_caller_that_leaves_frees_the_engine_and_pays_what_was_delivered(self):
+    def test_a_caller_that_disconnects_frees_the_engine_and_pays_for_delivery(self):
         async def scenario(deployment):
             caller = Caller(deployment, "kyu-a-1")
             stream = asyncio.create_task(caller.ask(question(stream=True)))
-            await until(lambda: done(deployment) > 5)
+            await until(lambda: completed_tokens(deployment) > 5)
             stream.cancel()
             await asyncio.gather(stream, return_exceptions=True)
             await until(lambda: engine_runs(deployment)[0]["state"] == "cancelled")
             (run,) = engine_runs(deployment)
             await until(lambda: not open_reservations(deployment))
             counted = counted_by_account(deployment)["kanda"]
-            # The prompt counts at its bound where no usage was told.
+            # Without a usage report the prompt counts at its upper bound.
             self.assertGreaterEqual(counted, run["total_tokens"])
             self.assertLess(run["completion_tokens"], 60)
 
         with_deployment(self, scenario, token_delay=0.05)
 
-    def test_an_engine_that_is_down_says_not_run_and_when_to_come_back(self):
+    def test_an_engine_outage_yields_not_run_and_a_retry_time(self):
         async def scenario(deployment):
             for engine in engines(deployment):
                 engine.faults.outage = True
@@ -80,11 +80,11 @@
 
         with_deployment(self, scenario)
 
-    def test_one_account_cannot_take_every_place(self):
+    def test_one_account_cannot_occupy_every_slot(self):
         async def scenario(deployment):
             caller = Caller(deployment, "kyu-a-1")
             first = asyncio.create_task(caller.ask(question(stream=True)))
-            await until(lambda: done(deployment))
+            await until(lambda: completed_tokens(deployment))
             status, headers, body = await caller.ask(question("second"))
             self.assertEqual((429, "not_run"), (status, json.loads(body)["run"]))
             self.assertIn("retry-after", headers)
@@ -106,7 +106,7 @@
 
 
 class ExchangeTest(AsyncTestCase):
-    def test_only_an_unsent_request_is_said_to_be_unsent(self):
+    def test_only_an_unsent_request_is_reported_as_unsent(self):
         async def work():
             nowhere = HttpClient("127.0.0.1:1", timeouts=Timeouts(connect=0.5))
             with self.assertRaises(ExchangeFailed) as caught:
@@ -126,7 +126,7 @@
 
         self.run_async(work())
 
-    def test_an_unfinished_connection_is_not_used_again(self):
+    def test_an_unfinished_connection_is_not_reused(self):
         async def work():
             async def slow(request, respond):
                 await respond.start(200, [("Transfer-Encoding", "chunked")])
@@ -149,7 +149,7 @@
 
         self.run_async(work())
 
-    def test_a_silent_answer_is_given_up(self):
+    def test_a_stalled_answer_times_out(self):
         async def work():
             async def stuck(request, respond):
                 await respond.start(200, [("Transfer-Encoding", "chunked")])
@@ -167,7 +167,7 @@
 
         self.run_async(work())
 
-    def test_a_sender_that_stops_within_its_request_is_refused(self):
+    def test_an_incomplete_request_is_refused_after_a_timeout(self):
         async def work():
             async def never(request, respond):
                 self.fail("nothing whole was sent")
--- a/tests/words_machine.py
+++ b/tests/words_machine.py
@@ -1,4 +1,4 @@
-"""One router, one upstream, and what the upstream says of backoff and of leaving."""
+"""Stateful fuzzing of one router and one upstream that asks for backoff and leaves."""
 
 import attrs
 from hypothesis import strategies as st
@@ -16,7 +16,7 @@
 
 
 class WordsMachine(RuleBasedStateMachine):
-    """Check that nothing is sent within a backoff, or to a process that leaves."""
+    """Check that nothing is sent during a backoff or to a leaving process."""
 
     def __init__(self):
         super().__init__()
@@ -24,7 +24,7 @@
         self.started_ms = 1
         self.backoff_until = 0.0
         self.is_leaving = False
-        self.wrong = []
+        self.violations = []
         self.directory = Directory()
         self.directory.put(ENGINE, self.now)
         self.gate = SendGate(Evacuations(), lambda name: ColdLimits(), no_limits_kept())
@@ -39,12 +39,13 @@
 
     @rule(
         backoff=st.sampled_from((0.0, 0.0, 0.3, 2.0)),
-        # Whatever leaves gets nothing, so that its backoff shows no more.
+        # A leaving upstream receives nothing, so that its backoff has no effect any
+        # more.
         is_leaving=st.sampled_from((False,) * 7 + (True,)),
         asked=st.sampled_from((0.0, 0.5, 3.0)),
     )
     def answer(self, backoff, is_leaving, asked):
-        """Bring an answer to a request that was sent a while ago."""
+        """Deliver an answer to a request that was sent a while ago."""
         statement = Statement(backoff=backoff, is_leaving=is_leaving)
         self.directory.record_statement(
             self.entry, statement, asked_at=self.now - asked, now=self.now
@@ -56,8 +57,8 @@
         backoffs=st.lists(st.sampled_from((0.0, 0.3, 2.0)), min_size=1, max_size=3),
         then=st.sampled_from((0.1, 0.4, 1.9, 2.1)),
     )
-    def turn_away(self, backoffs, then):
-        """Turn several requests away at once, and have one more sent a little later."""
+    def refuse_several(self, backoffs, then):
+        """Refuse several requests at once, and send one more a little later."""
         for backoff in backoffs:
             self.answer(backoff, False, 0.1)
         self.advance(then)
@@ -69,22 +70,22 @@
 
     @rule(slots=st.integers(1, 3))
     def put_entry(self, slots):
-        """Bring an entry of the store that says ready."""
+        """Deliver an entry of the store that reports the upstream as ready."""
         entry = attrs.evolve(ENGINE, started_ms=self.started_ms, slots=slots)
         self.directory.put(entry, self.now)
 
     @rule()
-    def lapse(self):
-        """Have the entry vanish and come back."""
+    def remove_and_restore_entry(self):
+        """Remove the upstream's entry, send a request and restore the entry."""
         self.directory.remove("e", self.now, expires_at=self.now + 9.0)
         self.send()
         self.put_entry(1)
 
-    @rule(is_told_by_entry=st.booleans())
-    def start_again(self, is_told_by_entry):
-        """Let another process have the upstream's id; it has said nothing yet."""
+    @rule(is_reported_by_entry=st.booleans())
+    def restart(self, is_reported_by_entry):
+        """Replace the process behind the upstream's id; it has declared nothing yet."""
         self.started_ms += 1
-        if is_told_by_entry:
+        if is_reported_by_entry:
             self.put_entry(1)
         else:
             self.directory.record_start(self.entry, self.started_ms, self.now)
@@ -92,14 +93,16 @@
 
     @rule()
     def send(self):
-        """Send a request that was placed before anything was said."""
+        """Send a request that was placed before anything was declared."""
         withheld = self.gate.withheld_reason(self.entry, permit_until=0.0, now=self.now)
-        must_not = self.is_leaving or self.now < self.backoff_until
-        if withheld is None and must_not:
-            self.wrong.append(self.now)
-        if withheld is not None and not must_not:
-            self.wrong.append(-self.now)
+        is_forbidden = self.is_leaving or self.now < self.backoff_until
+        if withheld is None and is_forbidden:
+            self.violations.append(self.now)
+        if withheld is not None and not is_forbidden:
+            self.violations.append(-self.now)
 
     @invariant()
-    def nothing_unwanted_is_sent_and_nothing_wanted_held_back(self):
-        assert not self.wrong, f"unwanted or held back for nothing: {self.wrong}"
+    def sends_match_the_declared_state(self):
+        assert not self.violations, (
+            f"sent although forbidden or withheld without a reason: {self.violations}"
+        )
