--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -119,10 +119,10 @@
             router = deployment.routers["a-1"]
             window = router.settings.bounds.retry_window
             loop = asyncio.get_running_loop()
-            while router.retries.take("pool", loop.time()):
+            while router.retries.spend("pool", loop.time()):
                 continue
             self.clocks.suspend(window)
-            return router.retries.take("pool", loop.time())
+            return router.retries.spend("pool", loop.time())
 
         self.assertTrue(self.with_platform(scenario))
 
