--- a/lynxchute/bench/emulator/policies.py
+++ b/lynxchute/bench/emulator/policies.py
@@ -202,21 +202,21 @@
 
     def begun(self, run_id: str, engine: int, now: float, took_ms: float) -> None:
         """Note the first event of a request, which came so long after the send."""
-        self.board.begun(str(engine), run_id, now, took_ms=took_ms)
+        self.board.record_first_event(str(engine), run_id, now, took_ms=took_ms)
 
     def paused(self, run_id: str, engine: int, now: float) -> None:
         """Note that a stream has paused for longer than is on time."""
-        self.board.paused(str(engine), run_id, now)
+        self.board.record_pause(str(engine), run_id, now)
 
     def ended(self, run_id: str, engine: int, now: float) -> None:
         """Note the end of a request."""
         super().ended(run_id, engine, now)
-        self.board.ended(str(engine), run_id, now)
+        self.board.record_end(str(engine), run_id, now)
 
     def failed(self, run_id: str, engine: int, now: float) -> None:
         """Note that a request broke."""
         super().failed(run_id, engine, now)
-        self.board.failed(str(engine), run_id, now)
+        self.board.record_failure(str(engine), run_id, now)
 
 
 class WeightedBoard(Board):
--- a/lynxchute/scheduling/__init__.py
+++ b/lynxchute/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Place generations on engines, with what all routers have sent there in view."""
+"""Place generations on engines by the load that the whole fleet puts on them."""
--- a/lynxchute/scheduling/alone.py
+++ b/lynxchute/scheduling/alone.py
@@ -1,8 +1,8 @@
-"""Place generations where no router that schedules for the fleet can be reached.
+"""Choose engines when the scheduling router is unavailable.
 
-Answers loads in a cut, or where the scheduling router dies, freezes or is too slow.
-What a router alone knows of the engines' load is what it sends them itself, and what
-they say of themselves: that is no reason to send a caller away.
+Used during a network partition, and when the scheduling router has crashed, hangs or is
+too slow. The router then knows only its own open requests and the load that engines
+report. Not knowing the rest of the load is no reason to refuse a request.
 """
 
 from __future__ import annotations
@@ -12,52 +12,52 @@
 
 from lynxchute.upstreams.entry import Entry
 
-# Engines that are compared for each request: with two at random nobody's favourite
-# gets what all routers send, and busy ones are passed over all the same.
-COMPARED = 2
-# Share of an engine's places that one router alone fills: others may do likewise, but
-# one of them may well have half of all callers.
-OWN_SHARE = 0.5
-# Engines whose taken share of their places differs by less than this are alike, and
-# what they keep of the prompt decides.
-LIKE_SHARE = 0.05
-# One that has few places gets so many at least.
-LEAST_OWN = 2
+# Engines compared for each request. Two random choices keep several routers from
+# sending everything to the same engine, and still avoid busy engines.
+SAMPLE_SIZE = 2
+# Share of an engine's slots that one router may fill without coordination: other
+# routers may do the same, but one router may well have half of all callers.
+LOCAL_SHARE = 0.5
+# Engines whose loads differ by less than this count as equal; their cached prompt parts
+# then decide.
+LOAD_TOLERANCE = 0.05
+# Minimum number of requests per engine, for engines with few slots.
+MIN_LOCAL_REQUESTS = 2
 
 
-def most_own(slots: int) -> int:
-    """Return the open requests that one router alone may have at an engine.
+def max_local_requests(slots: int) -> int:
+    """Return how many open requests an uncoordinated router may have at an engine.
 
     Examples
     --------
-    >>> most_own(48), most_own(1)
+    >>> max_local_requests(48), max_local_requests(1)
     (24, 2)
     """
-    return max(int(slots * OWN_SHARE), LEAST_OWN)
+    return max(int(slots * LOCAL_SHARE), MIN_LOCAL_REQUESTS)
 
 
-def two_at_random(candidates: Iterable[Entry], rng: random.Random) -> list[Entry]:
-    """Return engines to compare, which this router has not filled by itself.
+def sample_candidates(candidates: Iterable[Entry], rng: random.Random) -> list[Entry]:
+    """Return random engines on which this router has not used up its share.
 
-    There is none where it has filled all. Those that fare badly are taken only where
-    there is no other one.
+    The list is empty if it has used up its share of all engines. Engines whose latest
+    request had a bad outcome are used only if there is no other one.
     """
     free = []
     for entry in candidates:
-        if entry.open_requests < most_own(entry.upstream.slots):
+        if entry.open_requests < max_local_requests(entry.upstream.slots):
             free.append(entry)
-    well = [entry for entry in free if not entry.health.bad_in_row]
-    chosen = well or free
-    return rng.sample(chosen, min(COMPARED, len(chosen)))
+    healthy = [entry for entry in free if not entry.health.bad_in_row]
+    pool = healthy or free
+    return rng.sample(pool, min(SAMPLE_SIZE, len(pool)))
 
 
-def with_most_room(entries: Sequence[Entry], now: float) -> list[Entry]:
-    """Return the engines with most room, by what they say and what is open here."""
-    least = min((_use(entry, now) for entry in entries), default=0.0)
-    return [entry for entry in entries if _use(entry, now) <= least + LIKE_SHARE]
+def least_loaded(entries: Sequence[Entry], now: float) -> list[Entry]:
+    """Return the engines with the lowest load, by their reports and local requests."""
+    least = min((_load(entry, now) for entry in entries), default=0.0)
+    return [entry for entry in entries if _load(entry, now) <= least + LOAD_TOLERANCE]
 
 
-def _use(entry: Entry, now: float) -> float:
-    """Return the share of an engine's places that is taken, as far as is known."""
+def _load(entry: Entry, now: float) -> float:
+    """Return the known share of an engine's slots in use."""
     own = entry.open_requests / max(entry.upstream.slots, 1)
     return max(own, entry.reported_load(now))
--- a/lynxchute/scheduling/asking.py
+++ b/lynxchute/scheduling/asking.py
@@ -1,4 +1,4 @@
-"""Ask other routers where a generation should go."""
+"""Request placements of generations from the scheduling router."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     known_backpressure,
     merge_backpressure,
 )
-from lynxchute.scheduling.news import NewsOfRuns
+from lynxchute.scheduling.news import RunNewsSender
 from lynxchute.scheduling.place_requests import scheduling_key
 from lynxchute.telemetry import log_event
 from lynxchute.upstreams.aims import Aims
@@ -24,20 +24,21 @@
 from lynxchute.upstreams.neighbourhood import Neighbourhood
 from lynxchute.upstreams.send_gate import SendGate
 
-# Seconds that a request waits for a place; a router within the region answers
-# in a few ms.
-ASK_SECONDS = 0.1
-# Routers that are asked for a request that waits for its turn, before this one places
-# it by itself: what has waited finds the next router within 0.3 s. One that has just
-# come may be in time yet, and what is slow may well be this VM's own link.
-ASKED_ROUTERS = 2
-# Seconds for which the question of another router shows that this one schedules for
-# others too.
-ASKED_SECONDS = 1.0
+# Timeout in seconds of a placement query; a router in the same region answers in a
+# few ms.
+QUERY_TIMEOUT_SECONDS = 0.1
+# Routers queried for a request that has been queued, before this router places it
+# locally: a queued request finds the next scheduling router within 0.3 s. A new request
+# is sent to one router only: it may still be answered on time, and the slow part may be
+# this VM's own link.
+MAX_QUERIED_ROUTERS = 2
+# Seconds for which a query from another router is evidence that this router schedules
+# for others.
+RECENT_QUERY_SECONDS = 1.0
 
 
-class Asking:
-    """Ask the routers that schedule a service's engines, one after the other.
+class PlacementClient:
+    """Query the routers that schedule a service's engines, one after the other.
 
     Parameters
     ----------
@@ -46,22 +47,22 @@
     directory
         The upstreams.
     neighbourhood
-        Says which engines are looked at for a request.
+        Returns the engines considered for a request.
     gate
-        Tells which upstreams get nothing new.
-    news
-        Tells routers of runs that they have placed in vain.
+        Decides which upstreams may not receive new requests.
+    news_sender
+        Tells routers which of their placements were not used.
     meter
-        Tells how long questions wait for the VM's link.
+        Estimates how long messages wait for the VM's network link.
     clock
-        Seconds on the steady clock.
+        Returns monotonic time in seconds.
     may_wait
-        Whether requests wait where engines are full.
+        Whether requests are queued when all engines are full.
 
     Attributes
     ----------
-    asked_at
-        When another router last asked this one for a place, in seconds.
+    last_queried_at
+        Time of the last placement query from another router, in seconds.
     """
 
     def __init__(
@@ -71,54 +72,55 @@
         directory: Directory,
         neighbourhood: Neighbourhood,
         gate: SendGate,
-        news: NewsOfRuns,
+        news_sender: RunNewsSender,
         meter: LinkMeter,
         clock: Callable[[], float],
         *,
         may_wait: bool,
     ) -> None:
-        self.asked_at = -math.inf
+        self.last_queried_at = -math.inf
         self._members = members
         self._peers = peers
         self._directory = directory
         self._neighbourhood = neighbourhood
         self._gate = gate
-        self._news = news
+        self._news_sender = news_sender
         self._meter = meter
         self._clock = clock
         self._may_wait = may_wait
 
-    async def ask(
+    async def query(
         self, request: PlaceRequest, *, has_waited: bool
     ) -> tuple[str, PlaceReply | None]:
-        """Return the VM that schedules and what it says; None where that is this one.
+        """Return the scheduling VM and its reply.
 
-        None as well where no router answers in time.
+        The reply is None if this router schedules the service itself, or if no router
+        answers in time.
 
         Parameters
         ----------
         has_waited
-            Whether another router has let the request wait for its turn.
+            Whether the scheduling router has queued the request before.
         """
         own, key = self._members.own.vm, scheduling_key(request.service)
-        for _ in range(ASKED_ROUTERS if has_waited else 1):
+        for _ in range(MAX_QUERIED_ROUTERS if has_waited else 1):
             vm = self._members.first_for(key)
             if vm == own:
                 break
-            reply = await self._ask(vm, request)
+            reply = await self._query(vm, request)
             if reply is not None:
                 return vm, reply
         return own, None
 
-    def schedules_for_others(self, service: str) -> bool:
-        """Return whether this router knows what others send to a service's engines."""
+    def is_scheduling_for_others(self, service: str) -> bool:
+        """Return whether this router knows the load that others put on a service."""
         key = scheduling_key(service)
         if self._members.first_for(key) != self._members.own.vm:
             return False
-        is_asked = self._clock() - self.asked_at < ASKED_SECONDS
-        return is_asked or self._members.own_rank(key) == 0
+        is_recent = self._clock() - self.last_queried_at < RECENT_QUERY_SECONDS
+        return is_recent or self._members.own_rank(key) == 0
 
-    def request(
+    def build_request(
         self,
         run_id: str,
         service: str,
@@ -126,13 +128,13 @@
         by_id: dict[str, Entry],
         aims: Aims,
     ) -> PlaceRequest:
-        """Return the question where a generation should go."""
+        """Return the placement query for a generation."""
         key = generation.affinity_key(run_id)
         return PlaceRequest(
             run_id=run_id,
             service=service,
             data_centre=self._members.own.data_centre,
-            passed_over=tuple(self._passed_over(service, key, by_id)),
+            passed_over=tuple(self._excluded_ids(service, key, by_id)),
             prompt_tokens=generation.prompt_tokens,
             output_tokens=generation.max_output_tokens,
             parts=tuple((part.id, part.tokens) for part in generation.parts),
@@ -146,7 +148,7 @@
         )
 
     def _own_turns(self, service: str, by_id: dict[str, Entry]) -> tuple[str, ...]:
-        """Return the throttled candidates to which this router may send by itself."""
+        """Return the throttled candidates that this router may use by its own quota."""
         now, found = self._clock(), []
         for entry in self._directory.throttled(service, now):
             upstream_id = entry.upstream.id
@@ -154,34 +156,34 @@
                 found.append(upstream_id)
         return tuple(found)
 
-    async def _ask(self, vm: str, request: PlaceRequest) -> PlaceReply | None:
-        """Return a router's answer; None where there was none in time."""
-        # Where no answer comes in time it may have placed the run all the same.
+    async def _query(self, vm: str, request: PlaceRequest) -> PlaceReply | None:
+        """Return a router's reply, or None if it does not answer in time."""
+        # A router whose reply is late or lost may still have placed the run.
         unplaced = [RunNews(request.run_id, "", RunStage.UNPLACED)]
         try:
-            async with asyncio.timeout(ASK_SECONDS + self._meter.delay()):
+            async with asyncio.timeout(QUERY_TIMEOUT_SECONDS + self._meter.delay()):
                 reply = await self._peers.ask(vm, request)
         except PeerUnreachable:
-            self._news.post(vm, unplaced)
+            self._news_sender.enqueue(vm, unplaced)
             return None
         except asyncio.CancelledError:
-            self._news.post(vm, unplaced)
+            self._news_sender.enqueue(vm, unplaced)
             raise
         except TimeoutError:
-            self._news.post(vm, unplaced)
+            self._news_sender.enqueue(vm, unplaced)
             self._members.note_silence(vm, self._clock())
             log_event("scheduling router too slow", peer=vm, request_id=request.run_id)
             return None
         merge_backpressure(self._directory, reply.backpressure, self._clock())
         return reply
 
-    def _passed_over(
+    def _excluded_ids(
         self, service: str, key: str, by_id: dict[str, Entry]
     ) -> list[str]:
-        """Return the engines that are looked at and not among the candidates."""
+        """Return the engines that would be considered but are not candidates here."""
         found = []
         for entry in self._neighbourhood.entries(service, key, self._clock()):
-            # The scheduling router knows by itself what is evacuated.
+            # The scheduling router checks evacuations itself.
             if entry.upstream.id not in by_id and not self._gate.is_evacuated(
                 entry.upstream
             ):
--- a/lynxchute/scheduling/backpressure_news.py
+++ b/lynxchute/scheduling/backpressure_news.py
@@ -1,4 +1,7 @@
-"""What routers tell one another, beside other questions, of throttled upstreams."""
+"""Exchange the rate limits of throttled upstreams between routers.
+
+The reports are attached to other messages.
+"""
 
 from __future__ import annotations
 
@@ -8,17 +11,17 @@
 from lynxchute.telemetry import log_event
 from lynxchute.upstreams.directory import Directory
 
-# Upstreams of one message: all of a service may be throttled at once.
-MAX_TOLD = 32
+# Reports in one message; all upstreams of a service may be throttled at once.
+MAX_REPORTS = 32
 
 
 def known_backpressure(
     directory: Directory, service: str, now: float
 ) -> tuple[BackpressureNews, ...]:
-    """Return what was heard of a service's upstreams that are throttled."""
-    told = []
-    for entry in directory.throttled(service, now)[:MAX_TOLD]:
-        told.append(
+    """Return reports on the throttled upstreams of a service."""
+    reports = []
+    for entry in directory.throttled(service, now)[:MAX_REPORTS]:
+        reports.append(
             BackpressureNews(
                 upstream=entry.upstream.id,
                 process=entry.upstream.process,
@@ -27,25 +30,25 @@
                 is_leaving=entry.backpressure.is_leaving,
             )
         )
-    return tuple(told)
+    return tuple(reports)
 
 
 def merge_backpressure(
-    directory: Directory, told: Iterable[BackpressureNews], now: float
+    directory: Directory, reports: Iterable[BackpressureNews], now: float
 ) -> None:
-    """Take what another router has heard, of processes that are known here."""
+    """Merge the reports of another router on upstream processes known here."""
     clock_ms = directory.clock_ms(now)
-    for news in told:
-        entry = directory.entries_by_id.get(news.upstream)
-        if entry is None or entry.upstream.process != news.process:
+    for report in reports:
+        entry = directory.entries_by_id.get(report.upstream)
+        if entry is None or entry.upstream.process != report.process:
             continue
-        if news.limit is not None and news.limit < 0.0:
+        if report.limit is not None and report.limit < 0.0:
             continue
         before = entry.backpressure.limit
-        if news.is_leaving:
+        if report.is_leaving:
             directory.record_leaving(entry, now)
         is_newer = entry.backpressure.record_peer_limit(
-            news.limit, heard_ms=news.heard_ms, now=now, clock_ms=clock_ms
+            report.limit, heard_ms=report.heard_ms, now=now, clock_ms=clock_ms
         )
         if not is_newer:
             continue
@@ -53,8 +56,8 @@
         if entry.backpressure.limit != before:
             log_event(
                 "upstream limit reported by another router",
-                upstream=news.upstream,
-                limit=news.limit,
+                upstream=report.upstream,
+                limit=report.limit,
                 before=before,
-                age_ms=clock_ms - news.heard_ms,
+                age_ms=clock_ms - report.heard_ms,
             )
--- a/lynxchute/scheduling/board.py
+++ b/lynxchute/scheduling/board.py
@@ -1,4 +1,4 @@
-"""What all routers together have sent to the engines of one service."""
+"""Track the load of a service's engines and choose an engine for each request."""
 
 from __future__ import annotations
 
@@ -8,37 +8,46 @@
 
 from lynxchute.scheduling.caller_weights import CallerWeights
 from lynxchute.scheduling.crowding import LoadAdaptiveCost, PlacementCost
-from lynxchute.scheduling.engine_state import EngineState, Run, begin_like
+from lynxchute.scheduling.engine_state import EngineState, Run, init_from_others
 from lynxchute.scheduling.newcomer import PendingRequest
-from lynxchute.scheduling.pauses import PauseRecord
+from lynxchute.scheduling.pauses import PauseStats
 from lynxchute.scheduling.prefix_cache import PrefixCache
 from lynxchute.upstreams.generation import Generation, PromptPart
 
-# Reading a part again costs this many times the engine's time for it: the time
-# is the next requests' as well, and the operators pay for it.
+# Cost of reading a prompt part again, as a multiple of the time that it takes: the time
+# also delays the next requests, and operators pay for it.
 REREAD_WEIGHT = 1.5
-# Fetching it from an engine that keeps it costs them less, but takes the
-# links' time; beside that, as a share of what reading it would take.
+# Cost of fetching a part from another engine in addition to the transfer time, as a
+# share of the time that reading it would take. It costs less than reading but uses the
+# network links.
 FETCH_WEIGHT = 0.35
-# Milliseconds that a fetch takes before its first byte.
+# Milliseconds until the first byte of a fetch.
 FETCH_SETUP_MS = 6.0
-# Fewer tokens than these are read as fast as they are fetched.
+# Fewer tokens than these are not fetched: reading them takes no longer.
 MIN_FETCH_TOKENS = 1_000
-# Milliseconds that an engine in another data centre must be faster to be
-# chosen: what its bytes cost.
-FAR_MS = 15.0
-# A run of which nothing has been heard for this many seconds is over.
-FORGET_SECONDS = 20.0
-# Milliseconds that count against an engine without a free slot, or without
-# memory for the request: it would have to wait for another one to end.
-FULL_MS = 2_000.0
-# Seconds that an engine is passed over after a run broke there.
+# Cost in milliseconds of an engine in another data centre, for the traffic between data
+# centres.
+REMOTE_COST_MS = 15.0
+# Seconds after its placement until a run is discarded if its end was not reported.
+RUN_TIMEOUT_SECONDS = 20.0
+# Cost in milliseconds of an engine without a free slot or without memory for the
+# request, which would have to wait for another request to end.
+FULL_COST_MS = 2_000.0
+# Seconds for which an engine is avoided after a run failed there.
 AVOID_SECONDS = 0.8
 
 
 @attrs.frozen
 class Candidate:
-    """An engine that could take a request."""
+    """An engine that may receive a request.
+
+    Attributes
+    ----------
+    capacity
+        Tokens that its memory holds.
+    is_far
+        Whether it is in another data centre.
+    """
 
     upstream_id: str
     slots: int
@@ -47,20 +56,20 @@
 
 
 @attrs.frozen
-class Place:
-    """Where a request goes.
+class PlacementResult:
+    """The result of a placement.
 
     Attributes
     ----------
     upstream_id
-        Its engine; empty where there is none.
+        The chosen engine; empty if there is none.
     fetch_from
-        The engine that should hand over what it keeps of the prompt; empty
-        where that does not pay.
+        The engine to fetch cached prompt parts from; empty if a fetch does not
+        pay off.
     expected_ms
-        When its first event is expected, in milliseconds from now.
+        Expected time until the first event, in milliseconds.
     is_full
-        Whether there is none since all engines are full.
+        Whether no engine was chosen because all are full.
     """
 
     upstream_id: str = ""
@@ -70,8 +79,16 @@
 
 
 @attrs.frozen
-class _Offer:
-    """What taking a request would mean for an engine."""
+class _PlacementOption:
+    """The cost of placing a request at one engine.
+
+    Attributes
+    ----------
+    cost
+        In milliseconds.
+    uncached, fetched
+        Tokens of the prompt to read, and to fetch from another engine.
+    """
 
     cost: float
     uncached: int
@@ -80,142 +97,146 @@
 
 
 class EngineBoard:
-    """Choose an engine for each generation, and keep count of what it has to do.
+    """Choose an engine for each generation and track the runs on each engine.
 
-    Times are seconds on one steady clock.
+    Times are in seconds on one monotonic clock.
 
     Parameters
     ----------
-    crowding
-        Weighs who is harmed by a request at an engine.
-    tells_apart
-        Whether slow moments of engines are told from lasting speeds, and engines that
-        are new are taken for ones like the others.
+    placement_cost
+        Estimates the cost of a request at an engine, for itself and other requests.
+    tracks_transients
+        Whether transient slowness of an engine is tracked apart from its baseline, and
+        new engines start with the median speeds of the known ones.
     """
 
     def __init__(
-        self, crowding: PlacementCost | None = None, *, tracks_transients: bool = False
+        self,
+        placement_cost: PlacementCost | None = None,
+        *,
+        tracks_transients: bool = False,
     ) -> None:
         self.engines_by_id: dict[str, EngineState] = {}
-        self._crowding = crowding or LoadAdaptiveCost()
-        self._usual_pauses_by_limit: dict[float, PauseRecord] = {}
-        self._weights = CallerWeights()
+        self._placement_cost = placement_cost or LoadAdaptiveCost()
+        self._service_pauses_by_limit: dict[float, PauseStats] = {}
+        self._caller_weights = CallerWeights()
         self.tracks_transients = tracks_transients
 
     def place(
         self,
-        newcomer: PendingRequest,
+        request: PendingRequest,
         candidates: Collection[Candidate],
         now: float,
         *,
         sources: Iterable[str] = (),
         fetch_tokens_per_ms: float = 0.0,
-        spares_full: bool = False,
-    ) -> Place:
-        """Return the engine for a request.
+        skips_full: bool = False,
+    ) -> PlacementResult:
+        """Choose an engine for a request and record the run there.
 
         Parameters
         ----------
         sources
-            Engines that can hand over what they keep.
+            Engines from which cached prompt parts can be fetched.
         fetch_tokens_per_ms
-            How fast they do; 0 where they do not.
-        spares_full
-            Whether engines without a free place get nothing.
+            The speed of such fetches; 0 if they are not supported.
+        skips_full
+            Whether engines without a free slot are skipped.
         """
-        newcomer = attrs.evolve(newcomer, weight=self._weights.of(newcomer))
-        source, kept = self._best_source(newcomer.generation, sources)
+        request = attrs.evolve(request, weight=self._caller_weights.weight_of(request))
+        source, source_tokens = self._best_source(request.generation, sources)
         if not fetch_tokens_per_ms:
-            kept = 0
-        best: _Offer | None = None
+            source_tokens = 0
+        best: _PlacementOption | None = None
         chosen: Candidate | None = None
         for candidate in candidates:
-            offer = self._offer(
-                candidate, newcomer, now, source, kept, fetch_tokens_per_ms
+            option = self._evaluate(
+                candidate, request, now, source, source_tokens, fetch_tokens_per_ms
             )
-            if best is not None and offer.cost >= best.cost:
+            if best is not None and option.cost >= best.cost:
                 continue
-            # Few offers are the best so far, so that little is looked at twice.
-            if spares_full and not self._has_room(candidate, newcomer):
+            # Checked only for an option that beats the best one so far, which is rare.
+            if skips_full and not self._has_room(candidate, request):
                 continue
-            best, chosen = offer, candidate
+            best, chosen = option, candidate
         if best is None or chosen is None:
-            return Place(is_full=spares_full and bool(candidates))
-        run = self._assign(newcomer, chosen.upstream_id, best, now, fetch_tokens_per_ms)
-        self._crowding.record_placement(newcomer, run.expected_ms)
-        return Place(chosen.upstream_id, best.fetch_from, run.expected_ms)
+            return PlacementResult(is_full=skips_full and bool(candidates))
+        run = self._assign(request, chosen.upstream_id, best, now, fetch_tokens_per_ms)
+        self._placement_cost.record_placement(request, run.expected_ms)
+        return PlacementResult(chosen.upstream_id, best.fetch_from, run.expected_ms)
 
-    def free_places(
-        self, newcomer: PendingRequest, candidates: Iterable[Candidate]
+    def free_slots(
+        self, request: PendingRequest, candidates: Iterable[Candidate]
     ) -> int:
-        """Return how many requests more engines with room for this one can run."""
+        """Return the number of free slots on the engines that can start a request."""
         free = 0
         for candidate in candidates:
-            if self._has_room(candidate, newcomer):
+            if self._has_room(candidate, request):
                 running = len(self._state(candidate).runs_by_id)
                 free += max(candidate.slots - running, 1)
         return free
 
-    def begun(
+    def record_first_event(
         self, upstream_id: str, run_id: str, now: float, *, took_ms: float | None = None
     ) -> None:
-        """Note the first event of a run, and learn from when it came.
+        """Record the first event of a run and update the speed estimates.
 
         Parameters
         ----------
         took_ms
-            Milliseconds from the send to the event, where its router has told.
+            Milliseconds from the send to the event, if its router reported them.
         """
         state = self.engines_by_id.get(upstream_id)
         run = state.runs_by_id.get(run_id) if state is not None else None
-        if state is None or run is None or run.has_begun:
+        if state is None or run is None or run.is_streaming:
             return
         if took_ms is None:
             took_ms = (now - run.placed_at) * 1000.0
         state.record_first_event(run_id, run, now)
-        state.pass_overdue(run_id, now)
-        state.learn(run, took_ms, now)
+        state.mark_overtaken(run_id, now)
+        state.record_latency(run, took_ms, now)
 
-    def paused(self, upstream_id: str, run_id: str, now: float) -> None:
-        """Note that a stream has paused for longer than is on time."""
+    def record_pause(self, upstream_id: str, run_id: str, now: float) -> None:
+        """Record that a stream has paused for longer than allowed."""
         state = self.engines_by_id.get(upstream_id)
         if state is not None:
-            state.note_pause(run_id, now)
+            state.record_pause(run_id, now)
 
-    def ended(self, upstream_id: str, run_id: str, now: float) -> None:
-        """Note the end of a run."""
+    def record_end(self, upstream_id: str, run_id: str, now: float) -> None:
+        """Record the end of a run."""
         state = self.engines_by_id.get(upstream_id)
         run = state.runs_by_id.pop(run_id, None) if state is not None else None
         if state is None or run is None:
             return
-        if run.has_begun:
-            state.learn_end(run, now)
+        if run.is_streaming:
+            state.record_answer_end(run, now)
             return
-        state.learn_from_no_event(run, now)
+        state.record_missing_event(run, now)
 
-    def failed(self, upstream_id: str, run_id: str, now: float) -> None:
-        """Note that a run broke, and keep others away for a moment.
+    def record_failure(self, upstream_id: str, run_id: str, now: float) -> None:
+        """Record the failure of a run and avoid the engine for a moment.
 
-        One that is not known here may have broken with a process that has ended.
+        An unknown run is ignored: it may have failed with an earlier process of the
+        engine.
         """
         state = self.engines_by_id.get(upstream_id)
         if state is not None and state.runs_by_id.pop(run_id, None) is not None:
             state.avoided_until = now + AVOID_SECONDS
 
-    def drop(self, run_id: str) -> None:
-        """Forget a run that its router has not sent."""
+    def discard_run(self, run_id: str) -> None:
+        """Discard a run that its router has not sent."""
         for state in self.engines_by_id.values():
             state.runs_by_id.pop(run_id, None)
 
-    def keep_runs_of(self, routers: Collection[str]) -> None:
-        """Forget the runs of router processes that are gone."""
+    def prune_runs(self, live_routers: Collection[str]) -> None:
+        """Discard the runs of router processes that are not in `live_routers`."""
         for state in self.engines_by_id.values():
             for run_id, run in list(state.runs_by_id.items()):
-                if run.router not in routers:
+                if run.router not in live_routers:
                     del state.runs_by_id[run_id]
 
-    def unknown(self, candidates: Iterable[Candidate]) -> list[str]:
-        """Return the engines of which nothing is known yet, and begin to know them."""
+    def track_new(self, candidates: Iterable[Candidate]) -> list[str]:
+        """Start tracking new engines and return their ids."""
         found = []
         for candidate in candidates:
             if candidate.upstream_id not in self.engines_by_id:
@@ -223,26 +244,26 @@
                 self._state(candidate)
         return found
 
-    def learn_cache(self, upstream_id: str, parts: Iterable[PromptPart]) -> None:
-        """Take the parts that an engine says it keeps."""
+    def add_cached_parts(self, upstream_id: str, parts: Iterable[PromptPart]) -> None:
+        """Add the prompt parts that an engine reports as cached."""
         state = self.engines_by_id.get(upstream_id)
         if state is not None:
-            state.cache.learn(parts)
+            state.cache.add_reported(parts)
 
     def discard_upstream(self, upstream_id: str) -> None:
-        """Keep nothing of an engine whose process has started again."""
+        """Discard the state of an engine whose process has restarted."""
         self.engines_by_id.pop(upstream_id, None)
 
-    def keep_only(self, upstream_ids: Iterable[str], now: float) -> None:
-        """Forget engines that are gone, and runs that nobody reported ended."""
-        known = set(upstream_ids)
+    def prune(self, live_ids: Iterable[str], now: float) -> None:
+        """Discard engines not in `live_ids`, and runs whose end was not reported."""
+        known = set(live_ids)
         for upstream_id in list(self.engines_by_id):
             if upstream_id not in known:
                 del self.engines_by_id[upstream_id]
                 continue
             runs = self.engines_by_id[upstream_id].runs_by_id
             for run_id, run in list(runs.items()):
-                if now - run.placed_at > FORGET_SECONDS:
+                if now - run.placed_at > RUN_TIMEOUT_SECONDS:
                     del runs[run_id]
 
     def _state(self, candidate: Candidate) -> EngineState:
@@ -253,116 +274,118 @@
                 candidate.slots,
                 candidate.capacity,
                 cache,
-                self._usual_pauses,
+                self._service_pauses,
                 tracks_transients=self.tracks_transients,
             )
             if self.tracks_transients:
-                begin_like(state, self.engines_by_id.values())
+                init_from_others(state, self.engines_by_id.values())
             self.engines_by_id[candidate.upstream_id] = state
         return state
 
-    def _usual_pauses(self, limit_ms: float) -> PauseRecord:
-        """Return what was seen at all engines of streams that may pause so long."""
-        return self._usual_pauses_by_limit.setdefault(limit_ms, PauseRecord())
+    def _service_pauses(self, limit_ms: float) -> PauseStats:
+        """Return the statistics of all engines for streams with this pause limit."""
+        return self._service_pauses_by_limit.setdefault(limit_ms, PauseStats())
 
     def _best_source(
         self, generation: Generation, sources: Iterable[str]
     ) -> tuple[str, int]:
-        """Return the engine that keeps most of a prompt, and how many tokens."""
+        """Return the engine with most of a prompt cached, and the number of tokens."""
         best, most = "", 0
         for upstream_id in sources:
             state = self.engines_by_id.get(upstream_id)
             if state is None:
                 continue
-            kept = state.cache.cached_tokens(generation.shared_parts)
-            if kept > most:
-                best, most = upstream_id, kept
+            source_tokens = state.cache.cached_tokens(generation.shared_parts)
+            if source_tokens > most:
+                best, most = upstream_id, source_tokens
         return best, most
 
-    def _has_room(self, candidate: Candidate, newcomer: PendingRequest) -> bool:
-        """Return whether an engine can begin with a request at once.
+    def _has_room(self, candidate: Candidate, request: PendingRequest) -> bool:
+        """Return whether an engine can start a request at once.
 
-        One that runs nothing has room for whatever is sent there.
+        An idle engine accepts a request of any size.
         """
         state = self._state(candidate)
         if not state.runs_by_id:
             return True
         if 0 < candidate.slots <= len(state.runs_by_id):
             return False
-        needed = state.occupied + newcomer.generation.most_tokens
+        needed = state.occupied_tokens + request.generation.most_tokens
         return needed <= state.capacity
 
-    def _offer(
+    def _evaluate(
         self,
         candidate: Candidate,
-        newcomer: PendingRequest,
+        request: PendingRequest,
         now: float,
         source: str,
-        kept: int,
+        source_tokens: int,
         fetch_tokens_per_ms: float,
-    ) -> _Offer:
-        """Return what a request would cost there, in milliseconds."""
+    ) -> _PlacementOption:
+        """Return the cost of a request at an engine, in milliseconds."""
         state = self._state(candidate)
-        generation = newcomer.generation
+        generation = request.generation
         shared = sum(part.tokens for part in generation.shared_parts)
         cached = state.cache.cached_tokens(generation.shared_parts)
-        fetched = kept - cached if source != candidate.upstream_id else 0
+        fetched = source_tokens - cached if source != candidate.upstream_id else 0
         if fetched < MIN_FETCH_TOKENS:
             fetched = 0
         uncached = max(generation.prompt_tokens - cached - fetched, 0)
         expected_ms = state.expected_ms(uncached, now)
-        cost = self._crowding.cost_ms(state, newcomer, uncached, expected_ms, now)
+        cost = self._placement_cost.cost_ms(state, request, uncached, expected_ms, now)
         cost += REREAD_WEIGHT * state.reading.reading_ms(shared - cached - fetched)
         if fetched:
             cost += FETCH_SETUP_MS + fetched / fetch_tokens_per_ms
             cost += FETCH_WEIGHT * state.reading.reading_ms(fetched)
-        cost += _shortage(candidate, state, newcomer)
+        cost += _capacity_cost_ms(candidate, state, request)
         if now < state.avoided_until:
-            cost += FULL_MS
-        return _Offer(cost, uncached, fetched, source if fetched else "")
+            cost += FULL_COST_MS
+        return _PlacementOption(cost, uncached, fetched, source if fetched else "")
 
     def _assign(
         self,
-        newcomer: PendingRequest,
+        request: PendingRequest,
         upstream_id: str,
-        offer: _Offer,
+        option: _PlacementOption,
         now: float,
         fetch_tokens_per_ms: float,
     ) -> Run:
         state = self.engines_by_id[upstream_id]
-        generation = newcomer.generation
+        generation = request.generation
         cached = state.cache.cached_tokens(generation.shared_parts)
-        expected_ms = state.expected_ms(offer.uncached, now)
-        if offer.fetched:
-            expected_ms += FETCH_SETUP_MS + offer.fetched / fetch_tokens_per_ms
+        expected_ms = state.expected_ms(option.uncached, now)
+        if option.fetched:
+            expected_ms += FETCH_SETUP_MS + option.fetched / fetch_tokens_per_ms
         run = Run(
-            uncached=offer.uncached,
-            prefill_ms=state.reading.reading_ms(offer.uncached),
+            uncached=option.uncached,
+            prefill_ms=state.reading.reading_ms(option.uncached),
             expected_ms=expected_ms,
-            waited_ms=state.backlog_ms(now),
+            expected_wait_ms=state.backlog_ms(now),
             placed_at=now,
             tokens=generation.most_tokens - cached,
-            max_pause_ms=newcomer.aims.pause_ms,
-            answer_tokens=newcomer.answer_tokens,
-            weight=newcomer.weight,
-            router=newcomer.router,
+            max_pause_ms=request.aims.pause_ms,
+            answer_tokens=request.answer_tokens,
+            weight=request.weight,
+            router=request.router,
             slowness=state.slowness_now(now),
         )
-        state.begin_reading(offer.uncached, now)
-        state.runs_by_id[newcomer.run_id] = run
-        state.cache.use(generation.shared_parts, occupied=state.occupied)
+        state.add_prompt(option.uncached, now)
+        state.runs_by_id[request.run_id] = run
+        state.cache.record_prompt(
+            generation.shared_parts, occupied_tokens=state.occupied_tokens
+        )
         return run
 
 
-def _shortage(
-    candidate: Candidate, state: EngineState, newcomer: PendingRequest
+def _capacity_cost_ms(
+    candidate: Candidate, state: EngineState, request: PendingRequest
 ) -> float:
-    """Return what the way there and the lack of a place cost, in milliseconds."""
-    # Whoever has to wait for a place is late, and counts like others who are.
-    full_ms = FULL_MS * max(newcomer.weight, 1.0)
-    cost = FAR_MS if candidate.is_far else 0.0
+    """Return the cost of distance and of missing slots or memory."""
+    # A request that waits for a slot is late, so it counts by its weight like others.
+    full_cost_ms = FULL_COST_MS * max(request.weight, 1.0)
+    cost = REMOTE_COST_MS if candidate.is_far else 0.0
     if len(state.runs_by_id) >= state.slots:
-        cost += full_ms
-    if state.occupied + newcomer.generation.most_tokens > state.capacity:
-        cost += full_ms
+        cost += full_cost_ms
+    if state.occupied_tokens + request.generation.most_tokens > state.capacity:
+        cost += full_cost_ms
     return cost
--- a/lynxchute/scheduling/cold_placements.py
+++ b/lynxchute/scheduling/cold_placements.py
@@ -1,4 +1,4 @@
-"""What this router may place at upstreams that are cold."""
+"""Limit the requests placed at cold upstreams."""
 
 from __future__ import annotations
 
@@ -14,21 +14,22 @@
 
 
 class ColdPlacementLimiter:
-    """Keep what is placed at each upstream to what it bears.
+    """Limit the rate of placements at each upstream while it is cold.
 
-    What is placed at warm upstreams counts as well: one may become cold after that,
-    and word of it takes up to two seconds. So one that had the bound within a second is
-    passed over while another has room; where none has, it is better to be right about
-    the others than to refuse.
+    Placements at warm upstreams count as well, because an upstream may become cold
+    afterwards and the notification takes up to two seconds. A warm upstream that has
+    reached the limit within the last second is skipped while another one is below it.
+    If there is no other one, warm upstreams are used regardless: they are most likely
+    still warm, and refusing would be worse.
 
     Parameters
     ----------
     admission
-        Says which part of the bound is this router's.
+        Computes this router's share of the limit.
     watch
-        Tells where it stands among all registered ones.
+        Returns this router's rank among all registered routers.
     limits_of
-        Returns what the upstreams of a service bear.
+        Returns the limits for cold upstreams of a service.
     """
 
     def __init__(
@@ -39,21 +40,21 @@
     ) -> None:
         self.limits_of = limits_of
         self._admission = admission
-        self._watch = watch
+        self._rank_watch = watch
         self._recent = RecentPlacements()
 
     def refresh(self, services: Iterable[str], now: float) -> None:
-        """Take note of who is registered."""
-        self._watch.refresh(services, now)
+        """Update this router's rank for the given services."""
+        self._rank_watch.refresh(services, now)
 
     def admissible_entries(self, entries: Iterable[Entry], now: float) -> list[Entry]:
-        """Return those that may get one more request from here, in their order."""
+        """Return the upstreams that may get one more request, in the given order."""
         known = list(entries)
         found = [entry for entry in known if self.may_place(entry, now)]
         return found or [entry for entry in known if not self._is_cold(entry, now)]
 
     def may_place(self, entry: Entry, now: float) -> bool:
-        """Return whether an upstream has room for one more request from here."""
+        """Return whether this router may place one more request at an upstream."""
         limits = self.limits_of(entry.upstream.service)
         if not limits.has_limit:
             return True
@@ -63,7 +64,7 @@
         return placed < limits.max_per_second
 
     def record_placement(self, entry: Entry, now: float) -> bool:
-        """Count a request; return whether it may be sent to the upstream when cold."""
+        """Record a placement; return whether it is allowed if the upstream is cold."""
         service, upstream_id = entry.upstream.service, entry.upstream.id
         if not self.limits_of(service).has_limit:
             return False
@@ -71,15 +72,15 @@
         self._recent.record(upstream_id, now)
         return is_counted
 
-    def keep_only(self, upstream_ids: Container[str]) -> None:
-        """Forget upstreams that are gone."""
-        self._recent.keep_only(upstream_ids)
+    def prune(self, live_ids: Container[str]) -> None:
+        """Discard the state of upstreams that are not in `live_ids`."""
+        self._recent.keep_only(live_ids)
 
     def _is_cold(self, entry: Entry, now: float) -> bool:
         return self.limits_of(entry.upstream.service).is_active(entry.cold_until, now)
 
     def _share(self, service: str, now: float) -> int:
-        held_rank = self._watch.held_rank(service, now)
+        held_rank = self._rank_watch.held_rank(service, now)
         if held_rank is None:
             return 0
         return self._admission.share(self.limits_of(service), held_rank)
--- a/lynxchute/scheduling/cold_watch.py
+++ b/lynxchute/scheduling/cold_watch.py
@@ -1,4 +1,4 @@
-"""Ask engines whether they have grown cold while the store cannot tell."""
+"""Probe engines for cold starts during an outage of the store."""
 
 from __future__ import annotations
 
@@ -11,36 +11,36 @@
 from lynxchute.upstreams.entry import Entry
 from lynxchute.upstreams.probes import handle_probe
 
-# Seconds between two looks, and so between two questions to an engine at least.
-STEP_SECONDS = 0.3
-# Seconds of the store's silence after which an engine may be cold with nobody knowing:
-# a store that answers does so every 1.3 s at the latest.
-SILENT_SECONDS = 1.6
-# The most questions in a second: 70 engines are asked every 1.4 s.
-MOST_PER_SECOND = 50.0
+# Seconds between two polls, and so the minimum between two probes of an engine.
+POLL_INTERVAL_SECONDS = 0.3
+# Seconds without an answer of the store after which an engine may have become cold
+# unnoticed; a working store answers every 1.3 s at the latest.
+STORE_SILENCE_SECONDS = 1.6
+# Maximum number of probes per second: 70 engines are probed every 1.4 s.
+MAX_PROBES_PER_SECOND = 50.0
 
 
 class ColdProber:
-    """Ask the engines that this router schedules, in an outage of the store.
+    """Probe the engines that this router schedules during an outage of the store.
 
-    An engine may grow cold at any moment, and its entry says so; where the store
-    answers nobody only the engine itself can. Whoever schedules is asked for nearly all
-    places, so that the others need not ask.
+    An engine may become cold at any time, and normally its entry in the store shows it.
+    While the store is unavailable, only the engine itself can report it. Nearly all
+    requests are placed by the scheduling router, so other routers need not probe.
 
     Parameters
     ----------
     directory
         The upstreams.
     engines
-        Asks them.
+        Sends the probes.
     limits_of
-        Returns what the upstreams of a service bear while they are cold.
-    schedules
+        Returns the limits for cold upstreams of a service.
+    is_scheduler_for
         Returns whether this router places the requests of a service.
     silent_for
-        Returns the seconds since the store last told of upstreams.
+        Returns the seconds since the store last listed the upstreams.
     clock
-        Seconds on the steady clock.
+        Returns monotonic time in seconds.
     """
 
     def __init__(
@@ -53,46 +53,50 @@
         clock: Callable[[], float],
     ) -> None:
         self.tasks = Tasks()
-        self.loop = Loop("cold", self._step, STEP_SECONDS, self._is_blind)
+        self.loop = Loop(
+            "cold", self._step, POLL_INTERVAL_SECONDS, self._is_store_silent
+        )
         self._directory = directory
         self._engines = engines
         self._limits_of = limits_of
-        self._schedules = is_scheduler_for
+        self._is_scheduler_for = is_scheduler_for
         self._silent_for = silent_for
         self._clock = clock
 
-    def _is_blind(self) -> bool:
-        """Return whether the store does not tell."""
-        return self._silent_for(self._clock()) >= SILENT_SECONDS
+    def _is_store_silent(self) -> bool:
+        """Return whether the store has not answered for too long."""
+        return self._silent_for(self._clock()) >= STORE_SILENCE_SECONDS
 
     async def _step(self) -> None:
-        if not self._is_blind():
+        if not self._is_store_silent():
             return
         now = self._clock()
-        watched = self._watched()
-        again = len(watched) / MOST_PER_SECOND
-        for entry in watched:
-            if now - entry.probed_at >= again:
+        entries = self._probed_entries()
+        interval = len(entries) / MAX_PROBES_PER_SECOND
+        for entry in entries:
+            if now - entry.probed_at >= interval:
                 entry.probed_at = now
-                self.tasks.spawn(self._ask(entry))
+                self.tasks.spawn(self._probe(entry))
 
-    def _watched(self) -> list[Entry]:
-        """Return the engines whose growing cold matters here."""
-        is_watched_by_service: dict[str, bool] = {}
+    def _probed_entries(self) -> list[Entry]:
+        """Return the engines to probe: scheduled here, with a limit while cold."""
+        is_probed_by_service: dict[str, bool] = {}
         found = []
         for entry in self._directory.entries_by_id.values():
             service = entry.upstream.service
-            if service not in is_watched_by_service:
+            if service not in is_probed_by_service:
                 has_limit = self._limits_of(service).has_limit
-                is_watched_by_service[service] = has_limit and self._schedules(service)
-            if is_watched_by_service[service] and entry.takes_work:
+                is_probed_by_service[service] = has_limit and self._is_scheduler_for(
+                    service
+                )
+            if is_probed_by_service[service] and entry.takes_work:
                 found.append(entry)
         return found
 
-    async def _ask(self, entry: Entry) -> None:
+    async def _probe(self, entry: Entry) -> None:
         try:
             probe = await self._engines.probe(entry.upstream)
         except EngineUnavailable:
-            # Whether it is there is found out by what is sent to it.
+            # Requests sent to the engine show whether it is reachable.
             return
         handle_probe(self._directory, entry, probe, self._clock())
--- a/lynxchute/scheduling/crowding.py
+++ b/lynxchute/scheduling/crowding.py
@@ -1,4 +1,4 @@
-"""What a newcomer does to the others at an engine, and they to it."""
+"""Cost of placing a request at an engine, for itself and for running requests."""
 
 from __future__ import annotations
 
@@ -8,181 +8,187 @@
 from lynxchute.scheduling.engine_state import EngineState
 from lynxchute.scheduling.newcomer import PendingRequest
 
-# Milliseconds that a request more for each request running there counts: it
-# slows all of them a little.
-RUNNING_MS = 2.0
-# Milliseconds that each running stream counts where this many prompt tokens
-# have to be read: its events pause meanwhile, and the longest pause that is on
-# time is about what three pieces of a prompt take.
-PAUSE_MS = 60.0
+# Cost in milliseconds for each running request: one more request slows all of them a
+# little.
+RUNNING_COST_MS = 2.0
+# Cost in milliseconds for each running stream if PAUSE_TOKENS prompt tokens have to be
+# read: its events pause meanwhile, and the maximum allowed pause is about the time that
+# three chunks of a prompt take.
+PAUSE_COST_MS = 60.0
 PAUSE_TOKENS = 12_000
-# A first event that is expected so many times its objective after the request or later
-# is late by any means, and how much later counts no more: who goes to the engine that
-# begins sooner has the parts read again that another one keeps, and all wait for that.
-# Without this bound six engines with 1.6 times a heavy load gave their callers 0.62 of
-# what answers on time are worth, with 1.5 here 0.86, with 1 0.84, with 3 0.76 (eight
-# emulated traces of a minute); at 1.25 times that load 0.961 and 0.957.
-LATE_ANYWAY = 1.5
-# Milliseconds of an engine's time that one caller less who is late is worth.
-LATE_MS = 1_000.0
-# Share of the expected time until its first event that a request counts besides: it
-# is on time as long as it keeps to its objective, so that less is worth little.
-SOON_SHARE = 0.4
-# A first event that is expected within this share of its objective comes in time,
-# by and large; expectations are off by this share of it.
-SAFE_SHARE = 0.75
-SPREAD_SHARE = 0.12
+# The expected latency of a first event counts up to this multiple of its objective.
+# Beyond it the request is late in any case; sending it to the engine that starts sooner
+# would make that engine read prompt parts again that another one has cached, which
+# delays all requests there. On six engines at 1.6 times a heavy load, answers on time
+# had 0.62 of the possible value without this limit, 0.86 with 1.5, 0.84 with 1 and 0.76
+# with 3 (eight emulated traces of a minute); at 1.25 times that load 0.961 without it
+# and 0.957 with 1.5.
+MAX_LATENESS_RATIO = 1.5
+# Cost of one late request, in milliseconds of an engine's time.
+LATE_COST_MS = 1_000.0
+# Weight of the expected latency of the first event. It is small because a request that
+# meets its objective gains little from a lower latency.
+LATENCY_WEIGHT = 0.4
+# A first event expected within ON_TIME_RATIO of its objective is usually on time;
+# estimates are off by about ESTIMATE_SPREAD of the objective.
+ON_TIME_RATIO = 0.75
+ESTIMATE_SPREAD = 0.12
 
 
 class PlacementCost(ABC):
-    """Weigh who is harmed where a request goes to an engine."""
+    """Base class for the cost of placing a request at an engine."""
 
     @abstractmethod
     def cost_ms(
         self,
         state: EngineState,
-        newcomer: PendingRequest,
+        request: PendingRequest,
         uncached: int,
         expected_ms: float,
         now: float,
     ) -> float:
-        """Return the harm, in milliseconds of an engine's time.
+        """Return the cost, in milliseconds of an engine's time.
 
         Parameters
         ----------
         uncached
-            Tokens of the newcomer's prompt that have to be read.
+            Tokens of the prompt that are not cached and have to be read.
         expected_ms
-            When its first event is expected, in milliseconds from now.
+            Expected time until the first event, in milliseconds.
         """
 
-    def record_placement(self, newcomer: PendingRequest, expected_ms: float) -> None:
-        """Take where a newcomer went; it may count for the next ones."""
+    def record_placement(self, request: PendingRequest, expected_ms: float) -> None:
+        """Record a placement; subclasses may use it in later decisions."""
 
 
 class StreamPauseCost(PlacementCost):
-    """Count each running stream by the length of the newcomer's prompt."""
+    """Add a fixed cost for each running stream, scaled by the prompt length."""
 
     def cost_ms(
         self,
         state: EngineState,
-        newcomer: PendingRequest,
+        request: PendingRequest,
         uncached: int,
         expected_ms: float,
         now: float,
     ) -> float:
-        """Return a weight for each stream there."""
+        """Return the expected latency plus a cost for each running stream."""
         running = len(state.runs_by_id)
-        cost = expected_ms + RUNNING_MS * running
-        return cost + PAUSE_MS * running * min(uncached / PAUSE_TOKENS, 2.0)
+        cost = expected_ms + RUNNING_COST_MS * running
+        return cost + PAUSE_COST_MS * running * min(uncached / PAUSE_TOKENS, 2.0)
 
 
-class LateOnceWeights(StreamPauseCost):
-    """Count running streams likewise, and how late a newcomer is up to a bound."""
+class CappedLatenessCost(StreamPauseCost):
+    """Limit how much the expected latency of the request itself counts."""
 
     def cost_ms(
         self,
         state: EngineState,
-        newcomer: PendingRequest,
+        request: PendingRequest,
         uncached: int,
         expected_ms: float,
         now: float,
     ) -> float:
-        """Return a weight for each stream there."""
-        latest_ms = LATE_ANYWAY * max(newcomer.aims.first_event_ms, 0.0)
-        expected_ms = min(expected_ms, latest_ms)
-        return super().cost_ms(state, newcomer, uncached, expected_ms, now)
+        """Return the same cost with a limit on the expected latency."""
+        max_ms = MAX_LATENESS_RATIO * max(request.aims.first_event_ms, 0.0)
+        expected_ms = min(expected_ms, max_ms)
+        return super().cost_ms(state, request, uncached, expected_ms, now)
 
 
-class LateCallers(PlacementCost):
-    """Count the callers that are expected to be late for it.
+class ExpectedLateCost(PlacementCost):
+    """Estimate how many requests become late because of a placement.
 
-    Those are the newcomer, by its first event or by a later pause, and each running
-    stream that pauses while its prompt is read. Engines learn from their streams how
-    often that is. So engines part by themselves into some that read long prompts and
-    others that stream: where many stream, a long prompt costs much, and where long
-    prompts are read often, a stream expects pauses.
+    These are the request itself, by its first event or a later pause, and each running
+    stream that pauses too long while the prompt is read. The probability of such pauses
+    is estimated for each engine from its streams. As a result, engines specialise: a
+    long prompt is expensive at an engine with many streams, and a stream is expensive
+    at an engine that often reads long prompts.
     """
 
     def cost_ms(
         self,
         state: EngineState,
-        newcomer: PendingRequest,
+        request: PendingRequest,
         uncached: int,
         expected_ms: float,
         now: float,
     ) -> float:
-        """Return the expected number of late callers, times `LATE_MS`."""
-        late = late_share(expected_ms, newcomer.aims.first_event_ms)
-        late += (1.0 - late) * state.pause_share(newcomer, now)
-        late *= newcomer.weight
+        """Return the expected number of late requests, times `LATE_COST_MS`."""
+        late = late_probability(expected_ms, request.aims.first_event_ms)
+        late += (1.0 - late) * state.pause_probability(request, now)
+        late *= request.weight
         waiting = state.waiting_tokens(now)
         for limit, weight in state.weight_by_limit().items():
-            late += weight * state.watch(limit).added_share(waiting, uncached)
+            late += weight * state.pause_tracker(limit).added_pause_share(
+                waiting, uncached
+            )
         return (
-            LATE_MS * late
-            + RUNNING_MS * len(state.runs_by_id)
-            + SOON_SHARE * expected_ms
+            LATE_COST_MS * late
+            + RUNNING_COST_MS * len(state.runs_by_id)
+            + LATENCY_WEIGHT * expected_ms
         )
 
 
-# Share of the newcomers expected to be late by their first event, of late, from which
-# on engines have more to do than they can: sparing streams then costs more reading
-# than it saves, and all are later for it.
-STRAINED_SHARE = 0.05
-# Weight of the newest placement in that share: some seconds of traffic.
-STRAIN_WEIGHT = 0.02
+# Share of recent requests with a late first event above which engines count as
+# overloaded. Protecting streams then costs more prompt reading than it saves, and all
+# requests become later.
+OVERLOAD_LATE_SHARE = 0.05
+# Weight of the latest placement in the moving average of that share, which covers some
+# seconds of traffic.
+OVERLOAD_SAMPLE_WEIGHT = 0.02
 
 
 class LoadAdaptiveCost(PlacementCost):
-    """Count late callers while engines keep up, and weigh by length while they do not.
+    """Use `ExpectedLateCost`, or `CappedLatenessCost` while engines are overloaded.
 
-    At 1.6 times the load that six engines can read in time, 0.38 of the callers were
-    on time with late callers counted, 0.49 with the fixed weights, which keep prompts
-    where their parts are.
+    At 1.6 times the load that six engines can read on time, 0.38 of the requests were
+    on time with `ExpectedLateCost` and 0.49 with the fixed cost, which sends prompts to
+    engines that have their parts cached.
     """
 
     def __init__(self) -> None:
-        self._late_callers = LateCallers()
-        self._weights = LateOnceWeights()
-        self._strain = 0.0
+        self._expected_late = ExpectedLateCost()
+        self._capped_lateness = CappedLatenessCost()
+        self._late_share = 0.0
 
     @property
-    def is_strained(self) -> bool:
-        """Return whether engines have more to do than they can."""
-        return self._strain > STRAINED_SHARE
+    def is_overloaded(self) -> bool:
+        """Return whether too many requests are expected to be late."""
+        return self._late_share > OVERLOAD_LATE_SHARE
 
     def cost_ms(
         self,
         state: EngineState,
-        newcomer: PendingRequest,
+        request: PendingRequest,
         uncached: int,
         expected_ms: float,
         now: float,
     ) -> float:
-        """Return the harm by the one or the other."""
-        chosen = self._weights if self.is_strained else self._late_callers
-        return chosen.cost_ms(state, newcomer, uncached, expected_ms, now)
+        """Return the cost of the model that is in use."""
+        chosen = self._capped_lateness if self.is_overloaded else self._expected_late
+        return chosen.cost_ms(state, request, uncached, expected_ms, now)
 
-    def record_placement(self, newcomer: PendingRequest, expected_ms: float) -> None:
-        """Take where a newcomer went."""
-        late = late_share(expected_ms, newcomer.aims.first_event_ms)
-        self._strain += STRAIN_WEIGHT * (late - self._strain)
+    def record_placement(self, request: PendingRequest, expected_ms: float) -> None:
+        """Update the share of late requests."""
+        late = late_probability(expected_ms, request.aims.first_event_ms)
+        self._late_share += OVERLOAD_SAMPLE_WEIGHT * (late - self._late_share)
 
 
-def late_share(expected_ms: float, objective_ms: float) -> float:
-    """Return how likely a first event comes after its objective.
+def late_probability(expected_ms: float, objective_ms: float) -> float:
+    """Return the probability that a first event is late.
 
     Examples
     --------
-    >>> late_share(200.0, 1_000.0) < 0.02, late_share(1_500.0, 1_000.0) > 0.95
-    (True, True)
-    >>> late_share(200.0, math.inf)
+    >>> late_probability(200.0, 1_000.0) < 0.02
+    True
+    >>> late_probability(1_500.0, 1_000.0) > 0.95
+    True
+    >>> late_probability(200.0, math.inf)
     0.0
     """
     if math.isinf(objective_ms):
         return 0.0
     if objective_ms <= 0:
         return 1.0
-    over = (expected_ms / objective_ms - SAFE_SHARE) / SPREAD_SHARE
+    over = (expected_ms / objective_ms - ON_TIME_RATIO) / ESTIMATE_SPREAD
     return 1.0 / (1.0 + math.exp(-min(max(over, -40.0), 40.0)))
--- a/lynxchute/scheduling/engine_state.py
+++ b/lynxchute/scheduling/engine_state.py
@@ -1,4 +1,4 @@
-"""One engine as the board sees it, and what its first events tell of it."""
+"""State of one engine, estimated from its runs."""
 
 from __future__ import annotations
 
@@ -9,78 +9,80 @@
 import attrs
 
 from lynxchute.scheduling.newcomer import PendingRequest
-from lynxchute.scheduling.pauses import PauseRecord
+from lynxchute.scheduling.pauses import PauseStats
 from lynxchute.scheduling.prefix_cache import PrefixCache
 from lynxchute.scheduling.reading_speed import ReadingSpeed
-from lynxchute.scheduling.readings import PauseWatch
-
-# A prompt that was expected to wait for so many milliseconds at most tells how fast
-# its engine reads.
-ALONE_MS = 1.0
-# First events expected sooner than this many milliseconds tell nothing of how
-# slow an engine is.
-TELLING_MS = 60.0
-# Milliseconds at most that a run which is overdue counts: one of which nothing
-# is heard may never have been sent, and an engine that has stopped is noticed
-# by its silence before that.
+from lynxchute.scheduling.readings import PauseTracker
+
+# The reading speed is measured only with prompts expected to wait no longer than this
+# behind others, in milliseconds.
+MAX_UNQUEUED_WAIT_MS = 1.0
+# First events with a shorter expected reading time, in milliseconds, are no samples for
+# the slowness of an engine.
+MIN_INFORMATIVE_MS = 60.0
+# Maximum milliseconds by which an overdue run extends the backlog. A run without any
+# news may never have been sent, and a stopped engine is detected by its silence before
+# that.
 MAX_OVERDUE_MS = 1_500.0
-# A run that is overdue by so many milliseconds when one that came later begins
-# is no longer waited for.
-PASSED_MS = 500.0
-# Weight of the newest first event in how much slower than expected an engine
-# is, and the bounds of that factor.
+# A run overdue by this many milliseconds when a later one begins is no longer counted
+# as waiting.
+OVERTAKEN_MS = 500.0
+# Weight of the latest first event in the slowness of an engine, the ratio of actual to
+# expected reading time, and the limits of that ratio.
 SLOWNESS_WEIGHT = 0.25
 MIN_SLOWNESS = 0.5
 MAX_SLOWNESS = 8.0
-# Weight of the newest first event in what lasts, and the seconds in which what is
-# beyond that is half forgotten while nothing new is heard.
-LASTING_WEIGHT = 0.05
-FADING_SECONDS = 1.0
-# Seconds that a token of an answer takes until it is known: of a large model on
-# today's accelerators, with some streams beside.
-USUAL_TOKEN_SECONDS = 0.01
-# Weight of the newest answer in that.
-TOKEN_SECONDS_WEIGHT = 0.05
+# Weight of the latest first event in the baseline slowness, and the half-life in
+# seconds of the deviation from the baseline while there are no new samples.
+BASELINE_WEIGHT = 0.05
+TRANSIENT_HALF_LIFE_SECONDS = 1.0
+# Initial estimate of the seconds per token of an answer, for a large model on current
+# accelerators with some concurrent streams.
+DEFAULT_SECONDS_PER_TOKEN = 0.01
+# Weight of the latest answer in that estimate.
+SECONDS_PER_TOKEN_WEIGHT = 0.05
 
 
 @attrs.define
 class Run:
-    """A request on an engine whose answer has not ended.
+    """A request at an engine whose answer has not ended.
 
     Attributes
     ----------
     uncached
-        Tokens of its prompt that had to be read.
+        Tokens of its prompt that were not cached and had to be read.
     prefill_ms
-        How long reading them takes an engine that does nothing else.
+        Milliseconds that an otherwise idle engine needs to read them.
     expected_ms
-        When its first event was expected, in milliseconds after its placement.
-    waited_ms
-        How much of that it was expected to wait behind others.
+        Expected time of its first event, in milliseconds after its placement.
+    expected_wait_ms
+        Part of that spent waiting behind other requests.
     tokens
-        What it takes of the engine's memory, in tokens.
+        Memory that it occupies at the engine, in tokens.
     max_pause_ms
-        The longest pause between two events that is on time, in milliseconds.
+        Maximum pause between two events that counts as on time, in milliseconds.
     answer_tokens
-        Tokens that its answer is expected to have.
+        Expected number of tokens of its answer.
     weight
-        What it counts where callers are weighed.
+        Its weight relative to other requests.
     router
-        The process that sends it.
-    begun_at
-        When its first event came, in seconds.
+        The router process that sends it.
     slowness
-        How slow its engine was taken for when it was placed.
-    is_passed
-        Whether others that came later have begun long after it should have.
+        Estimated slowness of its engine when it was placed.
+    first_event_at
+        Time of its first event, in seconds.
+    is_streaming
+        Whether its first event has arrived.
+    is_overtaken
+        Whether a later run has begun while this one was long overdue.
     has_paused
-        Whether it has paused for longer than that once, and is late.
+        Whether it has exceeded `max_pause_ms` once, and so is late.
     """
 
     uncached: int
     prefill_ms: float
     expected_ms: float
-    waited_ms: float
+    expected_wait_ms: float
     placed_at: float
     tokens: int
     max_pause_ms: float = math.inf
@@ -88,217 +90,229 @@
     weight: float = 1.0
     router: str = ""
     slowness: float = 1.0
-    begun_at: float = 0.0
-    has_begun: bool = False
-    is_passed: bool = False
+    first_event_at: float = 0.0
+    is_streaming: bool = False
+    is_overtaken: bool = False
     has_paused: bool = False
 
     @property
     def is_waiting(self) -> bool:
-        """Return whether its prompt has still to be read."""
-        return not self.has_begun and not self.is_passed
+        """Return whether its prompt still has to be read."""
+        return not self.is_streaming and not self.is_overtaken
 
     def overdue_ms(self, now: float) -> float:
-        """Return how late its first event is."""
+        """Return how late its first event is, in milliseconds."""
         return max((now - self.placed_at) * 1000.0 - self.expected_ms, 0.0)
 
 
 @attrs.define
 class EngineState:
-    """An engine as the board sees it.
+    """The estimated state of an engine.
 
     Attributes
     ----------
+    capacity
+        Tokens that its memory holds.
+    service_pauses
+        Returns the pause statistics of all engines of the service for a pause limit.
     reading
         How fast it reads prompts.
     slowness, slowness_at
-        How much longer than expected first events took when one last told, and when
-        that was, in seconds.
-    lasting
-        What that comes to over many first events.
-    tells_apart
-        Whether slow moments are told from lasting speeds: what is longer than lasting
-        fades while nothing new is heard, and the first events and answers count for
-        more than later ones.
-    begun_at
-        When a run last began there, in seconds.
-    token_seconds
-        How long a token of an answer takes.
+        Ratio of actual to expected reading time as of the latest first event, and the
+        time of that event in seconds.
+    baseline_slowness
+        Long-term average of that ratio.
+    tracks_transients
+        Whether transient slowness is tracked apart from the baseline: the deviation
+        from the baseline decays while there are no new samples, and the first samples
+        of an engine have a larger weight than later ones.
+    last_first_event_at
+        Time of the latest first event at the engine, in seconds.
+    seconds_per_token
+        Estimated seconds per token of an answer.
     avoided_until
-        Time before which it is passed over, in seconds.
-    reads_until
-        When the prompts that it was sent should have been read, in seconds.
+        Time until which it receives no requests if there is another engine, in seconds.
+    read_until
+        Expected time when all prompts sent to it have been read, in seconds.
     """
 
     slots: int
     capacity: int
     cache: PrefixCache
-    usual_pauses: Callable[[float], PauseRecord]
+    service_pauses: Callable[[float], PauseStats]
     reading: ReadingSpeed = attrs.Factory(ReadingSpeed)
     slowness: float = 1.0
     slowness_at: float = 0.0
-    lasting: float = 1.0
+    baseline_slowness: float = 1.0
     tracks_transients: bool = False
-    begun_at: float = 0.0
-    seconds_per_token: float = USUAL_TOKEN_SECONDS
+    last_first_event_at: float = 0.0
+    seconds_per_token: float = DEFAULT_SECONDS_PER_TOKEN
     avoided_until: float = 0.0
-    reads_until: float = 0.0
+    read_until: float = 0.0
     runs_by_id: dict[str, Run] = attrs.Factory(dict)
-    _watches_by_limit: dict[float, PauseWatch] = attrs.Factory(dict)
-    _answers: int = 0
-    _first_events: int = 0
+    _trackers_by_limit: dict[float, PauseTracker] = attrs.Factory(dict)
+    _answer_count: int = 0
+    _first_event_count: int = 0
 
     def slowness_now(self, now: float) -> float:
-        """Return how much longer than expected first events take now."""
+        """Return the current ratio of actual to expected reading time."""
         if not self.tracks_transients:
             return self.slowness
         passed = max(now - self.slowness_at, 0.0)
-        left = 0.5 ** (passed / FADING_SECONDS)
-        return float(self.lasting + (self.slowness - self.lasting) * left)
+        left = 0.5 ** (passed / TRANSIENT_HALF_LIFE_SECONDS)
+        return float(
+            self.baseline_slowness + (self.slowness - self.baseline_slowness) * left
+        )
 
     @property
-    def occupied(self) -> int:
-        """Return the tokens that running requests take of its memory."""
+    def occupied_tokens(self) -> int:
+        """Return the tokens that running requests occupy in its memory."""
         return sum(run.tokens for run in self.runs_by_id.values())
 
-    def watch(self, limit_ms: float) -> PauseWatch:
-        """Return what is known of streams that may pause for so long."""
-        watch = self._watches_by_limit.get(limit_ms)
-        if watch is None:
-            watch = PauseWatch(self.usual_pauses(limit_ms), self.reading, limit_ms)
-            self._watches_by_limit[limit_ms] = watch
-        return watch
+    def pause_tracker(self, limit_ms: float) -> PauseTracker:
+        """Return the pause tracker of streams with this pause limit."""
+        tracker = self._trackers_by_limit.get(limit_ms)
+        if tracker is None:
+            tracker = PauseTracker(
+                self.service_pauses(limit_ms), self.reading, limit_ms
+            )
+            self._trackers_by_limit[limit_ms] = tracker
+        return tracker
 
     def weight_by_limit(self) -> dict[float, float]:
-        """Return the weight of the streams on time, by the pause that each may make."""
+        """Return the total weight of the streams on time by their pause limit."""
         found: dict[float, float] = {}
         for run in self.runs_by_id.values():
-            if run.has_begun and not run.has_paused and math.isfinite(run.max_pause_ms):
+            if (
+                run.is_streaming
+                and not run.has_paused
+                and math.isfinite(run.max_pause_ms)
+            ):
                 limit = run.max_pause_ms
                 found[limit] = found.get(limit, 0.0) + run.weight
         return found
 
-    def pause_share(self, newcomer: PendingRequest, now: float) -> float:
-        """Return how likely a newcomer pauses for too long later on."""
-        if math.isinf(newcomer.aims.pause_ms):
+    def pause_probability(self, request: PendingRequest, now: float) -> float:
+        """Return the probability that a new stream pauses for too long."""
+        if math.isinf(request.aims.pause_ms):
             return 0.0
-        rate = self.watch(newcomer.aims.pause_ms).rate(now)
-        seconds = newcomer.answer_tokens * self.seconds_per_token
-        return 1.0 - math.exp(-rate * seconds)
+        pause_rate = self.pause_tracker(request.aims.pause_ms).pause_rate(now)
+        seconds = request.answer_tokens * self.seconds_per_token
+        return 1.0 - math.exp(-pause_rate * seconds)
 
     def waiting_tokens(self, now: float) -> float:
-        """Return the tokens that it should still have to read."""
-        left_ms = max(self.reads_until - now, 0.0) * 1000.0
+        """Return the estimated prompt tokens still to be read."""
+        left_ms = max(self.read_until - now, 0.0) * 1000.0
         return left_ms * self.reading.tokens_per_ms / self.slowness_now(now)
 
-    def begin_reading(self, tokens: int, now: float) -> None:
-        """Note that a prompt was sent whose tokens have to be read."""
+    def add_prompt(self, tokens: int, now: float) -> None:
+        """Record a prompt sent to the engine, with its uncached tokens."""
         waiting = self.waiting_tokens(now)
         reading_ms = self.reading.reading_ms(waiting + tokens)
         reading_ms *= self.slowness_now(now)
-        self.reads_until = now + reading_ms / 1000.0
+        self.read_until = now + reading_ms / 1000.0
         streams_by_limit: dict[float, list[str]] = {}
         for run_id, run in self.runs_by_id.items():
-            if run.has_begun and not run.has_paused:
+            if run.is_streaming and not run.has_paused:
                 streams_by_limit.setdefault(run.max_pause_ms, []).append(run_id)
-        for limit in {*streams_by_limit, *self._watches_by_limit}:
+        for limit in {*streams_by_limit, *self._trackers_by_limit}:
             streams = streams_by_limit.get(limit, [])
-            self.watch(limit).add(waiting, tokens, streams, now)
+            self.pause_tracker(limit).add_prompt(waiting, tokens, streams, now)
 
-    def note_pause(self, run_id: str, now: float) -> None:
-        """Note that a run has paused for too long."""
+    def record_pause(self, run_id: str, now: float) -> None:
+        """Record that a run has paused for too long."""
         run = self.runs_by_id.get(run_id)
         if run is None or run.has_paused:
             return
         run.has_paused = True
-        self.watch(run.max_pause_ms).note_pause(run_id, now)
+        self.pause_tracker(run.max_pause_ms).record_pause(run_id, now)
 
-    def learn_end(self, run: Run, now: float) -> None:
-        """Learn from a run that has come to its end."""
-        if not run.has_begun or not run.answer_tokens:
+    def record_answer_end(self, run: Run, now: float) -> None:
+        """Update the seconds per token from a run that has ended."""
+        if not run.is_streaming or not run.answer_tokens:
             return
-        seen = (now - run.begun_at) / run.answer_tokens
-        self._answers += 1
-        weight = self._weight(TOKEN_SECONDS_WEIGHT, self._answers)
-        self.seconds_per_token += weight * (seen - self.seconds_per_token)
+        observed = (now - run.first_event_at) / run.answer_tokens
+        self._answer_count += 1
+        weight = self._sample_weight(SECONDS_PER_TOKEN_WEIGHT, self._answer_count)
+        self.seconds_per_token += weight * (observed - self.seconds_per_token)
 
     def backlog_ms(self, now: float) -> float:
-        """Return how long it has to read the prompts that are still waiting."""
+        """Return the milliseconds needed to read the prompts that are waiting."""
         waiting = [run for run in self.runs_by_id.values() if run.is_waiting]
         if not waiting:
             return 0.0
         head = waiting[0]
-        reading_ms = (now - max(head.placed_at, self.begun_at)) * 1000.0
+        reading_ms = (now - max(head.placed_at, self.last_first_event_at)) * 1000.0
         backlog = sum(run.prefill_ms for run in waiting)
         backlog -= min(reading_ms, head.prefill_ms)
         overdue_ms = min(head.overdue_ms(now), MAX_OVERDUE_MS)
         return backlog * self.slowness_now(now) + overdue_ms
 
-    def pass_overdue(self, begun_id: str, now: float) -> None:
-        """Wait no longer for runs that are overdue and came before another."""
+    def mark_overtaken(self, started_id: str, now: float) -> None:
+        """Mark overdue runs that were placed before a run that has started."""
         for run_id, run in self.runs_by_id.items():
-            if run_id == begun_id:
+            if run_id == started_id:
                 return
-            if run.overdue_ms(now) > PASSED_MS:
-                run.is_passed = True
+            if run.overdue_ms(now) > OVERTAKEN_MS:
+                run.is_overtaken = True
 
     def record_first_event(self, run_id: str, run: Run, now: float) -> None:
-        """Note that a run has become a stream."""
-        run.has_begun = True
-        run.begun_at = now
-        self.begun_at = now
-        self.watch(run.max_pause_ms).record_first_event(run_id, now)
-
-    def learn(self, run: Run, took_ms: float, now: float) -> None:
-        """Learn from how long the first event of a run took."""
-        self._learn_speed(run, took_ms)
-        self._learn_slowness(run, took_ms, now)
-
-    def learn_from_no_event(self, run: Run, now: float) -> None:
-        """Learn from a run that nobody waited for any longer."""
+        """Record the first event of a run."""
+        run.is_streaming = True
+        run.first_event_at = now
+        self.last_first_event_at = now
+        self.pause_tracker(run.max_pause_ms).record_first_event(run_id, now)
+
+    def record_latency(self, run: Run, took_ms: float, now: float) -> None:
+        """Update the speed and slowness from the latency of a first event."""
+        self._update_speed(run, took_ms)
+        self._update_slowness(run, took_ms, now)
+
+    def record_missing_event(self, run: Run, now: float) -> None:
+        """Update the slowness from a run that ended without any event."""
         waited_ms = (now - run.placed_at) * 1000.0
         if waited_ms > run.expected_ms:
-            self._learn_slowness(run, waited_ms, now)
+            self._update_slowness(run, waited_ms, now)
 
     def expected_ms(self, uncached: int, now: float) -> float:
-        """Return when a prompt's first event would come, in milliseconds.
+        """Return the expected time until a prompt's first event, in milliseconds.
 
         Parameters
         ----------
         uncached
-            Tokens of the prompt that have to be read.
+            Tokens of the prompt that are not cached.
         """
         own_ms = self.reading.reading_ms(uncached) * self.slowness_now(now)
         return self.backlog_ms(now) + own_ms + self.reading.first_event_ms
 
-    def _learn_speed(self, run: Run, took_ms: float) -> None:
-        """Learn from a prompt that did not wait behind others."""
-        if run.waited_ms <= ALONE_MS:
-            self.reading.note(run.uncached, took_ms)
+    def _update_speed(self, run: Run, took_ms: float) -> None:
+        """Update the reading speed if the prompt did not wait behind others."""
+        if run.expected_wait_ms <= MAX_UNQUEUED_WAIT_MS:
+            self.reading.record_prompt(run.uncached, took_ms)
 
-    def _learn_slowness(self, run: Run, took_ms: float, now: float) -> None:
-        """Learn how much longer first events take than was expected."""
+    def _update_slowness(self, run: Run, took_ms: float, now: float) -> None:
+        """Update the slowness and its baseline from the latency of a first event."""
         first_event_ms = self.reading.first_event_ms
         reading_ms = run.expected_ms - first_event_ms
-        if reading_ms < TELLING_MS:
+        if reading_ms < MIN_INFORMATIVE_MS:
             return
         ratio = max(took_ms - first_event_ms, 0.0) / reading_ms
         before = run.slowness if self.tracks_transients else self.slowness
-        seen = min(max(before * ratio, MIN_SLOWNESS), MAX_SLOWNESS)
-        present = self.slowness_now(now)
-        self.slowness = present + SLOWNESS_WEIGHT * (seen - present)
+        observed = min(max(before * ratio, MIN_SLOWNESS), MAX_SLOWNESS)
+        current = self.slowness_now(now)
+        self.slowness = current + SLOWNESS_WEIGHT * (observed - current)
         self.slowness_at = now
-        self._first_events += 1
-        weight = self._weight(LASTING_WEIGHT, self._first_events)
-        self.lasting += weight * (seen - self.lasting)
+        self._first_event_count += 1
+        weight = self._sample_weight(BASELINE_WEIGHT, self._first_event_count)
+        self.baseline_slowness += weight * (observed - self.baseline_slowness)
 
-    def _weight(self, usual: float, count: int) -> float:
-        """Return what the newest of so many counts."""
-        return max(usual, 1.0 / (count + 1)) if self.tracks_transients else usual
+    def _sample_weight(self, weight: float, count: int) -> float:
+        """Return the weight of the latest of `count` samples."""
+        return max(weight, 1.0 / (count + 1)) if self.tracks_transients else weight
 
 
-def begin_like(state: EngineState, others: Iterable[EngineState]) -> None:
-    """Take an engine that is new for one like the others that are known."""
+def init_from_others(state: EngineState, others: Iterable[EngineState]) -> None:
+    """Start the speeds of a new engine at the medians of the known engines."""
     known = [other for other in others if other.reading.is_known]
     if not known:
         return
--- a/lynxchute/scheduling/newcomer.py
+++ b/lynxchute/scheduling/newcomer.py
@@ -1,4 +1,4 @@
-"""A request that needs an engine."""
+"""A request that is to be placed at an engine."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 @attrs.frozen
 class PendingRequest:
-    """A request that needs an engine.
+    """A request that is to be placed at an engine.
 
     Attributes
     ----------
     aims
-        What its answer must keep to.
+        Latency objectives of its answer.
     router
-        The process that sends it.
+        The router process that sends it.
     weight
-        What it counts where callers are weighed.
+        Its weight relative to other requests.
     """
 
     run_id: str
@@ -30,10 +30,10 @@
 
     @property
     def answer_tokens(self) -> int:
-        """Return the tokens that its answer is expected to have.
+        """Return the expected number of tokens of the answer.
 
-        Where its caller has no guess, half of what it may have.
+        This is half of the maximum if the caller gives no estimate.
         """
-        guess = self.generation.expected_output_tokens
-        most = self.generation.max_output_tokens
-        return most // 2 if guess is None else min(guess, most)
+        estimate = self.generation.expected_output_tokens
+        limit = self.generation.max_output_tokens
+        return limit // 2 if estimate is None else min(estimate, limit)
--- a/lynxchute/scheduling/news.py
+++ b/lynxchute/scheduling/news.py
@@ -1,4 +1,4 @@
-"""Tell scheduling routers what has become of the runs that they placed."""
+"""Report the progress of runs to the routers that placed them."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 from lynxchute.fleet.messages import RunNews, RunNewsRequest
 from lynxchute.telemetry import log_event
 
-# News of runs of this many seconds go out together.
-NEWS_SECONDS = 0.05
-# Seconds until news are told again to a router that did not take them.
-RETELL_SECONDS = 0.5
-# News that are kept for such a router: those of some seconds.
-MAX_KEPT_NEWS = 300
+# Seconds for which news is collected before it is sent in one message.
+BATCH_SECONDS = 0.05
+# Seconds until news is sent again after a failed delivery.
+RESEND_SECONDS = 0.5
+# Maximum number of undelivered items kept per router; some seconds of traffic.
+MAX_QUEUED_NEWS = 300
 
 
-class NewsOfRuns:
-    """Collect news of runs for other routers and tell them some at a time.
+class RunNewsSender:
+    """Collect news of runs and send it to other routers in batches.
 
     Parameters
     ----------
@@ -29,39 +29,45 @@
     def __init__(self, members: Members, peers: Peers) -> None:
         self._members = members
         self._peers = peers
-        self._news_by_vm: dict[str, list[RunNews]] = {}
-        self._is_any = asyncio.Event()
+        self._queue_by_vm: dict[str, list[RunNews]] = {}
+        self._has_news = asyncio.Event()
 
-    def post(self, vm: str, news: list[RunNews]) -> None:
-        """Have news told to a router."""
-        self._news_by_vm.setdefault(vm, []).extend(news)
-        self._is_any.set()
+    def enqueue(self, vm: str, news: list[RunNews]) -> None:
+        """Queue news for a router."""
+        self._queue_by_vm.setdefault(vm, []).extend(news)
+        self._has_news.set()
 
-    async def tell(self, patience: float) -> None:
-        """Tell what there is, or what comes within so many seconds."""
+    async def send_queued(self, max_wait: float) -> None:
+        """Send the queued news, or wait for some.
+
+        Parameters
+        ----------
+        max_wait
+            Seconds to wait for news if none is queued.
+        """
         try:
-            async with asyncio.timeout(patience):
-                await self._is_any.wait()
+            async with asyncio.timeout(max_wait):
+                await self._has_news.wait()
         except TimeoutError:
             return
-        self._is_any.clear()
-        await asyncio.sleep(NEWS_SECONDS)
-        await self._tell_all()
+        self._has_news.clear()
+        await asyncio.sleep(BATCH_SECONDS)
+        await self._send_all()
 
-    async def _tell_all(self) -> None:
-        """Send the news that wait for routers that can be reached."""
-        waiting, self._news_by_vm = self._news_by_vm, {}
-        tellings = []
-        for vm, news in waiting.items():
+    async def _send_all(self) -> None:
+        """Send the queued news to all reachable routers."""
+        queued, self._queue_by_vm = self._queue_by_vm, {}
+        sends = []
+        for vm, news in queued.items():
             if vm not in self._members.by_vm:
                 continue
             if self._members.is_reachable(vm):
-                tellings.append(self._tell(vm, news))
+                sends.append(self._send(vm, news))
             else:
-                self._keep(vm, news)
-        await asyncio.gather(*tellings)
+                self._requeue(vm, news)
+        await asyncio.gather(*sends)
 
-    async def _tell(self, vm: str, news: list[RunNews]) -> None:
+    async def _send(self, vm: str, news: list[RunNews]) -> None:
         try:
             await self._peers.ask(vm, RunNewsRequest(tuple(news)))
         except PeerUnreachable as error:
@@ -71,11 +77,11 @@
                 count=len(news),
                 reason=str(error),
             )
-            self._keep(vm, news)
+            self._requeue(vm, news)
 
-    def _keep(self, vm: str, news: list[RunNews]) -> None:
-        """Keep news for a router that may answer again."""
-        newer = self._news_by_vm.get(vm, [])
-        self._news_by_vm[vm] = [*news, *newer][-MAX_KEPT_NEWS:]
+    def _requeue(self, vm: str, news: list[RunNews]) -> None:
+        """Queue undelivered news again, up to a limit."""
+        newer = self._queue_by_vm.get(vm, [])
+        self._queue_by_vm[vm] = [*news, *newer][-MAX_QUEUED_NEWS:]
         loop = asyncio.get_running_loop()
-        loop.call_later(RETELL_SECONDS, self._is_any.set)
+        loop.call_later(RESEND_SECONDS, self._has_news.set)
--- a/lynxchute/scheduling/place_requests.py
+++ b/lynxchute/scheduling/place_requests.py
@@ -1,4 +1,4 @@
-"""The question where a generation should go, as it is asked and as it is read."""
+"""Conversion of placement queries between routers."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 def scheduling_key(service: str) -> str:
-    """Return the key by which routers agree on who decides for a service."""
+    """Return the rendezvous key that selects the scheduling router of a service."""
     return f"schedule {service}"
 
 
-def newcomer_of(request: PlaceRequest) -> PendingRequest:
-    """Return what a question asks a place for."""
+def pending_request(request: PlaceRequest) -> PendingRequest:
+    """Return the request that a placement query asks to place."""
     generation = Generation(
-        # A service's engines all have the model that the route names.
+        # All engines of a service have the model that the route names.
         model="",
         prompt_tokens=request.prompt_tokens,
         max_output_tokens=request.output_tokens,
--- a/lynxchute/scheduling/prefix_cache.py
+++ b/lynxchute/scheduling/prefix_cache.py
@@ -1,4 +1,4 @@
-"""A guess at which parts of prompts an engine still keeps."""
+"""Estimate which prompt parts an engine has in its prefix cache."""
 
 from __future__ import annotations
 
@@ -9,20 +9,19 @@
 
 
 class PrefixCache:
-    """Remember the parts that an engine has read, least recently used first out.
+    """Model the prefix cache of an engine with least-recently-used eviction.
 
-    A part can be used only where all parts before it are kept too, as engines
-    do it.
+    As in the engines, a part is usable only if all parts before it are cached as well.
 
     Parameters
     ----------
     capacity
-        Tokens that the engine's memory holds, for parts and running requests.
+        Tokens that the engine's memory holds for cached parts and running requests.
 
     Examples
     --------
     >>> cache = PrefixCache(capacity=100)
-    >>> cache.use((PromptPart("a", 40), PromptPart("b", 20)))
+    >>> cache.record_prompt((PromptPart("a", 40), PromptPart("b", 20)))
     >>> cache.cached_tokens((PromptPart("a", 40), PromptPart("c", 9)))
     40
     >>> cache.cached_tokens((PromptPart("c", 9), PromptPart("b", 20)))
@@ -35,34 +34,36 @@
         self._tokens_by_id: OrderedDict[str, int] = OrderedDict()
 
     def cached_tokens(self, parts: Sequence[PromptPart]) -> int:
-        """Return how many tokens at the start of a prompt need no reading."""
-        found = 0
+        """Return the number of cached tokens at the start of a prompt."""
+        cached = 0
         for part in parts:
             if part.id not in self._tokens_by_id:
-                return found
-            found += part.tokens
-        return found
+                return cached
+            cached += part.tokens
+        return cached
 
-    def use(self, parts: Sequence[PromptPart], *, occupied: int = 0) -> None:
-        """Note that a prompt's parts are read or used.
+    def record_prompt(
+        self, parts: Sequence[PromptPart], *, occupied_tokens: int = 0
+    ) -> None:
+        """Record that a prompt's parts were read or used.
 
         Parameters
         ----------
-        occupied
-            Tokens of the memory that running requests take besides.
+        occupied_tokens
+            Tokens of the memory that running requests occupy.
         """
-        # A part is of no use without those before it, which must not go first.
+        # Earlier parts must not be evicted first, since later parts depend on them.
         for part in reversed(parts):
             if part.id not in self._tokens_by_id:
                 self._tokens_by_id[part.id] = part.tokens
                 self.tokens += part.tokens
             self._tokens_by_id.move_to_end(part.id)
-        while self._tokens_by_id and self.tokens + occupied > self._capacity:
+        while self._tokens_by_id and self.tokens + occupied_tokens > self._capacity:
             _, tokens = self._tokens_by_id.popitem(last=False)
             self.tokens -= tokens
 
-    def learn(self, parts: Iterable[PromptPart]) -> None:
-        """Take parts that the engine says it keeps, as the least recently used."""
+    def add_reported(self, parts: Iterable[PromptPart]) -> None:
+        """Add parts that the engine reports as cached, as the least recently used."""
         for part in parts:
             if part.id in self._tokens_by_id:
                 continue
--- a/lynxchute/scheduling/rate_permits.py
+++ b/lynxchute/scheduling/rate_permits.py
@@ -1,4 +1,4 @@
-"""Let requests through to plain upstreams that name a limit, for all routers."""
+"""Fleet-wide send permits for plain upstreams that state a rate limit."""
 
 from __future__ import annotations
 
@@ -21,21 +21,22 @@
 from lynxchute.upstreams.permits import Permits
 from lynxchute.upstreams.rate_limits import RateLimits
 
-# Seconds that a request waits for a permit; a router within the region answers in a
-# few ms, and another upstream may well take it at once.
-ASK_SECONDS = 0.1
-# Seconds until a router that gave no answer is asked again.
-SILENT_SECONDS = 1.0
-# Seconds until it is asked again at the latest: by then the limit may be another one.
-MOST_AGAIN_SECONDS = 1.0
-# The same at least, so that each request to a throttled upstream is not a question.
-LEAST_AGAIN_SECONDS = 0.05
-# Throttled upstreams of which it is remembered when to ask again.
-MOST_REMEMBERED = 256
+# Timeout in seconds of a permit query. A router in the same region answers in a few ms,
+# and another upstream may accept the request at once.
+QUERY_TIMEOUT_SECONDS = 0.1
+# Seconds until the next query to a router that did not answer.
+SILENT_ROUTER_RETRY_SECONDS = 1.0
+# Maximum seconds until the next query for an upstream, as its limit may have changed.
+MAX_RETRY_SECONDS = 1.0
+# Minimum seconds until the next query, so that not every request to a throttled
+# upstream causes one.
+MIN_RETRY_SECONDS = 0.05
+# Number of stored retry times above which expired ones are removed.
+MAX_RETRY_TIMES = 256
 
 
 class RatePermits(Permits):
-    """Ask the first router for permits, or be that router.
+    """Request permits from the scheduling router, or issue them as that router.
 
     Parameters
     ----------
@@ -44,9 +45,9 @@
     directory
         The upstreams.
     rates
-        What this router may send and let through.
+        Quotas of this router, and permits that it may issue.
     clock
-        Seconds on the steady clock.
+        Returns monotonic time in seconds.
     """
 
     def __init__(
@@ -62,42 +63,48 @@
         self._directory = directory
         self._rates = rates
         self._clock = clock
-        self._again_at_by_process: dict[str, float] = {}
+        self._retry_at_by_process: dict[str, float] = {}
 
     def serve(self, server: PeerServer) -> None:
-        """Answer the questions of other routers."""
-        server.answers_by_class[PermitRequest] = self._serve
+        """Register the handler for permit queries of other routers."""
+        server.answers_by_class[PermitRequest] = self._handle_request
 
     async def ask(self, entry: Entry) -> float:
-        """Ask for one request; return until when it may be sent."""
+        """Request a permit for one request.
+
+        Returns
+        -------
+        float
+            Time until which the request may be sent, in seconds; 0 without a permit.
+        """
         asked_at = self._clock()
         process = entry.upstream.process
-        if asked_at < self._again_at_by_process.get(process, 0.0):
+        if asked_at < self._retry_at_by_process.get(process, 0.0):
             return 0.0
-        reply = await self._reply(entry)
+        reply = await self._request_permit(entry)
         if reply.is_admitted:
             return asked_at + PERMIT_SECONDS
-        again = min(max(reply.again_s, LEAST_AGAIN_SECONDS), MOST_AGAIN_SECONDS)
+        retry_after = min(max(reply.again_s, MIN_RETRY_SECONDS), MAX_RETRY_SECONDS)
         now = self._clock()
-        self._again_at_by_process[process] = now + again
-        self._forget_past(now)
+        self._retry_at_by_process[process] = now + retry_after
+        self._prune_retry_times(now)
         return 0.0
 
-    def _forget_past(self, now: float) -> None:
-        if len(self._again_at_by_process) < MOST_REMEMBERED:
+    def _prune_retry_times(self, now: float) -> None:
+        if len(self._retry_at_by_process) < MAX_RETRY_TIMES:
             return
-        for process, again_at in list(self._again_at_by_process.items()):
-            if again_at <= now:
-                del self._again_at_by_process[process]
+        for process, retry_at in list(self._retry_at_by_process.items()):
+            if retry_at <= now:
+                del self._retry_at_by_process[process]
 
-    async def _reply(self, entry: Entry) -> PermitReply:
+    async def _request_permit(self, entry: Entry) -> PermitReply:
         service = entry.upstream.service
         vm = self._members.first_for(scheduling_key(service))
         if vm == self._members.own.vm:
             return self._decide(entry)
         backpressure = known_backpressure(self._directory, service, self._clock())
         try:
-            async with asyncio.timeout(ASK_SECONDS):
+            async with asyncio.timeout(QUERY_TIMEOUT_SECONDS):
                 reply = await self._peers.ask(
                     vm, PermitRequest(entry.upstream.id, backpressure)
                 )
@@ -108,7 +115,7 @@
                 upstream=entry.upstream.id,
                 reason=str(error) or "too slow",
             )
-            return PermitReply(is_admitted=False, again_s=SILENT_SECONDS)
+            return PermitReply(is_admitted=False, again_s=SILENT_ROUTER_RETRY_SECONDS)
         merge_backpressure(self._directory, reply.backpressure, self._clock())
         return reply
 
@@ -118,16 +125,16 @@
             return PermitReply(is_admitted=True)
         rate = entry.backpressure.rate(now) or 0.0
         backpressure = known_backpressure(self._directory, entry.upstream.service, now)
-        # Whoever else asks meanwhile may get the next one.
+        # Another query may get the next permit before a retry of this one.
         return PermitReply(
             is_admitted=False,
-            again_s=1.0 / rate if rate else MOST_AGAIN_SECONDS,
+            again_s=1.0 / rate if rate else MAX_RETRY_SECONDS,
             backpressure=backpressure,
         )
 
-    async def _serve(self, request: PermitRequest) -> PermitReply:
+    async def _handle_request(self, request: PermitRequest) -> PermitReply:
         merge_backpressure(self._directory, request.backpressure, self._clock())
         entry = self._directory.entries_by_id.get(request.upstream)
         if entry is None:
-            return PermitReply(is_admitted=False, again_s=MOST_AGAIN_SECONDS)
+            return PermitReply(is_admitted=False, again_s=MAX_RETRY_SECONDS)
         return self._decide(entry)
--- a/lynxchute/scheduling/readings.py
+++ b/lynxchute/scheduling/readings.py
@@ -1,4 +1,4 @@
-"""What an engine has read of late, beside whom, and who paused meanwhile."""
+"""Recent prompt readings of an engine, and the pauses of concurrent streams."""
 
 from __future__ import annotations
 
@@ -8,134 +8,136 @@
 
 import attrs
 
-from lynxchute.scheduling.pauses import PauseRecord
+from lynxchute.scheduling.pauses import PauseStats
 from lynxchute.scheduling.reading_speed import ReadingSpeed
 
-# Seconds after a reading until its streams' pauses are known: an event that was
-# held up by it, and the news of that.
+# Seconds after a reading until all pauses that it caused have been reported: the time
+# for a delayed event and for the report.
 SETTLE_SECONDS = 0.6
-# Readings that are remembered; those of some seconds at the highest rates.
+# Maximum number of stored readings; some seconds at the highest rates.
 MAX_READINGS = 100
-# Seconds over which the readings of an engine fade from the rate of pauses: long enough
-# to see some long prompts on one of six engines that get eight a second, short enough
+# Time constant in seconds with which readings decay in the pause rate: long enough to
+# include some long prompts on one of six engines that get eight a second, short enough
 # to follow a burst.
-RATE_SECONDS = 8.0
-# Seconds for which a rate that was worked out is used again.
-RATE_AGE_SECONDS = 0.25
+RATE_WINDOW_SECONDS = 8.0
+# Seconds for which a computed pause rate is cached.
+RATE_CACHE_SECONDS = 0.25
 
 
 @attrs.define(eq=False)
 class Reading:
-    """A prompt that an engine reads, and who streams meanwhile.
+    """A prompt that an engine reads, and the streams that run meanwhile.
 
     Attributes
     ----------
-    at
-        When it was sent, in seconds.
-    waiting, tokens
-        Tokens to read before it, and those of its own.
-    until
-        When it should be over, in seconds.
+    sent_at
+        Time of the send, in seconds.
+    queued_tokens, tokens
+        Tokens to be read before it, and its own.
+    length
+        Its reading time as a multiple of the pause limit.
+    share
+        Estimated share of the concurrent streams that pause too long because of it.
+    done_at
+        Expected time of its end, in seconds.
     paused_by_stream
-        Whether each stream beside it has paused for too long since it began.
+        Whether each concurrent stream has paused for too long because of it.
     """
 
-    at: float
-    waiting: float
+    sent_at: float
+    queued_tokens: float
     tokens: int
     length: float
     share: float
-    until: float
+    done_at: float
     paused_by_stream: dict[str, bool]
 
 
-class PauseWatch:
-    """Learn how the streams of one engine with one longest pause fare.
+class PauseTracker:
+    """Track the pauses of an engine's streams that share a pause limit.
 
     Parameters
     ----------
     prior
-        What was seen at all engines.
+        Statistics of all engines of the service.
     speed
-        How fast the engine reads.
+        The reading speed of the engine.
     limit_ms
-        The longest pause that is on time, in milliseconds.
+        Maximum pause that counts as on time, in milliseconds.
     """
 
-    def __init__(
-        self, prior: PauseRecord, speed: ReadingSpeed, limit_ms: float
-    ) -> None:
-        self.record = PauseRecord(prior)
+    def __init__(self, prior: PauseStats, speed: ReadingSpeed, limit_ms: float) -> None:
+        self.stats = PauseStats(prior)
         self._speed = speed
         self._limit_ms = limit_ms
         self._unsettled: deque[Reading] = deque(maxlen=MAX_READINGS)
         self._recent: deque[Reading] = deque(maxlen=MAX_READINGS)
-        self._rate = 0.0
-        self._rate_at = -RATE_AGE_SECONDS
+        self._pause_rate = 0.0
+        self._pause_rate_at = -RATE_CACHE_SECONDS
 
-    def added_share(self, waiting: float, tokens: float) -> float:
-        """Return how many more of the streams pause with something to read.
+    def added_pause_share(self, queued_tokens: float, tokens: float) -> float:
+        """Return the additional share of streams that pause because of a prompt.
 
         Parameters
         ----------
-        waiting
-            Tokens that are still read before that. What has been read is past:
-            whoever has not paused beside it will not.
+        queued_tokens
+            Tokens still to be read before it. Prompts already read do not count: a
+            stream that has not paused during them will not do so any more.
         tokens
-            Its own.
+            Tokens of the prompt to read.
         """
-        before = self.record.share(self._length(waiting))
-        after = self.record.share(self._length(waiting + tokens))
+        before = self.stats.share(self._length(queued_tokens))
+        after = self.stats.share(self._length(queued_tokens + tokens))
         return max(after - before, 0.0)
 
-    def rate(self, now: float) -> float:
-        """Return how often a stream here pauses for too long, in pauses a second."""
-        if now - self._rate_at < RATE_AGE_SECONDS:
-            return self._rate
+    def pause_rate(self, now: float) -> float:
+        """Return the rate of too long pauses of one stream, in pauses per second."""
+        if now - self._pause_rate_at < RATE_CACHE_SECONDS:
+            return self._pause_rate
         weight = 0.0
         for reading in self._recent:
             share = reading.share
-            weight += share * math.exp((reading.at - now) / RATE_SECONDS)
-        self._rate, self._rate_at = weight / RATE_SECONDS, now
-        return self._rate
+            weight += share * math.exp((reading.sent_at - now) / RATE_WINDOW_SECONDS)
+        self._pause_rate, self._pause_rate_at = weight / RATE_WINDOW_SECONDS, now
+        return self._pause_rate
 
-    def add(
-        self, waiting: float, tokens: int, streams: Iterable[str], now: float
+    def add_prompt(
+        self, queued_tokens: float, tokens: int, streams: Iterable[str], now: float
     ) -> None:
-        """Note that a prompt is to be read.
+        """Record a prompt that is about to be read.
 
         Parameters
         ----------
-        waiting
-            Tokens that are still read before it.
+        queued_tokens
+            Tokens still to be read before it.
         streams
-            The runs beside it that have not paused for too long yet.
+            Ids of the concurrent runs that have not paused for too long yet.
         """
         self._settle(now)
-        until = now + self._speed.reading_ms(waiting + tokens) / 1000.0
-        beside = dict.fromkeys(streams, False)
-        share = self.added_share(waiting, tokens)
+        done_at = now + self._speed.reading_ms(queued_tokens + tokens) / 1000.0
+        concurrent = dict.fromkeys(streams, False)
+        share = self.added_pause_share(queued_tokens, tokens)
         reading = Reading(
-            now, waiting, tokens, self._length(tokens), share, until, beside
+            now, queued_tokens, tokens, self._length(tokens), share, done_at, concurrent
         )
         self._unsettled.append(reading)
         self._recent.append(reading)
 
     def record_first_event(self, stream: str, now: float) -> None:
-        """Note that a run has become a stream, beside what is read just now."""
+        """Record the first event of a run: it is concurrent with current readings."""
         for reading in self._unsettled:
-            if now < reading.until:
+            if now < reading.done_at:
                 reading.paused_by_stream[stream] = False
 
-    def note_pause(self, stream: str, now: float) -> None:
-        """Note that a stream has paused for too long."""
+    def record_pause(self, stream: str, now: float) -> None:
+        """Record that a stream has paused for too long."""
         self._settle(now)
-        beside = [r for r in self._unsettled if stream in r.paused_by_stream]
-        if not beside:
+        concurrent = [r for r in self._unsettled if stream in r.paused_by_stream]
+        if not concurrent:
             return
-        # The largest one is the likeliest cause; the others tell nothing.
-        largest = max(beside, key=lambda reading: reading.tokens)
-        for reading in beside:
+        # The largest prompt is the most likely cause; the others are no samples.
+        largest = max(concurrent, key=lambda reading: reading.tokens)
+        for reading in concurrent:
             if reading is not largest:
                 del reading.paused_by_stream[stream]
         largest.paused_by_stream[stream] = True
@@ -146,9 +148,9 @@
     def _settle(self, now: float) -> None:
         while self._unsettled:
             first = self._unsettled[0]
-            if now <= first.until + SETTLE_SECONDS:
+            if now <= first.done_at + SETTLE_SECONDS:
                 return
             self._unsettled.popleft()
             length = first.length
             for paused in first.paused_by_stream.values():
-                self.record.note(length, paused=paused)
+                self.stats.record_stream(length, paused=paused)
--- a/lynxchute/scheduling/scheduler.py
+++ b/lynxchute/scheduling/scheduler.py
@@ -1,4 +1,4 @@
-"""Ask the router that schedules a service's engines, or be that router."""
+"""Place generations through the scheduling router, or as that router."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 from lynxchute.fleet.server import PeerServer
 from lynxchute.http import LinkMeter
 from lynxchute.overload.claim import AdmissionPending, AdmissionRefused
-from lynxchute.scheduling.alone import two_at_random, with_most_room
-from lynxchute.scheduling.asking import Asking
+from lynxchute.scheduling.alone import least_loaded, sample_candidates
+from lynxchute.scheduling.asking import PlacementClient
 from lynxchute.scheduling.cold_placements import ColdPlacementLimiter
-from lynxchute.scheduling.news import NewsOfRuns
+from lynxchute.scheduling.news import RunNewsSender
 from lynxchute.scheduling.place_requests import scheduling_key
 from lynxchute.scheduling.placing import EnginePlacing
 from lynxchute.scheduling.turns import AdmissionQueue
@@ -42,20 +42,21 @@
 from lynxchute.upstreams.send_gate import SendGate
 from lynxchute.upstreams.upstream import Upstream
 
-TIDY_SECONDS = 5.0
-# Engines that are asked for their caches at once: each takes a connection, and 3,000
-# together would have more than a small VM may open.
-ASKED_AT_ONCE = 100
-# Milliseconds after which a caller should be back whose router has filled its part of
-# all engines: as long as it takes to reach another router.
-OWN_RETRY_MS = 50.0
+CLEANUP_INTERVAL_SECONDS = 5.0
+# Maximum number of concurrent cache queries. Each one uses a connection, and queries to
+# 3,000 engines would exceed the connection limit of a small VM.
+MAX_CACHE_QUERIES = 100
+# Retry delay in milliseconds for requests refused because this router has used up its
+# share of all engines: about the time that it takes to reach another router.
+LOCAL_RETRY_MS = 50.0
 
 
 class Scheduler(Background, Placement):
-    """Place generations with the load of the whole fleet in view.
+    """Place generations by the load of the whole fleet.
 
-    One router of those that can be reached does it for all, named by
-    rendezvous hashing; where it does not answer, the own knowledge decides.
+    For each service, rendezvous hashing selects one of the reachable routers as its
+    scheduling router, which places the requests of all routers. If it does not answer,
+    this router places requests by its own knowledge.
 
     Parameters
     ----------
@@ -64,25 +65,25 @@
     directory
         The upstreams.
     traits_of
-        Returns what the engines of a service can do, where it is known.
+        Returns the capabilities of a service's engines, or None if unknown.
     engines
-        Asked for what they keep when this router begins to schedule them.
+        Queried for cached prompt parts when this router begins to schedule an engine.
     gate
-        Tells which upstreams get nothing new.
+        Decides which upstreams may not receive new requests.
     cold
-        Says what may be placed at engines that are cold.
+        Limits the requests placed at cold engines.
     meter
-        Tells how long questions wait for the VM's link.
+        Estimates how long messages wait for the VM's network link.
     clock
-        Seconds on the steady clock.
+        Returns monotonic time in seconds.
     turns
-        Says who waits where engines are full; None where nothing waits, and a router
-        alone goes by its own figures.
+        Admission queue for requests that find all engines full. If None, requests are
+        not queued, and a router that places locally uses its own load estimates.
 
     Attributes
     ----------
     neighbourhood
-        Says which engines are looked at for a request, here and where it is asked for.
+        Selects the engines considered for a request, here and at other routers.
     """
 
     def __init__(
@@ -114,36 +115,37 @@
         self._random = random.Random()
         self._tasks = Tasks()
         self._clock = clock
-        self._news = NewsOfRuns(members, peers)
-        self._asking = Asking(
+        self._news_sender = RunNewsSender(members, peers)
+        self._placement_client = PlacementClient(
             members,
             peers,
             directory,
             self.neighbourhood,
             gate,
-            self._news,
+            self._news_sender,
             meter,
             clock,
             may_wait=turns is not None,
         )
-        self._cache_questions = asyncio.Semaphore(ASKED_AT_ONCE)
+        self._cache_queries = asyncio.Semaphore(MAX_CACHE_QUERIES)
         self._scheduler_by_run: dict[str, str] = {}
 
     async def stop(self) -> None:
-        """End at once."""
+        """Stop the background tasks."""
         await super().stop()
         await self._tasks.stop()
 
     def refresh(self) -> None:
-        """Learn what new engines keep, where this router schedules them.
+        """Update the state after a change of routers, upstreams or configuration.
 
-        Runs of routers that are gone are forgotten.
+        Query new engines scheduled here for their cached prompt parts, and discard the
+        runs of routers that are gone.
         """
         members = self._members.by_vm.values()
         incarnations = {member.incarnation for member in members}
-        self.board.keep_runs_of(incarnations)
+        self.board.prune_runs(incarnations)
         if self.placing.turns is not None:
-            self.placing.turns.keep_routers(incarnations)
+            self.placing.turns.update_routers(incarnations)
         by_service: dict[str, list[Entry]] = {}
         for entry in self._directory.entries_by_id.values():
             if self.placing.takes_work(entry):
@@ -156,31 +158,31 @@
                 continue
             own = self._members.own.data_centre
             candidates = self.placing.candidates(entries, own)
-            for upstream_id in self.board.unknown(candidates):
+            for upstream_id in self.board.track_new(candidates):
                 entry = self._directory.entries_by_id[upstream_id]
-                # The question is one more request, and can be put later.
+                # The query counts as a request to the engine and can be sent later.
                 if self._gate.may_be_asked(entry, self._clock()):
-                    self._tasks.spawn(self._learn_cache(entry.upstream))
+                    self._tasks.spawn(self._load_cache(entry.upstream))
 
     def discard_upstream(self, upstream: Upstream) -> None:
-        """Keep nothing of an engine whose process has started again."""
+        """Discard the state of an engine whose process has restarted."""
         self.board.discard_upstream(upstream.id)
 
-    async def _learn_cache(self, upstream: Upstream) -> None:
+    async def _load_cache(self, upstream: Upstream) -> None:
         try:
-            async with self._cache_questions:
+            async with self._cache_queries:
                 parts = await self._engines.cached_parts(upstream)
         except EngineUnavailable as error:
             log_event("engine did not list its cache", reason=str(error))
             return
-        self.board.learn_cache(upstream.id, parts)
+        self.board.add_cached_parts(upstream.id, parts)
         tokens = sum(part.tokens for part in parts)
         log_event("engine cache contents received", upstream=upstream.id, tokens=tokens)
 
     def serve(self, server: PeerServer) -> None:
-        """Answer the questions of other routers."""
+        """Register the handlers for messages of other routers."""
         server.answers_by_class[PlaceRequest] = self._handle_place_request
-        server.answers_by_class[RunNewsRequest] = self._serve_news
+        server.answers_by_class[RunNewsRequest] = self._handle_run_news
 
     async def choose(
         self,
@@ -189,13 +191,15 @@
         candidates: Sequence[Entry],
         aims: Aims = NO_AIMS,
     ) -> Choice | None:
-        """Return one of the candidates; None where all of them have had enough."""
+        """Return the chosen candidate, or None if none may receive the request."""
         assert generation is not None
         asked_at = self._clock()
         by_id = {entry.upstream.id: entry for entry in candidates}
         service = candidates[0].upstream.service
-        request = self._asking.request(run_id, service, generation, by_id, aims)
-        vm, reply = await self._reply(request, candidates)
+        request = self._placement_client.build_request(
+            run_id, service, generation, by_id, aims
+        )
+        vm, reply = await self._decide(request, candidates)
         if reply.wait_ms or reply.upstream:
             self._scheduler_by_run[run_id] = vm
         if reply.wait_ms:
@@ -217,122 +221,126 @@
             and not self.is_scheduler_for(service),
         )
 
-    async def _reply(
+    async def _decide(
         self, request: PlaceRequest, candidates: Sequence[Entry]
     ) -> tuple[str, PlaceReply]:
-        """Return the VM that decides on a request, and what it says."""
-        vm, reply = await self._asking.ask(
+        """Return the VM that decides on a request, and its reply."""
+        vm, reply = await self._placement_client.query(
             request, has_waited=request.run_id in self._scheduler_by_run
         )
         if reply is not None:
-            # Whoever schedules may know of cold engines what this one does not.
+            # The scheduling router may know of cold engines that this one does not.
             if reply.is_refused or reply.wait_ms or reply.retry_ms:
                 return vm, reply
             if reply.upstream in [entry.upstream.id for entry in candidates]:
                 return vm, reply
         own, service = self._members.own.vm, request.service
-        if self.placing.turns and not self._asking.schedules_for_others(service):
-            return own, self._place_alone(request, candidates)
+        if self.placing.turns and not self._placement_client.is_scheduling_for_others(
+            service
+        ):
+            return own, self._place_locally(request, candidates)
         return own, self.placing.decide(request, candidates)
 
-    def _place_alone(
+    def _place_locally(
         self, request: PlaceRequest, candidates: Sequence[Entry]
     ) -> PlaceReply:
-        """Place by what the engines say of themselves and what is open here."""
+        """Place a request by the engines' reports and this router's open requests."""
         now = self._clock()
-        compared = two_at_random(candidates, self._random)
-        if not compared:
+        sampled = sample_candidates(candidates, self._random)
+        if not sampled:
             log_event(
                 "router has filled its share of all engines",
                 request_id=request.run_id,
                 engines=len(candidates),
                 open_here=sum(entry.open_requests for entry in candidates),
             )
-            return PlaceReply("", retry_ms=OWN_RETRY_MS)
-        reply = self.placing.place(request, with_most_room(compared, now))
+            return PlaceReply("", retry_ms=LOCAL_RETRY_MS)
+        reply = self.placing.place(request, least_loaded(sampled, now))
         if not reply.upstream:
-            # Both are cold or throttled.
+            # All sampled engines are cold or throttled.
             reply = self.placing.place(request, candidates)
-        # What is expected here leaves out all that others send there.
+        # The expected latency would ignore the requests of other routers.
         return attrs.evolve(reply, expected_ms=0.0)
 
     def record_first_event(
         self, run_id: str, upstream_id: str, *, took_ms: float
     ) -> None:
-        """Note the first event of a run, so many milliseconds after its send."""
-        self._note(run_id, upstream_id, RunStage.BEGUN, round(took_ms, 1))
+        """Record the first event of a run, `took_ms` milliseconds after its send."""
+        self._report_stage(run_id, upstream_id, RunStage.BEGUN, round(took_ms, 1))
 
     def record_pause(self, run_id: str, upstream_id: str) -> None:
-        """Note that a stream has paused for longer than is on time."""
-        self._note(run_id, upstream_id, RunStage.PAUSED)
+        """Record that a stream has paused for longer than allowed."""
+        self._report_stage(run_id, upstream_id, RunStage.PAUSED)
 
     def record_end(self, run_id: str, upstream_id: str, *, failed: bool) -> None:
-        """Note that an engine no longer works on a run."""
+        """Record that an engine no longer works on a run."""
         stage = RunStage.FAILED if failed else RunStage.ENDED
         if not upstream_id:
-            # It has waited for a place and got none.
+            # The request was queued and has not been placed.
             stage = RunStage.UNPLACED
-        self._note(run_id, upstream_id, stage)
+        self._report_stage(run_id, upstream_id, stage)
         self._scheduler_by_run.pop(run_id, None)
 
-    def _note(
+    def _report_stage(
         self, run_id: str, upstream_id: str, stage: RunStage, took_ms: float = 0.0
     ) -> None:
         vm = self._scheduler_by_run.get(run_id, self._members.own.vm)
         news = RunNews(run_id, upstream_id, stage, took_ms)
         if vm == self._members.own.vm:
-            self._take(news)
+            self._apply_news(news)
             return
-        self._news.post(vm, [news])
+        self._news_sender.enqueue(vm, [news])
 
     def is_scheduler_for(self, service: str) -> bool:
-        """Return whether this router places a service's requests."""
+        """Return whether this router is the scheduling router of a service."""
         return self._scheduling_vm(service) == self._members.own.vm
 
     def _scheduling_vm(self, service: str) -> str:
         return self._members.first_for(scheduling_key(service))
 
-    async def _serve_news(self, request: RunNewsRequest) -> Done:
+    async def _handle_run_news(self, request: RunNewsRequest) -> Done:
         for news in request.news:
-            self._take(news)
+            self._apply_news(news)
         return Done()
 
     async def _handle_place_request(self, request: PlaceRequest) -> PlaceReply:
-        self._asking.asked_at = self._clock()
-        return await self.placing.serve(request)
+        self._placement_client.last_queried_at = self._clock()
+        return await self.placing.handle_request(request)
 
-    def _take(self, news: RunNews) -> None:
+    def _apply_news(self, news: RunNews) -> None:
         turns = self.placing.turns
         if news.stage is RunStage.UNPLACED:
-            self.board.drop(news.run_id)
+            self.board.discard_run(news.run_id)
             if turns is not None:
-                turns.drop(news.run_id)
+                turns.discard(news.run_id)
             return
         if news.stage is RunStage.BEGUN:
             took_ms = news.took_ms
-            self.board.begun(news.upstream, news.run_id, self._clock(), took_ms=took_ms)
+            self.board.record_first_event(
+                news.upstream, news.run_id, self._clock(), took_ms=took_ms
+            )
             return
         if news.stage is RunStage.PAUSED:
-            self.board.paused(news.upstream, news.run_id, self._clock())
+            self.board.record_pause(news.upstream, news.run_id, self._clock())
             return
         entry = self._directory.entries_by_id.get(news.upstream)
         if turns is not None and entry is not None:
             turns.record_freed(entry.upstream.service, self._clock())
         if news.stage is RunStage.FAILED:
-            self.board.failed(news.upstream, news.run_id, self._clock())
+            self.board.record_failure(news.upstream, news.run_id, self._clock())
             return
-        self.board.ended(news.upstream, news.run_id, self._clock())
+        self.board.record_end(news.upstream, news.run_id, self._clock())
 
     async def _run(self) -> None:
-        tidied_at = self._clock()
+        cleaned_at = self._clock()
         while True:
-            await self._news.tell(TIDY_SECONDS)
-            if self._clock() - tidied_at < TIDY_SECONDS:
+            await self._news_sender.send_queued(CLEANUP_INTERVAL_SECONDS)
+            if self._clock() - cleaned_at < CLEANUP_INTERVAL_SECONDS:
                 continue
-            tidied_at = self._clock()
-            self.board.keep_only(self._directory.entries_by_id, tidied_at)
+            cleaned_at = self._clock()
+            self.board.prune(self._directory.entries_by_id, cleaned_at)
             entries_by_id = self._directory.entries_by_id
-            self._cold.keep_only(entries_by_id)
+            self._cold.prune(entries_by_id)
             if self.placing.turns is not None:
                 services = {e.upstream.service for e in entries_by_id.values()}
-                self.placing.turns.keep_services(services)
+                self.placing.turns.prune_services(services)
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -7,14 +7,18 @@
 from lynxchute.scheduling.board import Candidate, EngineBoard
 from lynxchute.scheduling.caller_weights import CallerWeights
 from lynxchute.scheduling.crowding import (
-    LateCallers,
+    ExpectedLateCost,
     LoadAdaptiveCost,
-    late_share,
+    late_probability,
 )
 from lynxchute.scheduling.newcomer import PendingRequest
-from lynxchute.scheduling.pauses import PauseRecord
+from lynxchute.scheduling.pauses import PauseStats
 from lynxchute.scheduling.reading_speed import ReadingSpeed
-from lynxchute.scheduling.readings import RATE_AGE_SECONDS, SETTLE_SECONDS, PauseWatch
+from lynxchute.scheduling.readings import (
+    RATE_CACHE_SECONDS,
+    SETTLE_SECONDS,
+    PauseTracker,
+)
 from lynxchute.upstreams.aims import Aims
 from lynxchute.upstreams.generation import Generation, PromptPart
 
@@ -23,7 +27,7 @@
 LONG, SHORT = 16_000, 500
 
 
-def newcomer(run_id, tokens, output=300):
+def pending_request(run_id, tokens, output=300):
     parts = (PromptPart(f"own.{run_id}", tokens),)
     return PendingRequest(run_id, Generation("m", tokens, output, parts, output), AIMS)
 
@@ -34,78 +38,81 @@
 
 class PauseRecordTest(testtools.TestCase):
     def test_what_is_not_known_is_supposed_by_length(self):
-        record = PauseRecord()
-        shares = [record.share(length) for length in (0.0, 0.5, 0.7, 1.5, 3.0, 20.0)]
+        stats = PauseStats()
+        shares = [stats.share(length) for length in (0.0, 0.5, 0.7, 1.5, 3.0, 20.0)]
         self.assertEqual(0.0, shares[2])
         self.assertEqual(sorted(shares), shares)
         self.assertEqual(1.0, shares[-1])
 
     def test_what_is_seen_goes_before_what_is_supposed(self):
-        record = PauseRecord()
+        stats = PauseStats()
         for _ in range(50):
-            record.note(1.0, paused=True)
-            record.note(4.0, paused=False)
-        self.assertGreater(record.share(1.0), 0.9)
-        self.assertLess(record.share(4.0), 0.15)
+            stats.record_stream(1.0, paused=True)
+            stats.record_stream(4.0, paused=False)
+        self.assertGreater(stats.share(1.0), 0.9)
+        self.assertLess(stats.share(4.0), 0.15)
 
     def test_a_new_engine_is_taken_for_one_like_the_others(self):
-        usual = PauseRecord()
-        seen = PauseRecord(usual)
+        service_stats = PauseStats()
+        seen = PauseStats(service_stats)
         for _ in range(50):
-            seen.note(1.0, paused=True)
-        other = PauseRecord(usual)
+            seen.record_stream(1.0, paused=True)
+        other = PauseStats(service_stats)
         self.assertGreater(other.share(1.0), 0.8)
         for _ in range(20):
-            other.note(1.0, paused=False)
+            other.record_stream(1.0, paused=False)
         self.assertLess(other.share(1.0), 0.3)
         self.assertGreater(seen.share(1.0), other.share(1.0))
 
     def test_an_engine_that_has_changed_is_learned_anew(self):
-        record = PauseRecord()
+        stats = PauseStats()
         for _ in range(500):
-            record.note(1.0, paused=True)
+            stats.record_stream(1.0, paused=True)
         for _ in range(200):
-            record.note(1.0, paused=False)
-        self.assertLess(record.share(1.0), 0.1)
+            stats.record_stream(1.0, paused=False)
+        self.assertLess(stats.share(1.0), 0.1)
 
 
 class PauseWatchTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
         speed = ReadingSpeed(tokens_per_ms=20.0)
-        self.watch = PauseWatch(PauseRecord(), speed, LIMIT_MS)
+        self.pause_tracker = PauseTracker(PauseStats(), speed, LIMIT_MS)
 
     def settle(self, now):
         """Read something that no stream is beside, long after."""
-        self.watch.add(0.0, 1, (), now + SETTLE_SECONDS + 10.0)
+        self.pause_tracker.add_prompt(0.0, 1, (), now + SETTLE_SECONDS + 10.0)
 
     def test_the_largest_reading_is_taken_for_the_cause(self):
         # One and four times the allowed pause.
-        self.watch.add(0.0, 6_000, ("s",), 0.0)
-        self.watch.add(0.0, 24_000, ("s",), 0.1)
-        before = self.watch.record.share(1.0), self.watch.record.share(4.0)
-        self.watch.note_pause("s", 0.5)
+        self.pause_tracker.add_prompt(0.0, 6_000, ("s",), 0.0)
+        self.pause_tracker.add_prompt(0.0, 24_000, ("s",), 0.1)
+        before = (
+            self.pause_tracker.stats.share(1.0),
+            self.pause_tracker.stats.share(4.0),
+        )
+        self.pause_tracker.record_pause("s", 0.5)
         self.settle(1.0)
-        self.assertEqual(before[0], self.watch.record.share(1.0))
-        self.assertGreaterEqual(self.watch.record.share(4.0), before[1])
+        self.assertEqual(before[0], self.pause_tracker.stats.share(1.0))
+        self.assertGreaterEqual(self.pause_tracker.stats.share(4.0), before[1])
 
     def test_streams_that_did_not_pause_count_as_well(self):
         for number in range(30):
-            self.watch.add(0.0, 12_000, ("s", "t"), number * 3.0)
+            self.pause_tracker.add_prompt(0.0, 12_000, ("s", "t"), number * 3.0)
         self.settle(90.0)
-        self.assertLess(self.watch.record.share(2.0), 0.1)
+        self.assertLess(self.pause_tracker.stats.share(2.0), 0.1)
 
     def test_a_run_that_becomes_a_stream_meanwhile_is_beside_it(self):
-        self.watch.add(0.0, 24_000, (), 0.0)
-        self.watch.record_first_event("late", 0.2)
-        self.watch.note_pause("late", 0.9)
+        self.pause_tracker.add_prompt(0.0, 24_000, (), 0.0)
+        self.pause_tracker.record_first_event("late", 0.2)
+        self.pause_tracker.record_pause("late", 0.9)
         self.settle(2.0)
-        supposed = PauseRecord().share(4.0)
-        self.assertGreaterEqual(self.watch.record.share(4.0), supposed)
-        self.assertGreater(self.watch.record._streams[-3], 0.9)
+        supposed = PauseStats().share(4.0)
+        self.assertGreaterEqual(self.pause_tracker.stats.share(4.0), supposed)
+        self.assertGreater(self.pause_tracker.stats._streams[-3], 0.9)
 
     def test_what_has_been_read_harms_nobody(self):
-        added = self.watch.added_share
+        added = self.pause_tracker.added_pause_share
         self.assertGreater(added(0.0, 18_000), 0.9)
         # Behind so much, everybody has paused already.
         self.assertLess(added(40_000.0, 18_000), 0.1)
@@ -115,52 +122,56 @@
 
     def test_the_rate_of_pauses_follows_what_is_read(self):
         for number in range(24):
-            self.watch.add(0.0, 24_000, (), number * 1.0)
-        often = self.watch.rate(24.0)
+            self.pause_tracker.add_prompt(0.0, 24_000, (), number * 1.0)
+        often = self.pause_tracker.pause_rate(24.0)
         self.assertAlmostEqual(1.0, often, delta=0.2)
-        self.assertLess(self.watch.rate(60.0), 0.1 * often)
+        self.assertLess(self.pause_tracker.pause_rate(60.0), 0.1 * often)
         # It is worked out anew only now and then.
-        self.watch.add(0.0, 24_000, (), 60.0)
-        self.assertEqual(self.watch.rate(60.0), self.watch.rate(60.1))
-        self.assertGreater(self.watch.rate(60.0 + RATE_AGE_SECONDS), 0.1)
+        self.pause_tracker.add_prompt(0.0, 24_000, (), 60.0)
+        self.assertEqual(
+            self.pause_tracker.pause_rate(60.0), self.pause_tracker.pause_rate(60.1)
+        )
+        self.assertGreater(
+            self.pause_tracker.pause_rate(60.0 + RATE_CACHE_SECONDS), 0.1
+        )
 
 
-class LateShareTest(testtools.TestCase):
+class LateProbabilityTest(testtools.TestCase):
     def test_it_grows_with_what_is_expected(self):
-        shares = [late_share(ms, 1_000.0) for ms in (0.0, 500.0, 800.0, 1_500.0)]
+        shares = [late_probability(ms, 1_000.0) for ms in (0.0, 500.0, 800.0, 1_500.0)]
         self.assertEqual(sorted(shares), shares)
         self.assertLess(shares[1], 0.15)
-        self.assertEqual(1.0, late_share(10.0, 0.0))
-        self.assertEqual(0.0, late_share(1e9, math.inf))
+        self.assertEqual(1.0, late_probability(10.0, 0.0))
+        self.assertEqual(0.0, late_probability(1e9, math.inf))
 
 
 class CallerWeightsTest(testtools.TestCase):
     def test_callers_count_by_what_they_pay_for(self):
         weights = CallerWeights()
-        small = weights.of(newcomer("a", 700))
+        small = weights.weight_of(pending_request("a", 700))
         self.assertEqual(1.0, small)
-        large = weights.of(newcomer("b", 9_700))
+        large = weights.weight_of(pending_request("b", 9_700))
         self.assertGreater(large, 5.0)
         for _ in range(200):
-            large = weights.of(newcomer("b", 9_700))
+            large = weights.weight_of(pending_request("b", 9_700))
         self.assertLess(large, 1.1)
 
 
-class LateCallersTest(testtools.TestCase):
+class ExpectedLateCostTest(testtools.TestCase):
     """Two engines; streams run on the first one."""
 
     def setUp(self):
         super().setUp()
-        self.board = EngineBoard(LateCallers())
+        self.board = EngineBoard(ExpectedLateCost())
         self.streams = [f"s{number}" for number in range(8)]
         for number, run_id in enumerate(self.streams):
             now = number * 0.01
             self.place(run_id, SHORT, now, "e1")
-            self.board.begun("e1", run_id, now + 0.05, took_ms=50.0)
+            self.board.record_first_event("e1", run_id, now + 0.05, took_ms=50.0)
 
     def place(self, run_id, tokens, now, *ids):
         found = candidates(*(ids or ("e1", "e2")))
-        return self.board.place(newcomer(run_id, tokens), found, now).upstream_id
+        return self.board.place(pending_request(run_id, tokens), found, now).upstream_id
 
     def test_a_long_prompt_goes_where_nobody_streams(self):
         self.assertEqual("e2", self.place("long", LONG, 1.0))
@@ -169,15 +180,15 @@
         weight = self.board.engines_by_id["e1"].weight_by_limit()[LIMIT_MS]
         self.assertGreater(weight, 5.0)
         for run_id in self.streams:
-            self.board.paused("e1", run_id, 1.0)
+            self.board.record_pause("e1", run_id, 1.0)
         self.assertEqual({}, self.board.engines_by_id["e1"].weight_by_limit())
 
     def test_a_stream_goes_where_long_prompts_are_rare(self):
         for number in range(6):
             run_id = f"long{number}"
             self.place(run_id, LONG, 1.0 + number, "e2")
-            self.board.begun("e2", run_id, 1.9 + number, took_ms=900.0)
-            self.board.ended("e2", run_id, 1.95 + number)
+            self.board.record_first_event("e2", run_id, 1.9 + number, took_ms=900.0)
+            self.board.record_end("e2", run_id, 1.95 + number)
         self.assertEqual("e1", self.place("stream", SHORT, 8.0))
 
     def test_an_engine_that_pauses_seldom_is_given_long_prompts_beside_streams(self):
@@ -185,33 +196,33 @@
             now = 1.0 + 3 * number
             run_id = f"long{number}"
             self.place(run_id, LONG, now, "e1")
-            self.board.begun("e1", run_id, now + 0.9, took_ms=900.0)
-            self.board.ended("e1", run_id, now + 1.0)
-        learned = self.board.engines_by_id["e1"].watch(LIMIT_MS).record
+            self.board.record_first_event("e1", run_id, now + 0.9, took_ms=900.0)
+            self.board.record_end("e1", run_id, now + 1.0)
+        learned = self.board.engines_by_id["e1"].pause_tracker(LIMIT_MS).stats
         self.assertLess(learned.share(LONG / 20.0 / LIMIT_MS), 0.2)
 
     def test_a_run_that_is_not_known_pauses_nowhere(self):
-        self.board.paused("e1", "unknown", 1.0)
-        self.board.paused("e9", "s0", 1.0)
+        self.board.record_pause("e1", "unknown", 1.0)
+        self.board.record_pause("e9", "s0", 1.0)
         self.assertFalse(self.board.engines_by_id["e1"].runs_by_id["s0"].has_paused)
 
 
-class StrainTest(testtools.TestCase):
+class OverloadTest(testtools.TestCase):
     def test_engines_that_cannot_keep_up_are_placed_on_by_length(self):
-        crowding = LoadAdaptiveCost()
+        cost = LoadAdaptiveCost()
         for number in range(20):
-            crowding.record_placement(newcomer(str(number), SHORT), 3_000.0)
-        self.assertTrue(crowding.is_strained)
+            cost.record_placement(pending_request(str(number), SHORT), 3_000.0)
+        self.assertTrue(cost.is_overloaded)
         for number in range(200):
-            crowding.record_placement(newcomer(str(number), SHORT), 100.0)
-        self.assertFalse(crowding.is_strained)
+            cost.record_placement(pending_request(str(number), SHORT), 100.0)
+        self.assertFalse(cost.is_overloaded)
 
     def test_a_few_late_ones_are_no_strain(self):
-        crowding = LoadAdaptiveCost()
+        cost = LoadAdaptiveCost()
         for number in range(300):
             expected_ms = 3_000.0 if number % 40 == 0 else 100.0
-            crowding.record_placement(newcomer(str(number), SHORT), expected_ms)
-        self.assertFalse(crowding.is_strained)
+            cost.record_placement(pending_request(str(number), SHORT), expected_ms)
+        self.assertFalse(cost.is_overloaded)
 
 
 class ReadingSpeedTest(testtools.TestCase):
@@ -219,11 +230,11 @@
         speed = ReadingSpeed()
         before = speed.tokens_per_ms
         for _ in range(50):
-            speed.note(400, 35.0 + 400 / 5.0)
+            speed.record_prompt(400, 35.0 + 400 / 5.0)
         self.assertEqual(before, speed.tokens_per_ms)
 
     def test_the_first_long_prompts_are_believed_soonest(self):
         speed = ReadingSpeed()
         for _ in range(4):
-            speed.note(8_000, 35.0 + 8_000 / 10.0)
+            speed.record_prompt(8_000, 35.0 + 8_000 / 10.0)
         self.assertLess(speed.tokens_per_ms, 13.0)
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -127,10 +127,10 @@
             PendingRequest("r1.0", generation, NO_AIMS, "run"), [candidate], 1.0
         )
         board.discard_upstream("i-1")
-        board.unknown([candidate])
-        board.failed("i-1", "r1.0", 2.0)
-        board.begun("i-1", "r1.0", 2.0)
-        board.ended("i-1", "r1.0", 2.0)
+        board.track_new([candidate])
+        board.record_failure("i-1", "r1.0", 2.0)
+        board.record_first_event("i-1", "r1.0", 2.0)
+        board.record_end("i-1", "r1.0", 2.0)
         state = board.engines_by_id["i-1"]
         self.assertEqual((0.0, {}), (state.avoided_until, state.runs_by_id))
         self.assertEqual(0, state.cache.cached_tokens(generation.parts))
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -46,14 +46,14 @@
 
 class BoardTest(testtools.TestCase):
     def place(self, board, run_id, now, *ids, **more):
-        newcomer = PendingRequest(run_id, generation(**more))
-        return board.place(newcomer, candidates(*(ids or ("e1",))), now)
+        request = PendingRequest(run_id, generation(**more))
+        return board.place(request, candidates(*(ids or ("e1",))), now)
 
     def test_a_shared_part_is_read_once(self):
         board = EngineBoard()
         shared = [("s", 1_500)]
         first = self.place(board, "r1", 0.0, "e1", "e2", shared=shared)
-        board.begun(first.upstream_id, "r1", 0.1)
+        board.record_first_event(first.upstream_id, "r1", 0.1)
         second = self.place(board, "r2", 0.2, "e1", "e2", shared=shared)
         self.assertEqual(first.upstream_id, second.upstream_id)
         self.assertLess(second.expected_ms, first.expected_ms)
@@ -76,37 +76,37 @@
         board = EngineBoard()
         alone_ms = self.place(board, "lost", 0.0).expected_ms
         self.place(board, "r2", 2.0)
-        board.begun("e1", "r2", 2.1)
-        board.ended("e1", "r2", 2.2)
+        board.record_first_event("e1", "r2", 2.1)
+        board.record_end("e1", "r2", 2.2)
         expected_ms = self.place(board, "r3", 4.0).expected_ms
         self.assertLess(expected_ms, 1.5 * alone_ms)
 
     def test_a_run_that_was_not_sent_leaves_no_trace(self):
         board = EngineBoard()
         alone_ms = self.place(board, "r1", 0.0).expected_ms
-        board.drop("r1")
+        board.discard_run("r1")
         self.assertEqual({}, board.engines_by_id["e1"].runs_by_id)
         self.assertEqual(alone_ms, self.place(board, "r2", 9.0).expected_ms)
 
     def test_runs_of_routers_that_are_gone_are_dropped(self):
         board = EngineBoard()
         for run_id, router in (("r1", "old"), ("r2", "new")):
-            newcomer = PendingRequest(run_id, generation(), router=router)
-            board.place(newcomer, candidates("e1"), 0.0)
-        board.keep_runs_of({"new"})
+            request = PendingRequest(run_id, generation(), router=router)
+            board.place(request, candidates("e1"), 0.0)
+        board.prune_runs({"new"})
         self.assertEqual({"r2"}, set(board.engines_by_id["e1"].runs_by_id))
 
     def test_an_engine_where_a_run_broke_is_avoided_for_a_moment(self):
         board = EngineBoard()
         first = self.place(board, "r1", 0.0, "e1", "e2")
-        board.failed(first.upstream_id, "r1", 0.1)
+        board.record_failure(first.upstream_id, "r1", 0.1)
         second = self.place(board, "r2", 0.2, "e1", "e2")
         self.assertNotEqual(first.upstream_id, second.upstream_id)
 
     def test_memory_for_the_request_counts(self):
         board = EngineBoard()
         self.place(board, "big", 0.0, "e1", tokens=399_000)
-        board.begun("e1", "big", 10.0)
+        board.record_first_event("e1", "big", 10.0)
         self.assertEqual("e2", self.place(board, "r2", 10.0, "e1", "e2").upstream_id)
 
 
@@ -237,7 +237,7 @@
             engine = scheduler.board.engines_by_id["e1"]
             self.assertEqual({"r1"}, set(engine.runs_by_id))
             news = RunNews("r1", "", RunStage.UNPLACED)
-            await scheduler._serve_news(RunNewsRequest((news,)))
+            await scheduler._handle_run_news(RunNewsRequest((news,)))
             self.assertEqual({}, engine.runs_by_id)
             await scheduler._handle_place_request(request)
             # That router is not, or no longer, a member.
@@ -268,7 +268,7 @@
         return scheduler, scheduler.board.engines_by_id["e1"]
 
     def tell(self, scheduler, *news):
-        run_loop(scheduler._serve_news(RunNewsRequest(news)))
+        run_loop(scheduler._handle_run_news(RunNewsRequest(news)))
 
     def test_how_long_a_first_event_took_is_believed_not_when_the_news_came(self):
         scheduler, engine = self.placed()
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -18,17 +18,17 @@
 from lynxchute.http import LinkMeter
 from lynxchute.overload.claim import AdmissionPending, AdmissionRefused, Claim
 from lynxchute.scheduling.alone import (
-    most_own,
-    two_at_random,
-    with_most_room,
+    least_loaded,
+    max_local_requests,
+    sample_candidates,
 )
-from lynxchute.scheduling.asking import ASK_SECONDS
+from lynxchute.scheduling.asking import QUERY_TIMEOUT_SECONDS
 from lynxchute.scheduling.cold_placements import ColdPlacementLimiter
 from lynxchute.scheduling.scheduler import Scheduler
 from lynxchute.scheduling.turns import (
     GRACE_SECONDS,
-    MOST_AGAIN,
-    TOLD_ACCOUNTS,
+    MAX_LABELLED_ACCOUNTS,
+    MAX_POLL_SECONDS,
     AdmissionQueue,
 )
 from lynxchute.telemetry import Metrics
@@ -84,10 +84,10 @@
         scheduler = self.fleet[vm]
         message = from_json(to_json(message), type(message))
         if isinstance(message, RunNewsRequest):
-            return await scheduler._serve_news(message)
+            return await scheduler._handle_run_news(message)
         reply = await scheduler._handle_place_request(message)
         if fate == "slow":
-            await asyncio.sleep(10 * ASK_SECONDS)
+            await asyncio.sleep(10 * QUERY_TIMEOUT_SECONDS)
         if fate == "cut":
             await asyncio.Event().wait()
         return from_json(to_json(reply), PlaceReply)
@@ -199,7 +199,7 @@
         self.run_fleet(scenario)
 
     def test_a_place_is_asked_for_again_soon_enough(self):
-        self.assertLessEqual(MOST_AGAIN + ASK_SECONDS, 0.3)
+        self.assertLessEqual(MAX_POLL_SECONDS + QUERY_TIMEOUT_SECONDS, 0.3)
 
     def test_a_caller_who_leaves_gives_its_turn_up(self):
         async def scenario():
@@ -215,7 +215,7 @@
         async def scenario():
             await self.fill()
             await self.choose(self.asker, "r1")
-            self.now += MOST_AGAIN + GRACE_SECONDS + 0.01
+            self.now += MAX_POLL_SECONDS + GRACE_SECONDS + 0.01
             turn = await self.choose(self.asker, "r2")
             self.assertEqual((0, 1), (turn.ahead, self.waiting()))
 
@@ -305,7 +305,7 @@
         async def scenario():
             await self.fill()
             await self.choose(self.asker, "first")
-            for number in range(3 * TOLD_ACCOUNTS):
+            for number in range(3 * MAX_LABELLED_ACCOUNTS):
                 account = f"acct-{number}"
                 refused = await self.choose(
                     self.asker, f"r{number}", account=account, left=0.0
@@ -317,7 +317,7 @@
                 for line in text.decode().splitlines()
                 if line.startswith("lynxchute_turns_refused_total")
             ]
-            self.assertEqual(TOLD_ACCOUNTS + 1, len(lines))
+            self.assertEqual(MAX_LABELLED_ACCOUNTS + 1, len(lines))
             self.assertIn("lynxchute_waiting_requests 1", text.decode())
 
         self.run_fleet(scenario)
@@ -329,7 +329,7 @@
         request = PlaceRequest(
             run_id, "pool", "a", (), 100, 10, (("p", 10),), router, claim=bad
         )
-        return self.first.placing.serve(request)
+        return self.first.placing.handle_request(request)
 
     def test_what_no_router_asks_is_refused_and_harms_nothing(self):
         async def scenario():
@@ -392,7 +392,7 @@
                 )
             entries = list(heir._directory.entries_by_id.values())
             for number in range(self.SLOTS):
-                request = asker._asking.request(
+                request = asker._placement_client.build_request(
                     f"other{number}", "pool", generation(), {"e0": entries[0]}, Aims()
                 )
                 heir.placing.place(request, entries)
@@ -407,7 +407,7 @@
             order = sorted(runs, key=lambda r: tickets.position_of(r, self.now + 1.0))
             self.assertEqual(runs, order)
             heir.record_end("other0", "e0", failed=False)
-            heir.board.ended("e0", "other0", self.now)
+            heir.board.record_end("e0", "other0", self.now)
             self.now += 0.1
             for run_id in reversed(runs):
                 result = await self.choose(asker, run_id)
@@ -469,7 +469,7 @@
             for vm in VMS:
                 self.fate_by_vm[vm] = "killed"
             self.asker._random = random.Random(1)
-            most = most_own(self.SLOTS)
+            most = max_local_requests(self.SLOTS)
             for number in range(self.ENGINES * most):
                 choice = await self.choose(self.asker, f"r{number}")
                 choice.entry.open_requests += 1
@@ -482,22 +482,22 @@
     def test_engines_that_say_that_they_are_busy_are_passed_over(self):
         busy, idle = self.entries[:2]
         busy.record_active_requests(12, self.now)
-        self.assertEqual([idle], with_most_room([busy, idle], self.now))
+        self.assertEqual([idle], least_loaded([busy, idle], self.now))
         later = self.now + REPORT_VALID_SECONDS + 0.1
-        self.assertEqual([busy, idle], with_most_room([busy, idle], later))
+        self.assertEqual([busy, idle], least_loaded([busy, idle], later))
 
     def test_engines_that_fare_badly_are_a_last_resort(self):
         rng = random.Random(3)
         for entry in self.entries[1:]:
             entry.health.bad_in_row = 1
-        self.assertEqual(self.entries[:1], two_at_random(self.entries, rng))
+        self.assertEqual(self.entries[:1], sample_candidates(self.entries, rng))
         self.entries[0].health.bad_in_row = 1
-        self.assertEqual(2, len(two_at_random(self.entries, rng)))
+        self.assertEqual(2, len(sample_candidates(self.entries, rng)))
 
     def test_two_at_random_spread_what_many_routers_send(self):
         rng, taken = random.Random(2), {entry: 0 for entry in self.entries}
         for _ in range(400):
-            for entry in two_at_random(self.entries, rng):
+            for entry in sample_candidates(self.entries, rng):
                 taken[entry] += 1
         self.assertTrue(all(150 < count < 250 for count in taken.values()), taken)
 
--- a/tests/test_uneven.py
+++ b/tests/test_uneven.py
@@ -353,9 +353,9 @@
         )
         took_ms = 35.0 + prompt / (TOKENS_PER_MS * speed)
         self.now += took_ms / 1000.0
-        self.board.begun(name, run_id, self.now, took_ms=took_ms)
+        self.board.record_first_event(name, run_id, self.now, took_ms=took_ms)
         self.now += answer * TOKEN_SECONDS / speed
-        self.board.ended(name, run_id, self.now)
+        self.board.record_end(name, run_id, self.now)
         return place.expected_ms, took_ms
 
     def state(self, name):
@@ -419,8 +419,8 @@
             place = board.place(newcomer, [ENGINE_SHAPE], now)
             self.assertTrue(math.isfinite(place.expected_ms), place)
             if math.isfinite(took_ms):
-                board.begun("e", run_id, now, took_ms=took_ms)
-            board.ended("e", run_id, now)
+                board.record_first_event("e", run_id, now, took_ms=took_ms)
+            board.record_end("e", run_id, now)
             slowness = board.engines_by_id["e"].slowness_now(now)
             self.assertTrue(0 < slowness < 100, slowness)
 
--- a/tests/turns_machine.py
+++ b/tests/turns_machine.py
@@ -17,7 +17,7 @@
 from lynxchute.overload.claim import Claim
 from lynxchute.scheduling.cold_placements import ColdPlacementLimiter
 from lynxchute.scheduling.placing import EnginePlacing
-from lynxchute.scheduling.turns import GRACE_SECONDS, MOST_AGAIN, AdmissionQueue
+from lynxchute.scheduling.turns import GRACE_SECONDS, MAX_POLL_SECONDS, AdmissionQueue
 from lynxchute.telemetry import Metrics
 from lynxchute.upstreams.cold_admission import (
     ColdLimits,
@@ -80,8 +80,8 @@
 
     def register(self):
         alive = {self.incarnation(router) for router in range(ROUTERS)}
-        self.turns.keep_routers(alive)
-        self.placing.board.keep_runs_of(alive)
+        self.turns.update_routers(alive)
+        self.placing.board.prune_runs(alive)
 
     @rule(seconds=st.sampled_from((0.0, 0.02, 0.06, 0.2)))
     def advance(self, seconds):
@@ -106,7 +106,7 @@
 
     def ask(self, run_id):
         self.waiting.pop(run_id, None)
-        reply = self.placing.decide_for_other(self.requests[run_id], self.entries)
+        reply = self.placing.decide_for_peer(self.requests[run_id], self.entries)
         if reply.upstream:
             self.engine_by_run[run_id] = reply.upstream
         elif reply.wait_ms:
@@ -125,7 +125,7 @@
     def end(self, data):
         """Let a run end."""
         run_id = data.draw(st.sampled_from(sorted(self.engine_by_run)))
-        self.placing.board.ended(self.engine_by_run.pop(run_id), run_id, self.now)
+        self.placing.board.record_end(self.engine_by_run.pop(run_id), run_id, self.now)
         self.turns.record_freed(SERVICE, self.now)
         self.gone.add(run_id)
 
@@ -135,8 +135,8 @@
         """Let a caller leave who waits."""
         run_id = data.draw(st.sampled_from(sorted(self.waiting)))
         del self.waiting[run_id]
-        self.placing.board.drop(run_id)
-        self.turns.drop(run_id)
+        self.placing.board.discard_run(run_id)
+        self.turns.discard(run_id)
         self.gone.add(run_id)
 
     @rule(router=st.integers(0, ROUTERS - 1))
@@ -158,7 +158,7 @@
         request = PlaceRequest(
             "late", SERVICE, "a", (), 100, 10, (), f"run-{router}-old", claim=claim
         )
-        reply = self.placing.decide_for_other(request, self.entries)
+        reply = self.placing.decide_for_peer(request, self.entries)
         assert not reply.upstream and not reply.wait_ms, "a place for nobody"
         assert not reply.is_refused, "refused for a question that nobody asked"
 
@@ -179,7 +179,7 @@
 
     @invariant()
     def only_who_waits_has_a_ticket(self):
-        limit = self.now - MOST_AGAIN - GRACE_SECONDS
+        limit = self.now - MAX_POLL_SECONDS - GRACE_SECONDS
         held = sum(row["waiting"] for row in self.turns.describe(self.now))
         assert held <= len(self.waiting), "a ticket of somebody who does not wait"
         late = 0
--- a/tests/turns_mutants.py
+++ b/tests/turns_mutants.py
@@ -8,14 +8,14 @@
 
 
 def keep_the_turn_of_who_has_left():
-    return mock.patch.object(AdmissionQueue, "drop", lambda self, run_id: None)
+    return mock.patch.object(AdmissionQueue, "discard", lambda self, run_id: None)
 
 
 def keep_the_turns_of_a_process_that_has_ended():
-    def keep_routers(self, incarnations):
+    def update_routers(self, incarnations):
         self._routers = incarnations
 
-    return mock.patch.object(AdmissionQueue, "keep_routers", keep_routers)
+    return mock.patch.object(AdmissionQueue, "update_routers", update_routers)
 
 
 def believe_a_process_that_has_ended():
@@ -29,7 +29,7 @@
 
 
 def give_no_room_back():
-    return mock.patch.object(EngineBoard, "free_places", lambda self, *args: 0)
+    return mock.patch.object(EngineBoard, "free_slots", lambda self, *args: 0)
 
 
 def fill_engines_beyond_their_places():
