--- a/lynxchute/containment/news.py
+++ b/lynxchute/containment/news.py
@@ -15,15 +15,15 @@
 
 # Seconds for which a router that has not taken news is told again; by then it has the
 # row from the store, or has started anew.
-TELL_SECONDS = 60.0
+DELIVERY_SECONDS = 60.0
 # News that are kept at most.
-MAX_NEWS = 100
+MAX_UPDATES = 100
 # Routers told at once: a VM with a link of 5 Mbit/s sends these messages within 10 ms.
-TOLD_AT_ONCE = 16
+MAX_CONCURRENT_SENDS = 16
 
 
 @attrs.define(eq=False)
-class _News:
+class _Update:
     """What is to be told until a time.
 
     Attributes
@@ -33,11 +33,11 @@
     """
 
     message: QuarantineNews
-    until: float
-    told: set[str] = attrs.Factory(set)
+    expires_at: float
+    delivered_to: set[str] = attrs.Factory(set)
 
 
-class Newscast:
+class QuarantineBroadcast:
     """Send news to every router until each has taken them.
 
     The store's row says the same; a router whose connection to the store has gone
@@ -58,16 +58,16 @@
         self._members = members
         self._peers = peers
         self._clock = clock
-        self._news: list[_News] = []
+        self._updates: list[_Update] = []
 
     @property
-    def is_waiting(self) -> bool:
+    def has_undelivered(self) -> bool:
         """Return whether a registered router may not have taken all news."""
-        runs = {member.incarnation for member in self._members.by_vm.values()}
-        runs.discard(self._members.own.incarnation)
-        return any(runs - news.told for news in self._news)
+        incarnations = {member.incarnation for member in self._members.by_vm.values()}
+        incarnations.discard(self._members.own.incarnation)
+        return any(incarnations - update.delivered_to for update in self._updates)
 
-    def tell(
+    def publish(
         self,
         *,
         quarantined: tuple[QuarantineEntry, ...] = (),
@@ -77,28 +77,30 @@
         message = QuarantineNews(quarantined, cleared)
         for listener in self.listeners:
             listener(message)
-        self._news.append(_News(message, self._clock() + TELL_SECONDS))
-        del self._news[:-MAX_NEWS]
+        self._updates.append(_Update(message, self._clock() + DELIVERY_SECONDS))
+        del self._updates[:-MAX_UPDATES]
 
-    def keep_only(self, contents: Container[str]) -> None:
+    def retain_only(self, contents: Container[str]) -> None:
         """Tell nobody any more of other requests in quarantine."""
         kept = []
-        for news in self._news:
-            items = news.message.quarantined
+        for update in self._updates:
+            items = update.message.quarantined
             if all(item.content in contents for item in items):
-                kept.append(news)
-        self._news = kept
+                kept.append(update)
+        self._updates = kept
 
-    async def send(self) -> None:
+    async def send_pending(self) -> None:
         """Tell the routers that can be reached what they have not taken yet."""
         now = self._clock()
-        self._news = [news for news in self._news if now < news.until]
-        if not self._news:
+        self._updates = [update for update in self._updates if now < update.expires_at]
+        if not self._updates:
             return
-        gate = asyncio.Semaphore(TOLD_AT_ONCE)
-        await asyncio.gather(*(self._tell(vm, gate) for vm in self._listening()))
+        semaphore = asyncio.Semaphore(MAX_CONCURRENT_SENDS)
+        await asyncio.gather(
+            *(self._send_to(vm, semaphore) for vm in self._reachable_vms())
+        )
 
-    def _listening(self) -> list[str]:
+    def _reachable_vms(self) -> list[str]:
         vms = []
         for member in self._members.by_vm.values():
             if member.vm == self._members.own.vm:
@@ -107,18 +109,20 @@
                 vms.append(member.vm)
         return vms
 
-    async def _tell(self, vm: str, gate: asyncio.Semaphore) -> None:
+    async def _send_to(self, vm: str, semaphore: asyncio.Semaphore) -> None:
         incarnation = self._members.by_vm[vm].incarnation
-        waiting = [news for news in self._news if incarnation not in news.told]
-        if not waiting:
+        pending = [
+            update for update in self._updates if incarnation not in update.delivered_to
+        ]
+        if not pending:
             return
-        async with gate:
-            for news in waiting:
+        async with semaphore:
+            for update in pending:
                 try:
-                    await self._peers.ask(vm, news.message)
+                    await self._peers.ask(vm, update.message)
                 except PeerUnreachable as error:
                     log_event(
                         "quarantine update not delivered", peer=vm, reason=str(error)
                     )
                     return
-                news.told.add(incarnation)
+                update.delivered_to.add(incarnation)
--- a/lynxchute/overload/__init__.py
+++ b/lynxchute/overload/__init__.py
@@ -1,12 +1,12 @@
-"""Decisions under load, without I/O: what is full, who waits, whose share is used."""
+"""Decisions under load, without I/O: overload, queueing and fair shares."""
 
 from lynxchute.overload.guard import (
     LINK_LIMITS,
     MEMORY_LIMITS,
     PROCESSOR_LIMITS,
-    Limits,
     OverloadGuard,
     Resource,
+    ResourceLimits,
 )
 from lynxchute.overload.load import IDLE_LOAD, Load, LoadSource
 from lynxchute.overload.local_shares import LocalShares
@@ -32,7 +32,7 @@
     "OverloadGuard",
     "BufferBounds",
     "AnswerBuffer",
-    "Limits",
+    "ResourceLimits",
     "Load",
     "LoadSource",
     "LocalShares",
--- a/lynxchute/overload/claim.py
+++ b/lynxchute/overload/claim.py
@@ -1,4 +1,4 @@
-"""Who asks for a place at an upstream, and how long it can wait for one."""
+"""A request's claim to a place at an upstream, and the ways it can fail."""
 
 from __future__ import annotations
 
@@ -6,35 +6,35 @@
 
 from lynxchute.overload.ticket import Ticket
 
-# Longer times than these, in seconds, and longer names are mistakes: no route lets a
-# request last so long.
-MOST_SECONDS = 3_600.0
-MOST_RANK = 1_000
-MOST_NAME = 256
+# Upper bounds on the times (in seconds), ranks and names in a claim. No route lets a
+# request last an hour, so larger values are mistakes.
+MAX_SECONDS = 3_600.0
+MAX_RANK = 1_000
+MAX_NAME_LENGTH = 256
 
 
 class InvalidClaim(ValueError):
-    """Report a claim that no router makes."""
+    """Raised for a claim with values that no correct router sends."""
 
 
 @attrs.frozen
 class Claim:
-    """Who asks for a place; times are in seconds before or after now.
+    """A request for a place at an upstream; times are in seconds relative to now.
 
     Attributes
     ----------
     account
-        Who pays; empty on public routes.
+        The client account that pays; empty on public routes.
     rank
-        Urgency; 0 comes first.
+        Priority; 0 is the most urgent.
     content
-        Names what is asked for, the same for each attempt.
+        Id of the request's content, the same for each attempt.
     waited
-        How long ago its caller asked.
+        Time since the caller's first request.
     left
-        How long its caller waits for the answer to begin.
+        Time for which the caller still waits for the first byte of the answer.
     due_in
-        After how long the answer would be late; negative where it is.
+        Time until the answer misses its latency objective; negative if it already has.
     """
 
     account: str
@@ -55,7 +55,7 @@
         left: float,
         due_in: float,
     ) -> Claim:
-        """Return a claim with its times within the bounds of what is taken.
+        """Return a claim with all values clamped to the accepted ranges.
 
         Examples
         --------
@@ -65,31 +65,31 @@
         3600.0
         """
         return cls(
-            account=account[:MOST_NAME],
-            rank=min(max(rank, 0), MOST_RANK),
-            content=content[:MOST_NAME],
-            waited=min(max(waited, 0.0), MOST_SECONDS),
-            left=min(max(left, 0.0), MOST_SECONDS),
-            due_in=min(max(due_in, -MOST_SECONDS), MOST_SECONDS),
+            account=account[:MAX_NAME_LENGTH],
+            rank=min(max(rank, 0), MAX_RANK),
+            content=content[:MAX_NAME_LENGTH],
+            waited=min(max(waited, 0.0), MAX_SECONDS),
+            left=min(max(left, 0.0), MAX_SECONDS),
+            due_in=min(max(due_in, -MAX_SECONDS), MAX_SECONDS),
         )
 
     def check(self) -> None:
-        """Refuse what cannot be true.
+        """Raise if a value is out of range.
 
         Raises
         ------
-        BadClaim
-            Where something is not.
+        InvalidClaim
+            If a time, the rank or a name is out of range.
         """
-        if not 0.0 <= self.waited <= MOST_SECONDS:
+        if not 0.0 <= self.waited <= MAX_SECONDS:
             raise InvalidClaim("time waited")
-        if not 0.0 <= self.left <= MOST_SECONDS:
+        if not 0.0 <= self.left <= MAX_SECONDS:
             raise InvalidClaim("time left")
-        if not abs(self.due_in) <= MOST_SECONDS:
+        if not abs(self.due_in) <= MAX_SECONDS:
             raise InvalidClaim("time due")
-        if not 0 <= self.rank <= MOST_RANK:
+        if not 0 <= self.rank <= MAX_RANK:
             raise InvalidClaim("rank")
-        if len(self.account) > MOST_NAME or len(self.content) > MOST_NAME:
+        if len(self.account) > MAX_NAME_LENGTH or len(self.content) > MAX_NAME_LENGTH:
             raise InvalidClaim("name")
 
     def ticket(
@@ -101,7 +101,7 @@
         *,
         is_timely_retry: bool,
     ) -> Ticket:
-        """Return the ticket for a claim that is made now."""
+        """Return the queue ticket for this claim, with absolute times."""
         return Ticket(
             run_id=run_id,
             router=router,
@@ -116,31 +116,31 @@
 
 
 class AdmissionPending(Exception):
-    """Tell a request to ask again for a place.
+    """Raised while a request has to wait: it should ask for a place again.
 
     Parameters
     ----------
     seconds
-        After how long.
+        Delay before the next attempt.
     ahead
-        How many wait before it.
+        Number of requests ahead of it in the queue.
     """
 
     def __init__(self, seconds: float, ahead: int) -> None:
-        super().__init__(f"{ahead} wait before it")
+        super().__init__(f"{ahead} requests are ahead in the queue")
         self.seconds = seconds
         self.ahead = ahead
 
 
 class AdmissionRefused(Exception):
-    """Refuse a request whose turn for a place comes too late.
+    """Raised when a place would become free too late for a request.
 
     Parameters
     ----------
     retry_after
-        Seconds after which its caller should come back.
+        Seconds after which the caller should retry.
     """
 
     def __init__(self, retry_after: float) -> None:
-        super().__init__("its turn comes too late")
+        super().__init__("no place becomes free before the deadline")
         self.retry_after = retry_after
--- a/lynxchute/overload/drain.py
+++ b/lynxchute/overload/drain.py
@@ -1,43 +1,46 @@
-"""How fast places at upstreams become free, as seen of late."""
+"""Estimate how fast places at upstreams become free."""
 
 from __future__ import annotations
 
 import math
 
-# Time constant in seconds: upstreams' work lasts up to some seconds, and callers wait
-# no longer, so that older ends tell nothing of what they may expect.
-FADE_SECONDS = 2.0
+# Time constant in seconds of the moving average. Upstreams work on a request for up to
+# some seconds, and callers wait no longer, so older samples predict nothing for them.
+DECAY_SECONDS = 2.0
 
 
 class DrainRate:
-    """Learn the places a second that become free from when they do.
+    """Estimate the places that become free per second, as a moving average.
 
     Parameters
     ----------
     per_second
-        What is believed before anything was seen.
+        Initial estimate, used until there are samples.
     """
 
     def __init__(self, per_second: float) -> None:
-        self._guess = per_second
+        self._initial_rate = per_second
         self._count = 0.0
-        self._at = 0.0
-        self._begun_at: float | None = None
+        self._updated_at = 0.0
+        self._first_at: float | None = None
 
     def record_freed(self, now: float) -> None:
-        """Note a place that has become free."""
-        if self._begun_at is None:
-            self._begun_at = now
-        self._count = self._faded(now) + 1.0
-        self._at = now
+        """Record that a place has become free."""
+        if self._first_at is None:
+            self._first_at = now
+        self._count = self._decayed_count(now) + 1.0
+        self._updated_at = now
 
     def per_second(self, now: float) -> float:
-        """Return the places a second; the guess counts while little was seen."""
-        if self._begun_at is None:
-            return self._guess
-        seen = 1.0 - math.exp(-max(now - self._begun_at, 0.0) / FADE_SECONDS)
-        rate = self._faded(now) / FADE_SECONDS
-        return rate + self._guess * (1.0 - seen)
-
-    def _faded(self, now: float) -> float:
-        return self._count * math.exp(-max(now - self._at, 0.0) / FADE_SECONDS)
+        """Return the estimated places per second.
+
+        The initial estimate is blended out as samples accumulate.
+        """
+        if self._first_at is None:
+            return self._initial_rate
+        observed = 1.0 - math.exp(-max(now - self._first_at, 0.0) / DECAY_SECONDS)
+        rate = self._decayed_count(now) / DECAY_SECONDS
+        return rate + self._initial_rate * (1.0 - observed)
+
+    def _decayed_count(self, now: float) -> float:
+        return self._count * math.exp(-max(now - self._updated_at, 0.0) / DECAY_SECONDS)
--- a/lynxchute/overload/fair_shares.py
+++ b/lynxchute/overload/fair_shares.py
@@ -1,7 +1,7 @@
-"""Weigh what client accounts use of late against their fair shares.
+"""Compare the recent use of each client account with its fair share.
 
-Answers loads where one account asks for many times what the others do. The callers of
-the others should not notice; whoever is alone may have all.
+Protects the callers of other accounts when one account asks for many times its share.
+An account that is alone may use everything.
 """
 
 from __future__ import annotations
@@ -16,182 +16,189 @@
 from lynxchute.overload.shares import AccountShares
 from lynxchute.overload.weights import DEFAULT_WEIGHT, usable_weight
 
-# Time constant in seconds by which use is forgotten: callers wait a few seconds, so who
-# has asked for too much of late competes with those who wait now, not with the next.
-FADE_SECONDS = 4.0
-# Use counts for so many time constants; 2 in 100 of it are left then.
-FADES_KEPT = 4.0
-# Accounts that are told apart. Each costs some 200 bytes; one that asks rarely has
-# little to forget, so that the least recent one is left out first.
-MOST_ACCOUNTS = 4_096
-# Shares by which an account may be ahead where its debt lasts: a burst that is over
-# should be forgiven while its callers still wait.
-MOST_AHEAD = 8.0
+# Time constant in seconds by which recorded use decays. Callers wait a few seconds, so
+# an account that has recently overused competes with the callers who wait now, not with
+# later ones.
+DECAY_SECONDS = 4.0
+# Use is retained for this many time constants; 2% of it is left by then.
+RETAINED_TIME_CONSTANTS = 4.0
+# Accounts tracked at once, at some 200 bytes each. The least recently used one is
+# evicted first: an account that rarely asks has little recorded use to lose.
+MAX_ACCOUNTS = 4_096
+# Bound on how far an account's virtual time may run ahead, in multiples of its share:
+# a burst that is over should be forgiven while its callers still wait.
+MAX_LEAD_SHARES = 8.0
 
 
 @attrs.define
-class _Use:
-    """What an account has used of late.
+class _Usage:
+    """The recent use of one account.
 
     Attributes
     ----------
     amount
-        Cost that has faded until ``noted_at``.
-    tag
-        Its virtual time; where shares are virtual times.
+        Cost, decayed to ``updated_at``.
+    virtual_time
+        The account's virtual time; used by `VirtualTimes` only.
     """
 
     weight: float
-    noted_at: float
+    updated_at: float
     amount: float = 0.0
-    tag: float = 0.0
+    virtual_time: float = 0.0
 
-    def at(self, now: float) -> float:
-        """Return the cost that has faded until now."""
-        return self.amount * math.exp(-max(now - self.noted_at, 0.0) / FADE_SECONDS)
+    def decayed_amount(self, now: float) -> float:
+        """Return the cost, decayed to now."""
+        return self.amount * math.exp(-max(now - self.updated_at, 0.0) / DECAY_SECONDS)
 
 
-class FadingUse(AccountShares):
-    """Keep the use of each account that asks, and of all, and let both fade.
+class DecayingUsage(AccountShares):
+    """Track exponentially decaying use per account and in total.
 
     Parameters
     ----------
     weight_of
         Returns the weight of an account.
-    most
-        Accounts that are kept.
+    max_accounts
+        Number of accounts that are tracked.
     """
 
     def __init__(
         self,
         weight_of: Callable[[str], float] = lambda account: DEFAULT_WEIGHT,
         *,
-        most: int = MOST_ACCOUNTS,
+        max_accounts: int = MAX_ACCOUNTS,
     ) -> None:
         self._weight_of = weight_of
-        self._most = most
-        self._use_by_account: OrderedDict[str, _Use] = OrderedDict()
+        self._max_accounts = max_accounts
+        self._usage_by_account: OrderedDict[str, _Usage] = OrderedDict()
         self._total = 0.0
-        self._total_at = 0.0
-        self._weights = 0.0
+        self._total_updated_at = 0.0
+        self._total_weight = 0.0
 
     def __len__(self) -> int:
-        return len(self._use_by_account)
+        return len(self._usage_by_account)
 
     def record_use(self, account: str, cost: float, now: float) -> None:
-        """Count what a request of an account costs; what is no cost counts nothing."""
+        """Record the cost of a request; a cost that is not positive is ignored."""
         if not (math.isfinite(cost) and cost > 0.0):
             return
-        use = self._use(account, now)
-        use.amount = use.at(now) + cost
-        use.noted_at = now
-        self._total = self._total_of(now) + cost
-        self._total_at = now
-        self._count(use, cost)
+        usage = self._touch(account, now)
+        usage.amount = usage.decayed_amount(now) + cost
+        usage.updated_at = now
+        self._total = self._decayed_total(now) + cost
+        self._total_updated_at = now
+        self._record_cost(usage, cost)
 
     def excess(self, account: str, now: float) -> float:
-        """Return how many times its fair share an account has used of late."""
-        self._forget(now)
-        use = self._use_by_account.get(account)
-        if use is None:
+        """Return the account's recent use as a multiple of its fair share."""
+        self._expire_idle(now)
+        usage = self._usage_by_account.get(account)
+        if usage is None:
             return 0.0
-        if len(self._use_by_account) == 1:
+        if len(self._usage_by_account) == 1:
             return 1.0
-        return self._excess(use, now)
+        return self._excess(usage, now)
 
     @abstractmethod
-    def _count(self, use: _Use, cost: float) -> None:
-        """Take what was used beside the amount."""
+    def _record_cost(self, usage: _Usage, cost: float) -> None:
+        """Update scheme-specific state after a cost was added to the amount."""
 
     @abstractmethod
-    def _excess(self, use: _Use, now: float) -> float:
-        """Return the excess of an account that is not alone."""
-
-    def _level(self, now: float) -> float:
-        """Return the use of all by weight, which an account has at its share."""
-        return self._total_of(now) / self._weights if self._weights else 0.0
-
-    def _total_of(self, now: float) -> float:
-        faded = math.exp(-max(now - self._total_at, 0.0) / FADE_SECONDS)
-        return max(self._total, 0.0) * faded
-
-    def _use(self, account: str, now: float) -> _Use:
-        """Return the use of an account, which becomes the most recent one."""
-        self._forget(now)
+    def _excess(self, usage: _Usage, now: float) -> float:
+        """Return the excess of an account that competes with others."""
+
+    def _use_per_weight(self, now: float) -> float:
+        """Return the total use per unit of weight: the fair use at weight 1."""
+        return (
+            self._decayed_total(now) / self._total_weight if self._total_weight else 0.0
+        )
+
+    def _decayed_total(self, now: float) -> float:
+        decay = math.exp(-max(now - self._total_updated_at, 0.0) / DECAY_SECONDS)
+        return max(self._total, 0.0) * decay
+
+    def _touch(self, account: str, now: float) -> _Usage:
+        """Return the use of an account and mark it as most recently used."""
+        self._expire_idle(now)
         weight = usable_weight(self._weight_of(account))
-        use = self._use_by_account.get(account)
-        if use is None:
-            while len(self._use_by_account) >= self._most:
-                self._drop_first(now)
-            use = _Use(0.0, now)
-            self._use_by_account[account] = use
-        # The configuration may have changed since the account last asked.
-        self._weights += weight - use.weight
-        use.weight = weight
-        self._use_by_account.move_to_end(account)
-        return use
-
-    def _forget(self, now: float) -> None:
-        """Drop accounts that have not asked for long; all is theirs who still do."""
-        kept = now - FADES_KEPT * FADE_SECONDS
-        while self._use_by_account:
-            first = next(iter(self._use_by_account.values()))
-            if first.noted_at > kept:
+        usage = self._usage_by_account.get(account)
+        if usage is None:
+            while len(self._usage_by_account) >= self._max_accounts:
+                self._evict_oldest(now)
+            usage = _Usage(0.0, now)
+            self._usage_by_account[account] = usage
+        # The configured weight may have changed since the last request.
+        self._total_weight += weight - usage.weight
+        usage.weight = weight
+        self._usage_by_account.move_to_end(account)
+        return usage
+
+    def _expire_idle(self, now: float) -> None:
+        """Drop idle accounts, so that their shares go to the active ones."""
+        oldest = now - RETAINED_TIME_CONSTANTS * DECAY_SECONDS
+        while self._usage_by_account:
+            first = next(iter(self._usage_by_account.values()))
+            if first.updated_at > oldest:
                 return
-            self._drop_first(now)
+            self._evict_oldest(now)
 
-    def _drop_first(self, now: float) -> None:
-        _, use = self._use_by_account.popitem(last=False)
-        self._weights -= use.weight
-        self._total = self._total_of(now) - use.at(now)
-        self._total_at = now
-        if not self._use_by_account:
-            # What is left are rounding errors.
-            self._total = self._weights = 0.0
+    def _evict_oldest(self, now: float) -> None:
+        _, usage = self._usage_by_account.popitem(last=False)
+        self._total_weight -= usage.weight
+        self._total = self._decayed_total(now) - usage.decayed_amount(now)
+        self._total_updated_at = now
+        if not self._usage_by_account:
+            # Only rounding errors are left.
+            self._total = self._total_weight = 0.0
 
 
-class EqualDivision(FadingUse):
-    """Divide what all have used of late equally, by weight."""
+class EqualDivision(DecayingUsage):
+    """Divide the total recent use among all accounts in proportion to weight."""
 
-    def _count(self, use: _Use, cost: float) -> None:
+    def _record_cost(self, usage: _Usage, cost: float) -> None:
         pass
 
-    def _excess(self, use: _Use, now: float) -> float:
-        level = self._level(now) * use.weight
-        return use.at(now) / level if level else 0.0
+    def _excess(self, usage: _Usage, now: float) -> float:
+        fair_use = self._use_per_weight(now) * usage.weight
+        return usage.decayed_amount(now) / fair_use if fair_use else 0.0
 
 
-class VirtualTimes(FadingUse):
+class VirtualTimes(DecayingUsage):
     """Give each account a virtual time that its own use advances.
 
-    That is start-time fair queueing: the clock of all advances by what is used, divided
-    by the weights of those who use it. Who is ahead of it has used more than its share,
-    and is so until the clock has come up.
+    This is start-time fair queueing: a common virtual clock advances by the cost of
+    each request divided by the weights of all active accounts. An account whose virtual
+    time is ahead of the clock has used more than its share, until the clock catches up.
     """
 
     def __init__(
         self,
         weight_of: Callable[[str], float] = lambda account: DEFAULT_WEIGHT,
         *,
-        most: int = MOST_ACCOUNTS,
+        max_accounts: int = MAX_ACCOUNTS,
     ) -> None:
-        super().__init__(weight_of, most=most)
-        self._clock = 0.0
-
-    def _count(self, use: _Use, cost: float) -> None:
-        level = self._level(use.noted_at)
-        use.tag = max(use.tag, self._clock) + cost / use.weight
-        use.tag = min(use.tag, self._clock + MOST_AHEAD * level)
-        self._clock += cost / self._weights
-
-    def _excess(self, use: _Use, now: float) -> float:
-        level = self._level(now)
-        if not level:
+        super().__init__(weight_of, max_accounts=max_accounts)
+        self._virtual_clock = 0.0
+
+    def _record_cost(self, usage: _Usage, cost: float) -> None:
+        fair_use = self._use_per_weight(usage.updated_at)
+        usage.virtual_time = (
+            max(usage.virtual_time, self._virtual_clock) + cost / usage.weight
+        )
+        usage.virtual_time = min(
+            usage.virtual_time, self._virtual_clock + MAX_LEAD_SHARES * fair_use
+        )
+        self._virtual_clock += cost / self._total_weight
+
+    def _excess(self, usage: _Usage, now: float) -> float:
+        fair_use = self._use_per_weight(now)
+        if not fair_use:
             return 0.0
-        return max(1.0 + (use.tag - self._clock) / level, 0.0)
+        return max(1.0 + (usage.virtual_time - self._virtual_clock) / fair_use, 0.0)
 
 
-SHARES_BY_NAME: dict[str, type[FadingUse]] = {
+SHARES_BY_NAME: dict[str, type[DecayingUsage]] = {
     "equal": EqualDivision,
     "virtual": VirtualTimes,
 }
--- a/lynxchute/overload/guard.py
+++ b/lynxchute/overload/guard.py
@@ -1,4 +1,4 @@
-"""What a router can still serve in time, and what goes elsewhere."""
+"""Decide what a router can still serve in time, and what to shed to other VMs."""
 
 from __future__ import annotations
 
@@ -11,88 +11,90 @@
 from lynxchute.overload.load import IDLE_LOAD, Load, LoadSource
 from lynxchute.overload.shares import AccountShares
 
-# Seconds for which a VM is not ready at least: the balancer notices after two, and the
-# connections that end after that find another VM.
-SPELL_SECONDS = 3.0
-# Seconds after which it is ready again, however full it is, and for how long then: what
-# took its place may be as full by then.
-LONGEST_SPELL = 8.0
-REST_SECONDS = 4.0
-# Seconds for which a request counts as one that was just asked: work that is done for
-# nobody, as at a start, sends nobody elsewhere.
-ASKED_SECONDS = 1.0
-# Times its share of the objective that a request of an account within its share may
-# wait: the account in excess goes first, and makes room.
-WITHIN_SHARE_PATIENCE = 1.5
+# Minimum seconds for which the VM reports not ready: the load balancer notices after
+# two, and connections that are ended after that reach another VM.
+MIN_NOT_READY_SECONDS = 3.0
+# After this many seconds the VM reports ready again, whatever its load, and stays ready
+# for at least the second: the VMs that took its work may be just as full by then.
+MAX_NOT_READY_SECONDS = 8.0
+MIN_READY_SECONDS = 4.0
+# Seconds for which a request counts as recent. Work without recent requests, such as at
+# startup, is no reason to shed load.
+RECENT_REQUEST_SECONDS = 1.0
+# Factor on the maximum wait for requests of accounts within their share: the account in
+# excess is shed first, which makes room for the others.
+WITHIN_SHARE_FACTOR = 1.5
 
 
 @attrs.frozen
-class Limits:
-    """How much of a resource is used before work goes elsewhere.
+class ResourceLimits:
+    """Thresholds on the load of a resource, beyond which work is shed to other VMs.
 
     Attributes
     ----------
-    passes, brief_passes
-        How often a request waits for the resource until its answer begins; and one that
-        needs no place at an engine and no tokens.
-    slow_share
-        How many times its latency objective a request may wait for it. For the
-        processor that is more than once: refusing takes a third of the work, and an
-        answer that is late is worth more to a caller than two refusals.
-    least_use
-        Use below which nothing is over, whatever the delay: one long event is no load.
+    waits_per_request, waits_per_brief_request
+        How often a request waits for the resource before its answer begins. Brief
+        requests need neither a place at an engine nor tokens.
+    max_wait_share
+        Longest total wait for the resource, as a multiple of the request's latency
+        objective. It is above 1 for the processor: refusing costs a third of the work
+        of serving, and a late answer is worth more to a caller than two refusals.
+    min_use
+        Use below which no threshold applies, whatever the delay: a single long event is
+        not overload.
     shed_use, shed_delay
-        Use and seconds of waiting from which on the VM is not ready: the balancer takes
-        two seconds to notice, and a burst must not make callers late meanwhile.
-    kept_use
-        The use that open connections may make; those beyond end, so that callers find
-        another VM with their next request.
+        Use, and seconds of waiting, from which on the VM reports not ready. The load
+        balancer takes two seconds to notice, and a burst must not make callers late in
+        that time.
+    target_use
+        The use that open connections may cause. Connections in excess of it are ended,
+        so that their callers reach another VM with the next request.
     full_use, full_delay
-        About which new connections are closed, as what is open would be late for them:
-        none at half of it, each at one and a half.
+        Thresholds around which new connections are closed, as those already open would
+        be served late: none are closed at half the threshold, all at one and a half.
     """
 
     waits_per_request: float
-    brief_passes: float
-    slow_share: float
-    least_use: float
+    waits_per_brief_request: float
+    max_wait_share: float
+    min_use: float
     shed_use: float
     shed_delay: float
-    kept_use: float
+    target_use: float
     full_use: float
     full_delay: float
 
 
-LINK_LIMITS = Limits(
+LINK_LIMITS = ResourceLimits(
     waits_per_request=1.0,
-    brief_passes=1.0,
-    slow_share=0.3,
-    least_use=0.0,
+    waits_per_brief_request=1.0,
+    max_wait_share=0.3,
+    min_use=0.0,
     shed_use=0.7,
     shed_delay=0.2,
-    kept_use=0.55,
+    target_use=0.55,
     full_use=math.inf,
     full_delay=0.15,
 )
-PROCESSOR_LIMITS = Limits(
+PROCESSOR_LIMITS = ResourceLimits(
     waits_per_request=6.0,
-    brief_passes=2.0,
-    slow_share=3.0,
-    least_use=0.6,
+    waits_per_brief_request=2.0,
+    max_wait_share=3.0,
+    min_use=0.6,
     shed_use=0.75,
     shed_delay=0.02,
-    kept_use=0.8,
+    target_use=0.8,
     full_use=math.inf,
     full_delay=0.02,
 )
-MEMORY_LIMITS = Limits(
+MEMORY_LIMITS = ResourceLimits(
     waits_per_request=1.0,
-    brief_passes=1.0,
-    slow_share=0.3,
-    least_use=0.0,
+    waits_per_brief_request=1.0,
+    max_wait_share=0.3,
+    min_use=0.0,
     shed_use=0.7,
     shed_delay=math.inf,
-    kept_use=0.55,
+    target_use=0.55,
     full_use=0.85,
     full_delay=math.inf,
 )
@@ -100,54 +102,54 @@
 
 @attrs.frozen
 class Resource:
-    """A resource of the VM and its limits."""
+    """A resource of the VM, such as the processor or the link, and its limits."""
 
     source: LoadSource
-    limits: Limits
+    limits: ResourceLimits
 
     @property
     def name(self) -> str:
-        """Return the resource in one word."""
+        """Return the name of the resource, for logs and metrics."""
         return self.source.name
 
     def load(self) -> Load:
-        """Return its load; odd figures count as none."""
+        """Return the current load; invalid measurements count as 0."""
         load = self.source.load()
-        return Load(_sound(load.use), _sound(load.delay))
+        return Load(_sanitized(load.use), _sanitized(load.delay))
 
-    def is_over(self, use: float, delay: float) -> bool:
-        """Return whether as much is used, or waited for, as that."""
+    def is_above(self, use: float, delay: float) -> bool:
+        """Return whether the use or the delay reaches a threshold."""
         load = self.load()
-        if load.use < self.limits.least_use:
+        if load.use < self.limits.min_use:
             return False
         return load.use >= use or load.delay >= delay
 
     def is_too_slow(self, objective: float, *, is_brief: bool) -> bool:
-        """Return whether a request would wait too long for it, by its objective."""
+        """Return whether waiting for the resource uses too much of the objective."""
         limits = self.limits
         waits_per_request = (
-            limits.brief_passes if is_brief else limits.waits_per_request
+            limits.waits_per_brief_request if is_brief else limits.waits_per_request
         )
-        return waits_per_request * self.load().delay > limits.slow_share * objective
+        return waits_per_request * self.load().delay > limits.max_wait_share * objective
 
 
 class OverloadGuard:
-    """Decide what a router serves, by the load of its resources.
+    """Decide which requests and connections a VM serves, by the load of its resources.
 
-    The load that it answers is one VM that gets more than it carries while others
-    idle. Callers need an answer within their objective; where the VM cannot give it,
-    they need to know at once, and another VM has time left for them.
+    Handles one VM that receives more work than it can carry while others are idle. A
+    caller whose answer would miss its latency objective here should be refused at once,
+    while there is still time for another VM to serve it.
 
     Parameters
     ----------
     resources
-        What the VM has.
+        The monitored resources of the VM.
     clock
         Seconds on the steady clock.
     rng
-        Picks the requests and connections that go elsewhere.
+        Chooses the requests and connections to shed.
     shares
-        Tells which accounts use more than their share; None where all count alike.
+        Tells which accounts exceed their fair share; None to treat all alike.
     """
 
     def __init__(
@@ -161,121 +163,128 @@
         self._resources = resources
         self._clock = clock
         self._random = rng
-        self._spell_began: float | None = None
-        self._rests_until = -math.inf
-        self._full = ""
-        self._asked_at = -math.inf
+        self._not_ready_since: float | None = None
+        self._ready_until = -math.inf
+        self._full_resource = ""
+        self._last_request_at = -math.inf
 
     @property
-    def full(self) -> str:
-        """Return the resource that is full as of the last look, or an empty text."""
-        return self._full
+    def full_resource(self) -> str:
+        """Return the resource that was full at the last poll, or an empty string."""
+        return self._full_resource
 
     @property
     def is_ready(self) -> bool:
-        """Return whether the balancer should give new connections to this VM."""
-        return self._spell_began is None
+        """Return whether the load balancer should send new connections to this VM."""
+        return self._not_ready_since is None
 
     def record_request(self, account: str) -> None:
-        """Count a request that is served."""
-        self._asked_at = self._clock()
+        """Record a request that is served."""
+        self._last_request_at = self._clock()
         if self._shares is not None:
-            self._shares.record_use(account, 1.0, self._asked_at)
+            self._shares.record_use(account, 1.0, self._last_request_at)
 
     def poll(self) -> str:
-        """Look at all resources; return the one for which a spell begins.
+        """Update readiness; return the resource that has just made the VM not ready.
 
-        In a spell the VM is not ready; an empty text where none begins.
+        An empty string means that the VM has not become not ready in this poll.
         """
-        self._full = self._find_full()
+        self._full_resource = self._find_full_resource()
         now = self._clock()
-        if self._spell_began is not None:
-            passed = now - self._spell_began
-            if passed < SPELL_SECONDS or self.sustainable_share() < 1.0:
-                if passed < LONGEST_SPELL:
+        if self._not_ready_since is not None:
+            elapsed = now - self._not_ready_since
+            if elapsed < MIN_NOT_READY_SECONDS or self.sustainable_share() < 1.0:
+                if elapsed < MAX_NOT_READY_SECONDS:
                     return ""
-                self._rests_until = now + REST_SECONDS
-            self._spell_began = None
+                self._ready_until = now + MIN_READY_SECONDS
+            self._not_ready_since = None
             return ""
-        if now < self._rests_until or now - self._asked_at > ASKED_SECONDS:
+        if (
+            now < self._ready_until
+            or now - self._last_request_at > RECENT_REQUEST_SECONDS
+        ):
             return ""
         for resource in self._resources:
             limits = resource.limits
-            if resource.is_over(limits.shed_use, limits.shed_delay):
-                self._spell_began = now
+            if resource.is_above(limits.shed_use, limits.shed_delay):
+                self._not_ready_since = now
                 return resource.name
         return ""
 
-    def _find_full(self) -> str:
+    def _find_full_resource(self) -> str:
         for resource in self._resources:
             limits = resource.limits
-            if resource.is_over(limits.full_use, limits.full_delay):
+            if resource.is_above(limits.full_use, limits.full_delay):
                 return resource.name
         return ""
 
     def closes_connection(self) -> bool:
-        """Return whether a connection that has just come is closed.
+        """Return whether to close a connection that was just accepted.
 
-        The more of them the longer new work waits: if all went until it waits no more,
-        all that come next would be let in at once.
+        The probability grows with the delay. Closing all connections until the delay is
+        gone would admit all that come next at once.
         """
         share = 0.0
         for resource in self._resources:
             load, limits = resource.load(), resource.limits
-            if load.use < limits.least_use:
+            if load.use < limits.min_use:
                 continue
-            share = max(share, _ramp(load.use, limits.full_use))
-            share = max(share, _ramp(load.delay, limits.full_delay))
+            share = max(share, _close_probability(load.use, limits.full_use))
+            share = max(share, _close_probability(load.delay, limits.full_delay))
         return self._random.random() < share
 
     def sustainable_share(self) -> float:
-        """Return the share of the present work that the VM can go on with."""
-        kept = 1.0
+        """Return the share of the current work that the VM can sustain."""
+        remaining = 1.0
         for resource in self._resources:
             use = resource.load().use
-            if use > resource.limits.kept_use:
-                kept = min(kept, resource.limits.kept_use / use)
-        return kept
+            if use > resource.limits.target_use:
+                remaining = min(remaining, resource.limits.target_use / use)
+        return remaining
 
     def ends_connection(self, account: str = "") -> bool:
-        """Return whether a connection ends with the answer that it gets now.
+        """Return whether to end a connection together with the current answer.
 
-        It would come back while new ones are taken.
+        Connections are ended only while the VM refuses new ones; otherwise the caller
+        would reconnect to the same VM.
         """
-        if self.is_ready and not self._full:
+        if self.is_ready and not self._full_resource:
             return False
-        return self._goes_elsewhere(account)
+        return self._is_shed(account)
 
     def shed_reason(
         self, objective: float, account: str = "", *, is_brief: bool = False
     ) -> str:
-        """Return the resource for which a request is refused, or an empty text.
+        """Return the resource that causes a request to be refused, or an empty string.
 
         Parameters
         ----------
         objective
-            Seconds within which its answer is on time.
+            Latency objective of the request in seconds.
         is_brief
-            Whether it needs no place at an engine and no tokens.
+            Whether the request needs neither a place at an engine nor tokens.
         """
-        found = self.shed_reason_for_all(objective, is_brief=is_brief)
-        if found:
-            return found
+        for_all = self.shed_reason_for_all(objective, is_brief=is_brief)
+        if for_all:
+            return for_all
         for resource in self._resources:
-            if not resource.is_too_slow(_objective(objective), is_brief=is_brief):
+            if not resource.is_too_slow(
+                _effective_objective(objective), is_brief=is_brief
+            ):
                 continue
-            if self._goes_elsewhere(account):
+            if self._is_shed(account):
                 return resource.name
         return ""
 
     def shed_reason_for_all(self, objective: float, *, is_brief: bool = False) -> str:
-        """Return the resource for which a request is refused whoever sends it.
+        """Return the resource that causes any account's request to be refused.
 
-        That may be asked before the body is read.
+        The result does not depend on the account, so it can be checked before the body
+        is read.
         """
-        patience = _objective(objective) * WITHIN_SHARE_PATIENCE
+        relaxed_objective = _effective_objective(objective) * WITHIN_SHARE_FACTOR
         for resource in self._resources:
-            if resource.is_too_slow(patience, is_brief=is_brief):
+            if resource.is_too_slow(relaxed_objective, is_brief=is_brief):
                 return resource.name
         return ""
 
@@ -284,32 +293,32 @@
         return {resource.name: resource.load() for resource in self._resources}
 
     def load_of(self, name: str) -> Load:
-        """Return the load of one resource."""
+        """Return the load of a resource; idle if there is none of that name."""
         return self.loads().get(name, IDLE_LOAD)
 
-    def _goes_elsewhere(self, account: str) -> bool:
-        """Return whether this one is of the share that is too much."""
-        kept = self.sustainable_share()
-        if kept >= 1.0:
+    def _is_shed(self, account: str) -> bool:
+        """Return whether to shed a request or connection of an account, at random."""
+        remaining = self.sustainable_share()
+        if remaining >= 1.0:
             return False
         if self._shares is not None and account:
             excess = self._shares.excess(account, self._clock())
-            kept = 1.0 / excess if excess > 1.0 else 1.0
-        return self._random.random() >= kept
+            remaining = 1.0 / excess if excess > 1.0 else 1.0
+        return self._random.random() >= remaining
 
 
-def _ramp(value: float, full: float) -> float:
-    """Return 0 up to half of a limit, 1 from one and a half of it on."""
-    if math.isinf(full):
+def _close_probability(value: float, limit: float) -> float:
+    """Return 0 up to half of a limit, rising linearly to 1 at one and a half of it."""
+    if math.isinf(limit):
         return 0.0
-    return min(max(value / full - 0.5, 0.0), 1.0)
+    return min(max(value / limit - 0.5, 0.0), 1.0)
 
 
-def _objective(seconds: float) -> float:
-    """Return an objective; one that means nothing is none."""
+def _effective_objective(seconds: float) -> float:
+    """Return a latency objective; infinity if it is not positive."""
     return seconds if seconds > 0.0 else math.inf
 
 
-def _sound(value: float) -> float:
-    """Return a figure that can be compared: not negative, and a number."""
+def _sanitized(value: float) -> float:
+    """Return a measurement clamped to at least 0; 0 for NaN."""
     return max(value, 0.0) if value == value else 0.0
--- a/lynxchute/overload/load.py
+++ b/lynxchute/overload/load.py
@@ -1,4 +1,4 @@
-"""How much of one resource of a VM is in use."""
+"""The load of a single resource of a VM."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
     Attributes
     ----------
     use
-        Share of it that is in use, averaged over a fraction of a second; above 1 where
-        more is asked for than it gives.
+        Share of the resource in use, averaged over a fraction of a second; above 1 if
+        the demand exceeds its capacity.
     delay
-        Seconds that new work waits for it.
+        Seconds that new work waits for the resource.
     """
 
     use: float = 0.0
     delay: float = 0.0
 
-    def worse(self, other: Load) -> Load:
-        """Return the greater use and the greater delay of both.
+    def pointwise_max(self, other: Load) -> Load:
+        """Return the maximum of the two uses and of the two delays.
 
         Examples
         --------
-        >>> Load(0.5, 0.1).worse(Load(0.9, 0.0))
+        >>> Load(0.5, 0.1).pointwise_max(Load(0.9, 0.0))
         Load(use=0.9, delay=0.1)
         """
         return Load(max(self.use, other.use), max(self.delay, other.delay))
@@ -38,13 +38,13 @@
 
 
 class LoadSource(ABC):
-    """Measure one resource: the link, the processor or the memory of a VM."""
+    """Measures one resource of a VM: the link, the processor or the memory."""
 
     @property
     @abstractmethod
     def name(self) -> str:
-        """Return the resource in one word, for logs and metrics."""
+        """Return the name of the resource, for logs and metrics."""
 
     @abstractmethod
     def load(self) -> Load:
-        """Return its load now."""
+        """Return the current load."""
--- a/lynxchute/overload/local_shares.py
+++ b/lynxchute/overload/local_shares.py
@@ -1,4 +1,4 @@
-"""What each client account uses of one VM."""
+"""Track the use of one VM by each client account."""
 
 from __future__ import annotations
 
@@ -7,65 +7,65 @@
 
 from lynxchute.overload.shares import AccountShares
 
-# Seconds over which use fades: some requests of each account that is worth weighing.
-FADE_SECONDS = 2.0
-# Use below which an account is forgotten.
-LEAST_USE = 1e-3
-# Accounts that are weighed at once; those with the least use are forgotten beyond.
+# Time constant in seconds of the decay: a few requests of any account that matters.
+DECAY_SECONDS = 2.0
+# Accounts whose use is below this are dropped.
+MIN_USE = 1e-3
+# Accounts tracked at once; beyond that, the account with the least use is dropped.
 MAX_ACCOUNTS = 1_000
 
 
 class LocalShares(AccountShares):
-    """Divide one VM among the accounts whose callers reach it.
+    """Divide the capacity of one VM among the accounts that use it.
 
-    The load that it answers is one account that sends more than the VM carries: its
-    excess goes elsewhere, and the callers of small accounts stay.
+    Handles an account that sends more than the VM can carry: its excess is shed to
+    other VMs, while the callers of small accounts stay.
 
     Parameters
     ----------
-    kept
-        Returns the share of the present use that the VM can go on with.
+    sustainable_share
+        Returns the share of the current use that the VM can sustain.
     """
 
-    def __init__(self, kept: Callable[[], float]) -> None:
-        self._kept = kept
+    def __init__(self, sustainable_share: Callable[[], float]) -> None:
+        self._sustainable_share = sustainable_share
         self._use_by_account: dict[str, float] = {}
-        self._at = 0.0
+        self._updated_at = 0.0
 
     def record_use(self, account: str, cost: float, now: float) -> None:
-        """Count what a request of an account costs."""
+        """Record the cost of a request; a cost that is not positive is ignored."""
         if not (math.isfinite(cost) and cost > 0.0):
             return
-        self._fade(now)
+        self._decay(now)
         self._use_by_account[account] = self._use_by_account.get(account, 0.0) + cost
         if len(self._use_by_account) > MAX_ACCOUNTS:
             least = min(self._use_by_account, key=self._use_by_account.__getitem__)
             del self._use_by_account[least]
 
     def excess(self, account: str, now: float) -> float:
-        """Return how many times its fair share an account has used of late."""
-        self._fade(now)
+        """Return the account's recent use as a multiple of its fair share."""
+        self._decay(now)
         use = self._use_by_account.get(account, 0.0)
-        if use < LEAST_USE:
+        if use < MIN_USE:
             return 0.0
         uses = self._use_by_account.values()
-        level = fair_level(uses, sum(uses) * _share(self._kept()))
-        return use / max(level, LEAST_USE)
+        level = fair_level(uses, sum(uses) * _clamped_share(self._sustainable_share()))
+        return use / max(level, MIN_USE)
 
-    def _fade(self, now: float) -> None:
-        passed, self._at = now - self._at, now
-        if not passed > 0.0:
+    def _decay(self, now: float) -> None:
+        elapsed, self._updated_at = now - self._updated_at, now
+        if not elapsed > 0.0:
             return
-        kept = math.exp(-passed / FADE_SECONDS)
+        factor = math.exp(-elapsed / DECAY_SECONDS)
         for account, use in list(self._use_by_account.items()):
-            if use * kept < LEAST_USE:
+            if use * factor < MIN_USE:
                 del self._use_by_account[account]
                 continue
-            self._use_by_account[account] = use * kept
+            self._use_by_account[account] = use * factor
 
 
 def fair_level(uses: Iterable[float], capacity: float) -> float:
-    """Return the most that one may use where all together may use a capacity.
+    """Return the max-min fair share per user when all together may use a capacity.
 
     Examples
     --------
@@ -85,8 +85,8 @@
     return level
 
 
-def _share(kept: float) -> float:
-    """Return a share between none and all, whatever was measured."""
-    if not kept > 0.0:
+def _clamped_share(share: float) -> float:
+    """Return a share clamped to the range from 0 to 1; 0 for NaN."""
+    if not share > 0.0:
         return 0.0
-    return min(kept, 1.0)
+    return min(share, 1.0)
--- a/lynxchute/overload/memory_guard.py
+++ b/lynxchute/overload/memory_guard.py
@@ -1,4 +1,4 @@
-"""Bound the memory that answers take while their callers read them slowly."""
+"""Bound the memory held by answers whose callers read slowly."""
 
 from __future__ import annotations
 
@@ -7,28 +7,30 @@
 
 import attrs
 
-# Parts of the total that one account and one connection may hold: some accounts with
-# slow readers leave room for the others, and one connection never fills an account.
-ACCOUNT_PART = 3
-CONNECTION_PART = 32
-# Bytes that a connection may always hold: a piece or two of any stream.
-LEAST_BY_CONNECTION = 65536
-# Once a bound is passed answers are cut until this share of it is left, so that not
-# each further piece finds it passed again.
-RELIEVED_SHARE = 0.9
-# Who holds less than this share of the mean is never cut: it would make no room.
-LARGE_SHARE = 0.5
-# Seconds after which it is known how fast an answer is read.
-SETTLED_SECONDS = 2.0
+# Fractions of the total (as divisors) that one account and one connection may hold.
+# Several accounts with slow readers leave room for others, and one connection never
+# fills its account's part.
+ACCOUNT_DIVISOR = 3
+CONNECTION_DIVISOR = 32
+# Bytes that every connection may hold: one or two chunks of any stream.
+MIN_CONNECTION_BYTES = 65536
+# Once a bound is exceeded, answers are cut until this share of the bound is left, so
+# that the bound is not exceeded again with each further chunk.
+TARGET_SHARE = 0.9
+# Answers that hold less than this share of the mean are never cut, as little memory
+# would be freed.
+MIN_SHARE_OF_MEAN = 0.5
+# Seconds of buffering after which a read rate is meaningful.
+MIN_RATE_SECONDS = 2.0
 
 
 class AnswerBuffer(ABC):
-    """One caller's connection, for which answers may wait in memory.
+    """The unread part of the answers on one caller's connection.
 
     Attributes
     ----------
     account
-        Whose answers they are; empty where that is not known.
+        The client account of the answers; empty if unknown.
     """
 
     account: str = ""
@@ -36,21 +38,21 @@
     @property
     @abstractmethod
     def held_bytes(self) -> int:
-        """Return what waits for the caller now, in bytes."""
+        """Return the bytes that are buffered for the caller."""
 
     @property
     @abstractmethod
     def read_bytes(self) -> int:
-        """Return what the caller has taken since it connected, in bytes."""
+        """Return the bytes that the caller has read since it connected."""
 
     @abstractmethod
     def cut(self) -> None:
-        """Break the answer off, so that it never looks whole."""
+        """Abort the answer in a way that the caller cannot take for a complete one."""
 
 
 @attrs.frozen
 class BufferBounds:
-    """What may wait in memory, in bytes."""
+    """Upper bounds on buffered bytes: in total, per account and per connection."""
 
     total: int
     by_account: int
@@ -58,55 +60,57 @@
 
     @classmethod
     def of_total(cls, total: int) -> BufferBounds:
-        """Return the bounds that go with a total.
+        """Return the bounds derived from a total.
 
         Examples
         --------
         >>> BufferBounds.of_total(32_000_000)
         BufferBounds(total=32000000, by_account=10666666, by_connection=1000000)
         """
-        by_connection = max(total // CONNECTION_PART, LEAST_BY_CONNECTION)
-        return cls(total, total // ACCOUNT_PART, by_connection)
+        by_connection = max(total // CONNECTION_DIVISOR, MIN_CONNECTION_BYTES)
+        return cls(total, total // ACCOUNT_DIVISOR, by_connection)
 
 
 @attrs.define(eq=False)
-class _Held:
-    """What waits for one caller, as last seen.
+class _BufferState:
+    """The state of one buffer when it was last checked.
 
     Attributes
     ----------
-    since
-        When it began to wait, in seconds.
-    read_before
-        What the caller had taken by then.
+    started_at
+        When data began to be buffered, in seconds.
+    read_at_start
+        Bytes that the caller had read by then.
+    size
+        Bytes that are buffered.
     """
 
-    holder: AnswerBuffer
+    buffer: AnswerBuffer
     account: str
-    since: float
-    read_before: int
+    started_at: float
+    read_at_start: int
     size: int = 0
 
     def speed(self, now: float) -> float:
-        """Return how fast it is read, in bytes a second."""
-        seconds = max(now - self.since, SETTLED_SECONDS)
-        return (self.holder.read_bytes - self.read_before) / seconds
+        """Return the rate at which the caller reads, in bytes per second."""
+        seconds = max(now - self.started_at, MIN_RATE_SECONDS)
+        return (self.buffer.read_bytes - self.read_at_start) / seconds
 
-    def is_settled(self, now: float) -> bool:
-        """Return whether it has waited long enough to tell how fast it is read."""
-        return now - self.since >= SETTLED_SECONDS
+    def has_known_rate(self, now: float) -> bool:
+        """Return whether data was buffered long enough to measure the read rate."""
+        return now - self.started_at >= MIN_RATE_SECONDS
 
 
 @attrs.frozen
 class CutAnswer:
-    """An answer that was broken off.
+    """An answer that was aborted to free memory.
 
     Attributes
     ----------
     held
-        Bytes that waited.
+        Bytes that were buffered.
     speed
-        Bytes a second that its caller had read of late.
+        Rate at which the caller had read, in bytes per second.
     """
 
     account: str
@@ -115,24 +119,24 @@
 
 
 class MemoryGuard:
-    """Keep what waits for slow readers within bounds.
+    """Keep the memory buffered for slow readers within bounds.
 
-    The load that it answers: many callers, or one account's, who read a hundredth as
-    fast as their answers are made. What the others need is that the process goes on
-    and that their own answers do not wait; so who holds much and reads slowest ends
-    first, and nobody who holds little.
+    Handles many callers, or all callers of one account, that read a hundred times
+    slower than their answers are produced. Other callers need the process to keep
+    running and their own answers not to wait. So the largest, slowest-read answers are
+    cut first, and answers that hold little memory are never cut.
 
     Parameters
     ----------
     bounds
-        What may wait.
+        The limits on buffered bytes.
     on_cut
-        Told of each answer that is broken off.
+        Called with each answer that was cut.
 
     Attributes
     ----------
     held
-        Bytes that wait now, as last seen.
+        Total bytes buffered, as last seen.
     """
 
     def __init__(
@@ -143,93 +147,95 @@
         self.bounds = bounds
         self.held = 0
         self._on_cut = on_cut
-        self._held_by_holder: dict[AnswerBuffer, _Held] = {}
-        self._total_by_account: dict[str, int] = {}
+        self._state_by_buffer: dict[AnswerBuffer, _BufferState] = {}
+        self._held_by_account: dict[str, int] = {}
 
-    def update(self, holder: AnswerBuffer, now: float) -> None:
-        """Take what waits for a caller now; cut answers where a bound is passed.
+    def update(self, buffer: AnswerBuffer, now: float) -> None:
+        """Update the size of a buffer; cut answers if a bound is exceeded.
 
         Parameters
         ----------
         now
             Seconds on the steady clock.
         """
-        size = holder.held_bytes
-        held = self._held_by_holder.get(holder)
-        if held is None:
+        size = buffer.held_bytes
+        state = self._state_by_buffer.get(buffer)
+        if state is None:
             if not size:
                 return
-            held = _Held(holder, holder.account, now, holder.read_bytes)
-            self._held_by_holder[holder] = held
+            state = _BufferState(buffer, buffer.account, now, buffer.read_bytes)
+            self._state_by_buffer[buffer] = state
         if not size:
-            self.drop(holder)
+            self.drop(buffer)
             return
-        self._resize(held, size)
-        if self._total_by_account[held.account] > self.bounds.by_account:
-            self._relieve_account(held.account, now)
+        self._resize(state, size)
+        if self._held_by_account[state.account] > self.bounds.by_account:
+            self._enforce_account_bound(state.account, now)
         if self.held > self.bounds.total:
-            self._relieve_all(now)
+            self._enforce_total_bound(now)
 
-    def drop(self, holder: AnswerBuffer) -> None:
-        """Forget a caller, who has read all or left."""
-        held = self._held_by_holder.pop(holder, None)
-        if held is not None:
-            self._resize(held, 0)
+    def drop(self, buffer: AnswerBuffer) -> None:
+        """Stop tracking a buffer whose caller has read everything or disconnected."""
+        state = self._state_by_buffer.pop(buffer, None)
+        if state is not None:
+            self._resize(state, 0)
 
-    def has_room(self, holder: AnswerBuffer) -> bool:
-        """Return whether a connection may hold more than it does."""
-        return holder.held_bytes < self.bounds.by_connection
+    def has_room(self, buffer: AnswerBuffer) -> bool:
+        """Return whether a connection may buffer more data."""
+        return buffer.held_bytes < self.bounds.by_connection
 
-    def _relieve_account(self, account: str, now: float) -> None:
-        self._refresh(self._of(account))
-        if self._total_by_account.get(account, 0) <= self.bounds.by_account:
+    def _enforce_account_bound(self, account: str, now: float) -> None:
+        self._refresh(self._states_of(account))
+        if self._held_by_account.get(account, 0) <= self.bounds.by_account:
             return
-        left = int(self.bounds.by_account * RELIEVED_SHARE)
-        while self._total_by_account.get(account, 0) > left:
-            self._cut_one(account, now)
+        left = int(self.bounds.by_account * TARGET_SHARE)
+        while self._held_by_account.get(account, 0) > left:
+            self._cut_slowest(account, now)
 
-    def _relieve_all(self, now: float) -> None:
-        self._refresh(list(self._held_by_holder.values()))
+    def _enforce_total_bound(self, now: float) -> None:
+        self._refresh(list(self._state_by_buffer.values()))
         if self.held <= self.bounds.total:
             return
-        while self.held > self.bounds.total * RELIEVED_SHARE:
-            totals = self._total_by_account
-            self._cut_one(max(totals, key=lambda account: totals[account]), now)
-
-    def _cut_one(self, account: str, now: float) -> None:
-        """Cut the answer of an account that is read slowest among the large ones."""
-        candidates = self._of(account)
-        mean = sum(held.size for held in candidates) / len(candidates)
-        large = [held for held in candidates if held.size >= mean * LARGE_SHARE]
-        settled = [held for held in large if held.is_settled(now)] or large
-        slowest = min(settled, key=lambda held: (held.speed(now), -held.size))
+        while self.held > self.bounds.total * TARGET_SHARE:
+            totals = self._held_by_account
+            self._cut_slowest(max(totals, key=lambda account: totals[account]), now)
+
+    def _cut_slowest(self, account: str, now: float) -> None:
+        """Cut the slowest-read answer among the larger ones of an account."""
+        candidates = self._states_of(account)
+        mean = sum(state.size for state in candidates) / len(candidates)
+        large = [
+            state for state in candidates if state.size >= mean * MIN_SHARE_OF_MEAN
+        ]
+        rated = [state for state in large if state.has_known_rate(now)] or large
+        slowest = min(rated, key=lambda state: (state.speed(now), -state.size))
         cut = CutAnswer(account, slowest.size, slowest.speed(now))
-        self.drop(slowest.holder)
-        slowest.holder.cut()
+        self.drop(slowest.buffer)
+        slowest.buffer.cut()
         self._on_cut(cut)
 
-    def _of(self, account: str) -> list[_Held]:
+    def _states_of(self, account: str) -> list[_BufferState]:
         found = []
-        for held in self._held_by_holder.values():
-            if held.account == account:
-                found.append(held)
+        for state in self._state_by_buffer.values():
+            if state.account == account:
+                found.append(state)
         return found
 
-    def _refresh(self, entries: Iterable[_Held]) -> None:
-        """See what has been read meanwhile; nothing tells when a caller reads."""
-        for held in entries:
-            size = held.holder.held_bytes
+    def _refresh(self, entries: Iterable[_BufferState]) -> None:
+        """Update the sizes of buffers, as reads by callers cause no notification."""
+        for state in entries:
+            size = state.buffer.held_bytes
             if size:
-                self._resize(held, size)
+                self._resize(state, size)
             else:
-                self.drop(held.holder)
+                self.drop(state.buffer)
 
-    def _resize(self, held: _Held, size: int) -> None:
-        change = size - held.size
-        held.size = size
+    def _resize(self, state: _BufferState, size: int) -> None:
+        change = size - state.size
+        state.size = size
         self.held += change
-        total = self._total_by_account.get(held.account, 0) + change
+        total = self._held_by_account.get(state.account, 0) + change
         if total:
-            self._total_by_account[held.account] = total
+            self._held_by_account[state.account] = total
         else:
-            self._total_by_account.pop(held.account, None)
+            self._held_by_account.pop(state.account, None)
--- a/lynxchute/overload/processor.py
+++ b/lynxchute/overload/processor.py
@@ -1,4 +1,4 @@
-"""How much of its processor a router uses, from the turns of its event loop."""
+"""Measure a router's processor use from the iterations of its event loop."""
 
 from __future__ import annotations
 
@@ -7,28 +7,30 @@
 
 from lynxchute.overload.load import Load, LoadSource
 
-# Seconds over which turns of the loop fade from the use: some requests, so that one
-# long event makes nobody busy.
-USE_SECONDS = 0.5
-# The same for the wait: a burst fills a VM within a few tenths of a second.
-DELAY_SECONDS = 0.25
-# Timers fire a little late by themselves.
-USUAL_LATENESS = 0.002
-# Longer turns than this are no load but a suspension, and count as so much.
-MAX_TURN_SECONDS = 1.0
+# Time constant in seconds of the decay of the measured use: long enough for several
+# requests, so that one long event does not look like high load.
+USE_DECAY_SECONDS = 0.5
+# Time constant of the decay of the delay: a burst fills a VM within some tenths of a
+# second.
+DELAY_DECAY_SECONDS = 0.25
+# Timers normally fire this many seconds late.
+TIMER_SLACK_SECONDS = 0.002
+# A longer loop iteration, in seconds, means that the VM was suspended; it counts as the
+# second value instead.
+MAX_ITERATION_SECONDS = 1.0
 SUSPENDED_SECONDS = 0.25
 
 
 class ProcessorMeter(LoadSource):
-    """Know the share of the time in which the loop works, and how long events wait.
+    """Measure the share of time the event loop is busy, and how long events wait.
 
-    The load that it answers is requests that need more processor time than the VM has.
-    The time is that of the steady clock, so that what the processor does for others
-    counts as work as well: to a caller it is the same. A loop that sleeps for longer
-    than it asked to was not run meanwhile.
+    Detects requests that need more processor time than the VM has. It uses the steady
+    clock, so time that the processor spends on other processes counts as busy as well:
+    to a caller there is no difference. A loop that sleeps longer than its timeout was
+    not scheduled in the meantime.
 
-    An event that comes at any moment waits for the turn that is under way, so that the
-    wait is the mean length of turns, each weighted by its length.
+    An event that arrives at a random moment waits for the current loop iteration, so
+    the delay is the mean iteration length, weighted by length.
 
     Parameters
     ----------
@@ -38,8 +40,8 @@
     Examples
     --------
     >>> meter = ProcessorMeter(lambda: 1.0)
-    >>> for turn in range(10):
-    ...     meter.record_sleep(turn * 0.1 + 0.08, turn * 0.1 + 0.1, 0.05)
+    >>> for number in range(10):
+    ...     meter.record_sleep(number * 0.1 + 0.08, number * 0.1 + 0.1, 0.05)
     >>> meter.load().use > 0.6
     True
     """
@@ -47,54 +49,58 @@
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
         self._woke_at: float | None = None
-        self._work = 0.0
-        self._waited = 0.0
-        self._at = 0.0
+        self._busy = 0.0
+        self._squared_work = 0.0
+        self._updated_at = 0.0
 
     @property
     def name(self) -> str:
-        """Return the resource in one word."""
+        """Return the name of the resource."""
         return "processor"
 
-    def record_sleep(self, began: float, ended: float, asked: float) -> None:
-        """Take one sleep of the loop between two turns.
+    def record_sleep(self, began: float, ended: float, timeout: float) -> None:
+        """Record one sleep of the event loop between two iterations.
 
         Parameters
         ----------
         began, ended
-            When it began and ended, on the steady clock in seconds.
-        asked
-            Seconds after which it was to end at the latest.
+            Start and end of the sleep, on the steady clock in seconds.
+        timeout
+            Seconds after which the sleep was to end at the latest.
         """
         woke_at, self._woke_at = self._woke_at, ended
         if woke_at is None:
-            self._at = ended
+            self._updated_at = ended
             return
-        turn = _bounded(began - woke_at)
-        overslept = _bounded(ended - began - asked - USUAL_LATENESS)
-        self._fade(ended)
-        self._work += turn + overslept
-        self._waited += turn * turn + overslept * overslept
+        iteration = _bounded_work(began - woke_at)
+        overslept = _bounded_work(ended - began - timeout - TIMER_SLACK_SECONDS)
+        self._decay(ended)
+        self._busy += iteration + overslept
+        self._squared_work += iteration * iteration + overslept * overslept
 
     def load(self) -> Load:
-        """Return the share of the time that was worked, and the wait of an event."""
+        """Return the busy share of the time and the expected delay of an event."""
         now = self._clock()
-        self._fade(now)
-        # A turn that is under way is long before it has ended.
-        turn = _bounded(now - self._woke_at) if self._woke_at is not None else 0.0
-        use = (self._work + turn) / USE_SECONDS
-        return Load(use, (self._waited + turn * turn) / DELAY_SECONDS)
-
-    def _fade(self, now: float) -> None:
-        passed = now - self._at
-        if passed > 0.0:
-            self._work *= math.exp(-passed / USE_SECONDS)
-            self._waited *= math.exp(-passed / DELAY_SECONDS)
-        self._at = now
-
-
-def _bounded(seconds: float) -> float:
-    """Return a time that may count as work."""
+        self._decay(now)
+        # The current iteration counts before it has ended, as it may be a long one.
+        iteration = (
+            _bounded_work(now - self._woke_at) if self._woke_at is not None else 0.0
+        )
+        use = (self._busy + iteration) / USE_DECAY_SECONDS
+        return Load(
+            use, (self._squared_work + iteration * iteration) / DELAY_DECAY_SECONDS
+        )
+
+    def _decay(self, now: float) -> None:
+        elapsed = now - self._updated_at
+        if elapsed > 0.0:
+            self._busy *= math.exp(-elapsed / USE_DECAY_SECONDS)
+            self._squared_work *= math.exp(-elapsed / DELAY_DECAY_SECONDS)
+        self._updated_at = now
+
+
+def _bounded_work(seconds: float) -> float:
+    """Return a duration as busy time: 0 if invalid, shortened after a suspension."""
     if not seconds > 0.0:
         return 0.0
-    return seconds if seconds <= MAX_TURN_SECONDS else SUSPENDED_SECONDS
+    return seconds if seconds <= MAX_ITERATION_SECONDS else SUSPENDED_SECONDS
--- a/lynxchute/overload/returns.py
+++ b/lynxchute/overload/returns.py
@@ -1,7 +1,7 @@
-"""Who was told to come back, and does so when it was told.
+"""Recognise callers that retry at the time they were told.
 
-Answers loads where callers are refused and return: one that keeps to what it was told
-should not be refused again, and one that repeats at once should gain nothing by it.
+Handles callers that are refused and retry. One that keeps to its retry time should not
+be refused again, and one that retries at once should gain nothing by it.
 """
 
 from __future__ import annotations
@@ -11,66 +11,72 @@
 
 import attrs
 
-# Refusals that are remembered, some 200 bytes each: at 500 refusals a second those of
-# four seconds, which is as long as callers are told to stay away.
-MOST_TOLD = 2_048
-# Seconds by which a caller's clock and the way there may shorten the time.
-EARLY_SECONDS = 0.02
-# Seconds after the told time for which a place among the first is kept: later than
-# that a caller has most likely gone about it anew.
-KEPT_SECONDS = 2.0
+# Refusals that are remembered, at some 200 bytes each. At 500 refusals a second this
+# covers four seconds, the longest retry delay that callers are given.
+MAX_ENTRIES = 2_048
+# Seconds by which a retry may be early, because of the caller's clock or network delay.
+EARLY_TOLERANCE_SECONDS = 0.02
+# Seconds after the retry time for which a retry still has precedence; a later attempt
+# is most likely unrelated to the refusal.
+LATE_TOLERANCE_SECONDS = 2.0
 
 
 @attrs.frozen
-class _Told:
-    """When a caller should be back."""
+class _ExpectedRetry:
+    """The time at which a caller should retry."""
 
-    back_at: float
+    retry_at: float
 
 
 class ExpectedRetries:
-    """Remember whom a refusal told to come back, and when.
+    """Remember which callers were refused, and when they should retry.
 
     Parameters
     ----------
-    most
-        Refusals that are remembered; the oldest are forgotten first.
+    max_entries
+        Refusals that are remembered; the oldest are evicted first.
     """
 
-    def __init__(self, *, most: int = MOST_TOLD) -> None:
-        self._most = most
-        self._told_by_caller: OrderedDict[tuple[str, str], _Told] = OrderedDict()
+    def __init__(self, *, max_entries: int = MAX_ENTRIES) -> None:
+        self._max_entries = max_entries
+        self._retry_by_caller: OrderedDict[tuple[str, str], _ExpectedRetry] = (
+            OrderedDict()
+        )
 
     def __len__(self) -> int:
-        return len(self._told_by_caller)
+        return len(self._retry_by_caller)
 
     def record_refusal(
         self, account: str, content: str, after: float, now: float
     ) -> None:
-        """Remember a refusal.
+        """Record a refusal with the delay after which the caller should retry.
 
         Parameters
         ----------
         content
-            Names what was asked for, the same for each attempt; empty for what has no
-            name and is not remembered.
+            Id of the request's content, the same for each attempt. Requests with an
+            empty id are not recorded.
         after
-            Seconds after which its caller should come back.
+            Seconds after which the caller should retry.
         """
         if not content or not math.isfinite(after):
             return
         caller = (account, content)
-        self._told_by_caller.pop(caller, None)
-        while len(self._told_by_caller) >= self._most:
-            self._told_by_caller.popitem(last=False)
-        self._told_by_caller[caller] = _Told(now + max(after, 0.0))
+        self._retry_by_caller.pop(caller, None)
+        while len(self._retry_by_caller) >= self._max_entries:
+            self._retry_by_caller.popitem(last=False)
+        self._retry_by_caller[caller] = _ExpectedRetry(now + max(after, 0.0))
 
     def consume(self, account: str, content: str, now: float) -> bool:
-        """Return whether a caller comes back as told, and forget that it was.
+        """Return whether a request is a retry at the expected time; drop the record.
 
-        One that comes early is no return, and has to wait to be told again.
+        An early retry does not count, and its caller has to wait to be told again.
         """
-        told = self._told_by_caller.pop((account, content), None)
-        if told is None:
+        expected = self._retry_by_caller.pop((account, content), None)
+        if expected is None:
             return False
-        return told.back_at - EARLY_SECONDS <= now <= told.back_at + KEPT_SECONDS
+        return (
+            expected.retry_at - EARLY_TOLERANCE_SECONDS
+            <= now
+            <= expected.retry_at + LATE_TOLERANCE_SECONDS
+        )
--- a/lynxchute/overload/shares.py
+++ b/lynxchute/overload/shares.py
@@ -1,4 +1,4 @@
-"""How much of a scarce resource each client account uses of what it may."""
+"""The interface for comparing the use of client accounts with their fair shares."""
 
 from __future__ import annotations
 
@@ -6,27 +6,27 @@
 
 
 class AccountShares(ABC):
-    """Weigh what client accounts ask for against their fair shares.
+    """Track the use of a scarce resource by client accounts.
 
-    Shares are max-min fair: what an account leaves unused is lent to the others at
-    once, so that a lone account may have all.
+    Shares are max-min fair: whatever an account leaves unused is lent to the others at
+    once, so an account that is alone may use everything.
     """
 
     @abstractmethod
     def record_use(self, account: str, cost: float, now: float) -> None:
-        """Count what a request of an account costs.
+        """Record the cost of a request of an account.
 
         Parameters
         ----------
         cost
-            In the unit of the resource, such as seconds of a processor.
+            Cost in the unit of the resource, such as seconds of processor time.
         now
             Seconds on the steady clock.
         """
 
     @abstractmethod
     def excess(self, account: str, now: float) -> float:
-        """Return how many times its fair share an account has used of late.
+        """Return the account's recent use as a multiple of its fair share.
 
-        An account within its share has 1 or less.
+        The value is 1 or less for an account within its share.
         """
--- a/lynxchute/overload/sources.py
+++ b/lynxchute/overload/sources.py
@@ -1,4 +1,4 @@
-"""The link and the held bodies of a VM as sources of load."""
+"""Load sources that are measured by callbacks."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 
 class CallbackLoadSource(LoadSource):
-    """Return what functions measure.
+    """A load source that reads its measurements from callbacks.
 
     Parameters
     ----------
     name
-        The resource in one word.
+        Name of the resource.
     use
-        Returns the share that is in use.
+        Returns the share of the resource in use.
     delay
-        Returns the seconds that new work waits.
+        Returns the seconds that new work waits for the resource.
     """
 
     def __init__(
@@ -32,16 +32,16 @@
 
     @property
     def name(self) -> str:
-        """Return the resource in one word."""
+        """Return the name of the resource."""
         return self._name
 
     def load(self) -> Load:
-        """Return its load now."""
+        """Return the current load."""
         return Load(self._use(), self._delay())
 
 
 def utilization(used: float, limit: float) -> float:
-    """Return which share of a limit is used; 0 where there is no limit.
+    """Return the used share of a limit; 0 if there is no limit.
 
     Examples
     --------
--- a/lynxchute/overload/ticket.py
+++ b/lynxchute/overload/ticket.py
@@ -1,4 +1,4 @@
-"""A request that waits for a place at an upstream."""
+"""Tickets for requests that wait for a place at an upstream, and their queue."""
 
 from __future__ import annotations
 
@@ -10,28 +10,28 @@
 
 @attrs.frozen
 class Ticket:
-    """The place of a waiting request in a queue; the request stays with its router.
+    """A request's position in a queue; the request itself stays with its router.
 
     Attributes
     ----------
     run_id
-        Names the run that waits.
+        Id of the run that waits.
     router
-        The incarnation of the router that has the request.
+        Incarnation of the router that holds the request.
     account
-        Who pays; empty on public routes.
+        The client account that pays; empty on public routes.
     rank
-        Urgency; 0 comes first.
+        Priority; 0 is the most urgent.
     cost
-        What it takes of the upstreams, in tokens.
+        Work for the upstream, in tokens.
     arrived_at
-        When its caller first asked, on the steady clock in seconds.
-    leaves_at
-        When its caller gives up.
-    is_return
-        Whether its caller comes back as it was told after a refusal.
+        Time of the caller's first request, on the steady clock in seconds.
+    expires_at
+        Time at which the caller gives up.
+    is_timely_retry
+        Whether the caller retries at the time it was told after a refusal.
     due_at
-        When its answer should begin for its caller to have it on time.
+        Time by which the answer should begin to meet its latency objective.
     """
 
     run_id: str
@@ -46,23 +46,23 @@
 
 
 class TicketQueue(ABC):
-    """Put waiting requests in order, and refuse what would wait too long."""
+    """A queue of waiting requests that rejects those that would wait too long."""
 
     @abstractmethod
     def put(self, ticket: Ticket, now: float) -> float | None:
-        """Take a ticket.
+        """Add a ticket, or reject it.
 
         Returns
         -------
         float or None
-            Seconds after which its caller should come back where it is refused; None
-            where it waits.
+            Seconds after which the caller of a rejected ticket should retry; None if
+            the ticket waits.
         """
 
     @abstractmethod
     def consume(self, now: float) -> Ticket | None:
-        """Remove and return the ticket that is next; None where none waits."""
+        """Remove and return the next ticket; None if the queue is empty."""
 
     @abstractmethod
     def drop(self, run_id: str) -> None:
-        """Forget a ticket whose caller has left."""
+        """Remove the ticket of a caller that has disconnected."""
--- a/lynxchute/overload/ticket_queue.py
+++ b/lynxchute/overload/ticket_queue.py
@@ -1,9 +1,9 @@
-"""Put requests that wait for an upstream in a fair order, and refuse what is in vain.
+"""Order requests that wait for an upstream fairly, and reject those that are too late.
 
-Answers loads where all upstreams of a service are full for a while. An urgent request
-should not wait behind less urgent ones, callers of an account within its share not
-behind those of one that asks for many times its own, and nobody for longer than it can
-be of use.
+Handles times in which all upstreams of a service are full. An urgent request should
+not wait behind less urgent ones, callers of an account within its share should not wait
+behind an account that asks for many times its own, and no request should wait longer
+than its answer is of use.
 """
 
 from __future__ import annotations
@@ -14,227 +14,230 @@
 import attrs
 
 from lynxchute.overload.drain import DrainRate
-from lynxchute.overload.kinds_served import KindsServed
+from lynxchute.overload.kinds_served import RankServiceRates
 from lynxchute.overload.shares import AccountShares
 from lynxchute.overload.ticket import Ticket, TicketQueue
 
-# Tickets that wait at once; more would wait longer than callers do where each engine
-# serves some tens a second.
-MOST_TICKETS = 512
-# Seconds for which an order holds: shares and times left change little meanwhile, and
-# putting 512 tickets in order takes about a millisecond.
-ORDER_SECONDS = 0.05
-# Seconds by which a ticket that cannot be in time counts as later than it is: those who
-# still can go first, but no more of them than come in that time.
-LATE_SECONDS = 1.0
-# An account counts as beyond its share from so many times of it: what callers ask for
-# varies, and they should not lose their turn by chance.
-SHARE_SLACK = 1.5
-# A kind that is served less often than this share of how often all are gets one turn
-# in so many, so that it is not forgotten behind more urgent ones.
-LEAST_SERVED = 0.4
-TURNS_APART = 4
-# A wait counts as too long where it is so many times what its caller has left: figures
-# of the drain are off by some tenths.
-SURE = 1.25
-# The least and the largest share of the time that a caller has left after which it is
-# told to come back: the rest has to do for the request itself.
+# Maximum number of waiting tickets: where each engine serves some tens of requests a
+# second, further ones would wait longer than callers do.
+MAX_TICKETS = 512
+# Seconds for which the order is kept: shares and remaining times change little in that
+# time, and reordering 512 tickets takes about a millisecond.
+REORDER_SECONDS = 0.05
+# Penalty in seconds for a ticket that has missed its latency objective: requests that
+# can still be in time go first, but only those that arrive within this time.
+LATE_PENALTY_SECONDS = 1.0
+# An account is beyond its share from this multiple of it on. Demand varies, and no
+# account should lose its position by chance.
+SHARE_TOLERANCE = 1.5
+# A rank whose admission rate is below this share of the overall rate is starved: one of
+# its tickets is promoted for every so many others, so that it is not held back by more
+# urgent ranks for ever.
+MIN_SERVED_SHARE = 0.4
+PROMOTION_INTERVAL = 4
+# Safety factor on the expected wait when it is compared with the time that the caller
+# has left: estimates of the drain rate are off by some tenths.
+WAIT_MARGIN = 1.25
+# Bounds on the retry delay, as shares of the time that the caller has left; the rest of
+# the time is needed for the request itself.
 LEAST_RETRY_SHARE = 0.05
 MOST_RETRY_SHARE = 0.33
-# Shares of that by which callers are spread, so that they do not come together.
-SPREAD_SHARE = 0.3
-GOLDEN = (math.sqrt(5.0) - 1.0) / 2.0
+# Share of the retry delay by which callers are spread, so that they do not all retry
+# together.
+JITTER_SHARE = 0.3
+GOLDEN_RATIO = (math.sqrt(5.0) - 1.0) / 2.0
 
-# Urgency, the account's excess, whether it comes back as told, time, a number for each.
+# Sort key: rank, excess band, 0 for a timely retry, arrival time, sequence number.
 Key = tuple[float, int, int, float, int]
 
 
 @attrs.define
-class _Waiting:
-    """A ticket, and where it stands."""
+class _Entry:
+    """A queued ticket and its sort key."""
 
     ticket: Ticket
-    number: int
+    sequence: int
     key: Key
 
 
 class FairTicketQueue(TicketQueue):
-    """Wait in order of urgency, share and time.
+    """A queue ordered by rank, by the account's excess over its share, and by time.
 
     Parameters
     ----------
     shares
-        How much accounts have used.
+        The recent use of accounts.
     drain
-        How fast places become free.
-    most
-        Tickets that may wait at once.
+        The rate at which places become free.
+    max_tickets
+        Maximum number of waiting tickets.
     """
 
     def __init__(
-        self, shares: AccountShares, drain: DrainRate, *, most: int = MOST_TICKETS
+        self, shares: AccountShares, drain: DrainRate, *, max_tickets: int = MAX_TICKETS
     ) -> None:
         self._shares = shares
         self.drain = drain
-        self._most = most
-        self._waiting_by_run: dict[str, _Waiting] = {}
+        self._max_tickets = max_tickets
+        self._entry_by_run: dict[str, _Entry] = {}
         self._order: list[tuple[Key, str]] = []
-        self._ordered_at = -math.inf
-        self._numbers = 0
-        self._kinds = KindsServed()
-        self._hardly_served: set[int] = set()
+        self._reordered_at = -math.inf
+        self._sequence = 0
+        self._service_rates = RankServiceRates()
+        self._starved_ranks: set[int] = set()
 
     def __len__(self) -> int:
-        return len(self._waiting_by_run)
+        return len(self._entry_by_run)
 
     def __contains__(self, run_id: str) -> bool:
-        return run_id in self._waiting_by_run
+        return run_id in self._entry_by_run
 
     def get(self, run_id: str) -> Ticket | None:
-        """Return the ticket of a run that waits; None where it does not."""
-        waiting = self._waiting_by_run.get(run_id)
-        return waiting.ticket if waiting is not None else None
+        """Return the ticket of a waiting run; None if it does not wait."""
+        entry = self._entry_by_run.get(run_id)
+        return entry.ticket if entry is not None else None
 
     @property
     def tickets(self) -> list[Ticket]:
-        """Return those that wait, in no order."""
-        return [waiting.ticket for waiting in self._waiting_by_run.values()]
+        """Return all waiting tickets, in no particular order."""
+        return [entry.ticket for entry in self._entry_by_run.values()]
 
     def put(self, ticket: Ticket, now: float) -> float | None:
-        """Take a ticket, or refuse what would wait longer than its caller does."""
-        if ticket.run_id in self._waiting_by_run:
+        """Add a ticket, or reject it if its caller would give up before its turn."""
+        if ticket.run_id in self._entry_by_run:
             return self.reject_if_late(ticket.run_id, now)
-        self._kinds.note_asked(ticket.rank, now)
-        self._put_in_order(now)
-        self._numbers += 1
-        key = self._key(ticket, self._numbers, now)
-        waiting = _Waiting(ticket, self._numbers, key)
-        if len(self._waiting_by_run) >= self._most:
+        self._service_rates.record_arrival(ticket.rank, now)
+        self._reorder(now)
+        self._sequence += 1
+        key = self._key(ticket, self._sequence, now)
+        entry = _Entry(ticket, self._sequence, key)
+        if len(self._entry_by_run) >= self._max_tickets:
             last_key, last = self._order[-1]
-            if waiting.key >= last_key:
+            if entry.key >= last_key:
                 return self.retry_after(ticket, len(self._order), now)
-            # Its router hears of it where it asks again.
+            # The router of the dropped ticket learns of it when it asks again.
             self.drop(last)
-        self._waiting_by_run[ticket.run_id] = waiting
-        insort(self._order, (waiting.key, ticket.run_id))
-        if ticket.rank in self._hardly_served:
-            # At the end of the order it would be refused before its kind's turn comes.
-            self._ordered_at = -math.inf
+        self._entry_by_run[ticket.run_id] = entry
+        insort(self._order, (entry.key, ticket.run_id))
+        if ticket.rank in self._starved_ranks:
+            # At its place in the order it would be rejected before it is promoted.
+            self._reordered_at = -math.inf
         return self.reject_if_late(ticket.run_id, now)
 
     def consume(self, now: float) -> Ticket | None:
-        """Remove and return the ticket that is next; its request is served."""
-        self._put_in_order(now)
+        """Remove and return the next ticket, whose request is then served."""
+        self._reorder(now)
         if not self._order:
             return None
         return self.admit(self._order[0][1], now)
 
     def drop(self, run_id: str) -> None:
-        """Forget a ticket whose caller has left."""
-        waiting = self._waiting_by_run.pop(run_id, None)
-        if waiting is not None:
-            index = bisect_left(self._order, (waiting.key, run_id))
+        """Remove the ticket of a caller that has disconnected."""
+        entry = self._entry_by_run.pop(run_id, None)
+        if entry is not None:
+            index = bisect_left(self._order, (entry.key, run_id))
             del self._order[index]
 
     def admit(self, run_id: str, now: float) -> Ticket:
-        """Remove and return a ticket whose request has got a place."""
-        ticket = self._waiting_by_run[run_id].ticket
+        """Remove and return a ticket whose request was given a place."""
+        ticket = self._entry_by_run[run_id].ticket
         self.drop(run_id)
-        self._kinds.note_served(ticket.rank, now)
+        self._service_rates.record_admission(ticket.rank, now)
         return ticket
 
     def record_unqueued(self, rank: int, now: float) -> None:
-        """Count a request that got a place without waiting."""
-        self._kinds.note_asked(rank, now)
-        self._kinds.note_served(rank, now)
+        """Record a request that was given a place without queueing."""
+        self._service_rates.record_arrival(rank, now)
+        self._service_rates.record_admission(rank, now)
 
     def position_of(self, run_id: str, now: float) -> int:
-        """Return how many tickets come before one that waits."""
-        self._put_in_order(now)
-        waiting = self._waiting_by_run[run_id]
-        return bisect_left(self._order, (waiting.key, run_id))
+        """Return the number of tickets ahead of a waiting one."""
+        self._reorder(now)
+        entry = self._entry_by_run[run_id]
+        return bisect_left(self._order, (entry.key, run_id))
 
     def expected_wait(self, run_id: str, now: float) -> float:
-        """Return the seconds until a ticket's turn."""
-        return self._wait(self.position_of(run_id, now), now)
+        """Return the estimated seconds until a ticket's turn."""
+        return self._expected_wait(self.position_of(run_id, now), now)
 
     def reject_if_late(self, run_id: str, now: float) -> float | None:
-        """Refuse a ticket whose turn comes too late, and forget it.
+        """Remove a ticket whose turn would come too late.
 
         Returns
         -------
         float or None
-            Seconds after which its caller should come back; None where it waits on.
+            Seconds after which the caller of a removed ticket should retry; None if the
+            ticket still waits.
         """
-        ticket = self._waiting_by_run[run_id].ticket
+        ticket = self._entry_by_run[run_id].ticket
         if ticket.expires_at <= now:
             self.drop(run_id)
             return 0.0
         ahead = self.position_of(run_id, now)
-        if self._wait(ahead, now) * SURE <= ticket.expires_at - now:
+        if self._expected_wait(ahead, now) * WAIT_MARGIN <= ticket.expires_at - now:
             return None
         self.drop(run_id)
         return self.retry_after(ticket, ahead, now)
 
     def retry_after(self, ticket: Ticket, ahead: int, now: float) -> float:
-        """Return the seconds after which the caller of a refused ticket should be back.
+        """Return the seconds after which the caller of a rejected ticket should retry.
 
-        By then so many of those ahead of it are served that its turn would come while
-        it waits. No two in a row are told the same.
+        By then enough of the tickets ahead are served for its turn to come while the
+        caller waits. Consecutive callers get different delays.
         """
         left = max(ticket.expires_at - now, 0.0)
-        wait = self._wait(ahead, now)
-        after = min(max(wait - left / SURE, LEAST_RETRY_SHARE * left), wait)
-        self._numbers += 1
-        spread = 1.0 + SPREAD_SHARE * math.modf(self._numbers * GOLDEN)[0]
-        most = MOST_RETRY_SHARE * left / (1.0 + SPREAD_SHARE)
-        return min(after, most) * spread
-
-    def _wait(self, ahead: int, now: float) -> float:
+        wait = self._expected_wait(ahead, now)
+        after = min(max(wait - left / WAIT_MARGIN, LEAST_RETRY_SHARE * left), wait)
+        self._sequence += 1
+        spread = 1.0 + JITTER_SHARE * math.modf(self._sequence * GOLDEN_RATIO)[0]
+        max_after = MOST_RETRY_SHARE * left / (1.0 + JITTER_SHARE)
+        return min(after, max_after) * spread
+
+    def _expected_wait(self, ahead: int, now: float) -> float:
         per_second = self.drain.per_second(now)
         return ahead / per_second if per_second > 0.0 else math.inf
 
-    def _key(self, ticket: Ticket, number: int, now: float) -> Key:
+    def _key(self, ticket: Ticket, sequence: int, now: float) -> Key:
         excess = self._shares.excess(ticket.account, now)
-        band = 0
-        if excess > SHARE_SLACK:
-            # A doubling apart, so that small changes do not change the order.
-            band = 1 + int(math.log2(excess / SHARE_SLACK))
-        if ticket.is_timely_retry and band:
-            band -= 1
-        at = ticket.arrived_at + (LATE_SECONDS if now > ticket.due_at else 0.0)
-        return (ticket.rank, band, int(not ticket.is_timely_retry), at, number)
-
-    def _put_in_order(self, now: float) -> None:
-        """Give tickets their keys anew, after a while, without those who have left."""
-        if now - self._ordered_at < ORDER_SECONDS:
+        excess_band = 0
+        if excess > SHARE_TOLERANCE:
+            # Each band doubles the excess, so that small changes keep the order.
+            excess_band = 1 + int(math.log2(excess / SHARE_TOLERANCE))
+        if ticket.is_timely_retry and excess_band:
+            excess_band -= 1
+        at = ticket.arrived_at + (LATE_PENALTY_SECONDS if now > ticket.due_at else 0.0)
+        return (ticket.rank, excess_band, int(not ticket.is_timely_retry), at, sequence)
+
+    def _reorder(self, now: float) -> None:
+        """Recompute the sort keys at intervals, and drop expired tickets."""
+        if now - self._reordered_at < REORDER_SECONDS:
             return
-        self._ordered_at = now
-        self._hardly_served = self._kinds.below(LEAST_SERVED, now)
-        for run_id, waiting in list(self._waiting_by_run.items()):
-            if waiting.ticket.expires_at <= now:
-                del self._waiting_by_run[run_id]
+        self._reordered_at = now
+        self._starved_ranks = self._service_rates.ranks_below(MIN_SERVED_SHARE, now)
+        for run_id, entry in list(self._entry_by_run.items()):
+            if entry.ticket.expires_at <= now:
+                del self._entry_by_run[run_id]
                 continue
-            waiting.key = self._key(waiting.ticket, waiting.number, now)
+            entry.key = self._key(entry.ticket, entry.sequence, now)
         self._sort()
-        if self._lift_the_hardly_served():
+        if self._promote_starved():
             self._sort()
 
     def _sort(self) -> None:
-        pairs = [(w.key, run_id) for run_id, w in self._waiting_by_run.items()]
+        pairs = [(entry.key, run_id) for run_id, entry in self._entry_by_run.items()]
         self._order = sorted(pairs)
 
-    def _lift_the_hardly_served(self) -> bool:
-        """Put tickets of kinds that are hardly served between the others."""
-        low = self._hardly_served
-        if not low:
+    def _promote_starved(self) -> bool:
+        """Interleave tickets of starved ranks with the others."""
+        starved = self._starved_ranks
+        if not starved:
             return False
-        lifted = [run_id for key, run_id in self._order if key[0] in low]
-        others = [key for key, _ in self._order if key[0] not in low]
-        for turn, run_id in enumerate(lifted):
-            if turn * TURNS_APART >= len(others):
+        promoted = [run_id for key, run_id in self._order if key[0] in starved]
+        others = [key for key, _ in self._order if key[0] not in starved]
+        for position, run_id in enumerate(promoted):
+            if position * PROMOTION_INTERVAL >= len(others):
                 break
-            waiting = self._waiting_by_run[run_id]
-            turn_key = (*others[turn * TURNS_APART][:4], -waiting.number)
-            waiting.key = min(waiting.key, turn_key)
-        return bool(lifted)
+            entry = self._entry_by_run[run_id]
+            promoted_key = (*others[position * PROMOTION_INTERVAL][:4], -entry.sequence)
+            entry.key = min(entry.key, promoted_key)
+        return bool(promoted)
--- a/lynxchute/overload/upstream_memory.py
+++ b/lynxchute/overload/upstream_memory.py
@@ -1,93 +1,97 @@
-"""Bound what an upstream holds of requests by what it has been seen to bear."""
+"""Bound the request bytes held by an upstream by what it is known to handle."""
 
 from __future__ import annotations
 
 import attrs
 
-# The share of what an upstream held when it ended that it is given from then on. It
-# may have ended for another reason, and others may have sent to it as well.
-BORNE_SHARE = 0.8
-# Bytes at which nobody ends for want of memory.
-LEAST_BYTES = 65536
-# Requests without an end after which the learned bound grows by a hundredth, so that
+# Share of the bytes that an upstream held when it crashed which it is given from then
+# on. The crash may have had another cause, and other routers may have sent to it too.
+SAFE_SHARE = 0.8
+# An upstream that holds fewer bytes than this did not crash for lack of memory.
+MIN_CRASH_BYTES = 65536
+# Completed requests without a crash after which the learned limit grows by 1%, so that
 # one wrong guess does not last.
-GROW_AFTER = 50
-GROWTH = 1.01
+GROWTH_INTERVAL = 50
+GROWTH_FACTOR = 1.01
 
 
 @attrs.define(eq=False)
 class _Upstream:
-    """What one upstream holds, and what it may.
+    """The bytes that one upstream holds, and their limits.
 
     Attributes
     ----------
-    named, learned
-        Bytes that it says it bears, and that it is taken to bear; 0 where unknown.
-    served
-        Requests that ended well since the learned bound last changed.
+    held
+        Bytes of the requests that are open there.
+    stated, learned
+        Limits in bytes that the upstream reports, and that was learned from crashes; 0
+        if unknown.
+    completed
+        Requests that ended without a crash since the learned limit last changed.
     """
 
     held: int = 0
-    named: int = 0
+    stated: int = 0
     learned: int = 0
-    served: int = 0
+    completed: int = 0
 
     @property
-    def bound(self) -> int:
-        """Return the bytes that it may hold; 0 where nothing is known."""
-        known = [size for size in (self.named, self.learned) if size]
+    def limit(self) -> int:
+        """Return the limit in bytes; 0 if nothing is known."""
+        known = [size for size in (self.stated, self.learned) if size]
         return min(known, default=0)
 
 
 class UpstreamMemory:
-    """Say whether an upstream may take a request beside those that it holds.
+    """Decide whether an upstream may be sent a request beside those that it holds.
 
-    The load that it answers: long requests that meet on one upstream, which crashes
-    with all of them. A caller is better served by another upstream, or a moment later.
+    Handles long requests that meet on one upstream, which then crashes with all of
+    them. Their callers are better served by another upstream, or a moment later.
     """
 
     def __init__(self) -> None:
         self._by_id: dict[str, _Upstream] = {}
 
-    def note_named(self, upstream_id: str, size: int) -> None:
-        """Take what an upstream says that it bears, in bytes; 0 takes that back."""
-        self._upstream(upstream_id).named = size
+    def record_stated_limit(self, upstream_id: str, size: int) -> None:
+        """Record the limit in bytes that an upstream reports; 0 clears it."""
+        self._upstream(upstream_id).stated = size
 
-    def may_take(self, upstream_id: str, size: int) -> bool:
-        """Return whether a request of some bytes may be sent.
+    def may_send(self, upstream_id: str, size: int) -> bool:
+        """Return whether a request of some bytes may be sent to an upstream.
 
-        One that is alone is always let through: nobody else would fare better.
+        A request to an upstream that holds no other is always allowed, as no other
+        upstream would be better for it.
         """
         upstream = self._upstream(upstream_id)
-        if not upstream.held or not upstream.bound:
+        if not upstream.held or not upstream.limit:
             return True
-        return upstream.held + size <= upstream.bound
+        return upstream.held + size <= upstream.limit
 
-    def note_sent(self, upstream_id: str, size: int) -> None:
-        """Note that an upstream holds a request."""
+    def record_send(self, upstream_id: str, size: int) -> None:
+        """Record that a request was sent to an upstream."""
         self._upstream(upstream_id).held += size
 
     def record_end(self, upstream_id: str, size: int) -> None:
-        """Note that an upstream is done with a request."""
+        """Record that an upstream has finished a request."""
         upstream = self._upstream(upstream_id)
         upstream.held = max(upstream.held - size, 0)
-        upstream.served += 1
-        if upstream.learned and upstream.served >= GROW_AFTER:
-            upstream.learned = int(upstream.learned * GROWTH)
-            upstream.served = 0
+        upstream.completed += 1
+        if upstream.learned and upstream.completed >= GROWTH_INTERVAL:
+            upstream.learned = int(upstream.learned * GROWTH_FACTOR)
+            upstream.completed = 0
 
-    def note_crashed(self, upstream_id: str) -> None:
-        """Note that an upstream ended without notice, with all that it held."""
+    def record_crash(self, upstream_id: str) -> None:
+        """Record that an upstream crashed with all the requests that it held."""
         upstream = self._upstream(upstream_id)
         held, upstream.held = upstream.held, 0
-        if held < LEAST_BYTES:
+        if held < MIN_CRASH_BYTES:
             return
-        borne = int(held * BORNE_SHARE)
-        upstream.learned = min(upstream.learned or borne, borne)
-        upstream.served = 0
+        safe = int(held * SAFE_SHARE)
+        upstream.learned = min(upstream.learned or safe, safe)
+        upstream.completed = 0
 
-    def forget(self, upstream_id: str) -> None:
-        """Forget an upstream that is gone."""
+    def discard(self, upstream_id: str) -> None:
+        """Drop the state of an upstream that was removed."""
         self._by_id.pop(upstream_id, None)
 
     def _upstream(self, upstream_id: str) -> _Upstream:
--- a/lynxchute/overload/weights.py
+++ b/lynxchute/overload/weights.py
@@ -1,15 +1,16 @@
-"""How much of what is scarce an account may have, as a multiple of the others."""
+"""Weights of client accounts: their shares relative to an account of weight 1."""
 
 from __future__ import annotations
 
-# Weights beyond these are mistakes, and would leave the others next to nothing.
+# Weights outside of these bounds are mistakes: they would leave other accounts next to
+# nothing.
 MIN_WEIGHT = 0.01
 MAX_WEIGHT = 100.0
 DEFAULT_WEIGHT = 1.0
 
 
 def usable_weight(value: object) -> float:
-    """Return a weight, or the usual one in place of what is none.
+    """Return a weight, or the default weight in place of an invalid one.
 
     Examples
     --------
--- a/lynxchute/quarantine/__init__.py
+++ b/lynxchute/quarantine/__init__.py
@@ -6,7 +6,7 @@
 from lynxchute.quarantine.quarantine import Quarantine
 from lynxchute.quarantine.record import QuarantineEntry, QuarantineRecord, Suspect
 from lynxchute.quarantine.served import ServedContents
-from lynxchute.quarantine.suspicion import Suspicion
+from lynxchute.quarantine.suspicion import CrashAttribution
 
 __all__ = [
     "BrokenRun",
@@ -17,7 +17,7 @@
     "QuarantineRecord",
     "ServedContents",
     "Suspect",
-    "Suspicion",
+    "CrashAttribution",
     "Verdict",
     "content_id",
 ]
--- a/lynxchute/quarantine/quarantine.py
+++ b/lynxchute/quarantine/quarantine.py
@@ -8,7 +8,7 @@
 
 # Milliseconds for which what a router told counts beside a newer row of the store that
 # does not have it: the router that judged writes it within some ms, or takes it back.
-TOLD_MS = 30_000
+UNCONFIRMED_MS = 30_000
 
 
 class Quarantine:
@@ -35,7 +35,7 @@
     def __init__(self) -> None:
         self.by_content: dict[str, QuarantineEntry] = {}
         self.dropped = 0
-        self._told_at_ms_by_content: dict[str, int] = {}
+        self._reported_at_ms_by_content: dict[str, int] = {}
 
     def find(self, content: str, now_ms: int) -> QuarantineEntry | None:
         """Return the quarantine that a request is in, if any."""
@@ -43,20 +43,20 @@
         if found is None:
             return None
         if now_ms >= found.until_ms:
-            self._drop(content)
+            self._discard(content)
             return None
         return found
 
     def replace(self, quarantined: Iterable[QuarantineEntry], now_ms: int) -> list[str]:
         """Take what stands in the store; return the contents that are new."""
-        standing = {item.content: item for item in quarantined}
+        stored = {item.content: item for item in quarantined}
         for content in list(self.by_content):
-            told_ms = self._told_at_ms_by_content.get(content, -TOLD_MS)
-            if content not in standing and now_ms - told_ms >= TOLD_MS:
-                self._drop(content)
-        for content in standing:
-            self._told_at_ms_by_content.pop(content, None)
-        return self._put(standing.values())
+            reported_ms = self._reported_at_ms_by_content.get(content, -UNCONFIRMED_MS)
+            if content not in stored and now_ms - reported_ms >= UNCONFIRMED_MS:
+                self._discard(content)
+        for content in stored:
+            self._reported_at_ms_by_content.pop(content, None)
+        return self._add_all(stored.values())
 
     def add(self, quarantined: Iterable[QuarantineEntry], now_ms: int) -> list[str]:
         """Take what a router tells; return the contents that are new."""
@@ -64,21 +64,21 @@
         for item in items:
             # What stands in the store already goes with its row.
             if item.content not in self.by_content:
-                self._told_at_ms_by_content[item.content] = now_ms
-        return self._put(items)
+                self._reported_at_ms_by_content[item.content] = now_ms
+        return self._add_all(items)
 
-    def told(self) -> tuple[QuarantineEntry, ...]:
+    def unconfirmed(self) -> tuple[QuarantineEntry, ...]:
         """Return what was told and does not stand in the store yet."""
         return tuple(
-            self.by_content[content] for content in self._told_at_ms_by_content
+            self.by_content[content] for content in self._reported_at_ms_by_content
         )
 
     def clear(self, contents: Iterable[str]) -> None:
         """Take requests again."""
         for content in contents:
-            self._drop(content)
+            self._discard(content)
 
-    def _put(self, items: Iterable[QuarantineEntry]) -> list[str]:
+    def _add_all(self, items: Iterable[QuarantineEntry]) -> list[str]:
         new = []
         for item in items:
             if item.content not in self.by_content:
@@ -86,10 +86,10 @@
             self.by_content[item.content] = item
         while len(self.by_content) > MAX_QUARANTINED:
             soonest = min(self.by_content.values(), key=lambda item: item.until_ms)
-            self._drop(soonest.content)
+            self._discard(soonest.content)
             self.dropped += 1
         return new
 
-    def _drop(self, content: str) -> None:
+    def _discard(self, content: str) -> None:
         self.by_content.pop(content, None)
-        self._told_at_ms_by_content.pop(content, None)
+        self._reported_at_ms_by_content.pop(content, None)
--- a/lynxchute/quarantine/served.py
+++ b/lynxchute/quarantine/served.py
@@ -15,22 +15,22 @@
     Examples
     --------
     >>> served = ServedContents()
-    >>> served.note("q", 100)
-    >>> served.since("q", 50), served.since("q", 200), served.since("other", 0)
+    >>> served.record_served("q", 100)
+    >>> served.has_served_since("q", 50), served.has_served_since("q", 200), served.has_served_since("other", 0)
     (True, False, False)
     """
 
     def __init__(self) -> None:
         self._at_ms_by_content: OrderedDict[str, int] = OrderedDict()
 
-    def note(self, content: str, now_ms: int) -> None:
+    def record_served(self, content: str, now_ms: int) -> None:
         """Note that an upstream has outlived a request."""
         self._at_ms_by_content[content] = now_ms
         self._at_ms_by_content.move_to_end(content)
         if len(self._at_ms_by_content) > MAX_REMEMBERED:
             self._at_ms_by_content.popitem(last=False)
 
-    def since(self, content: str, then_ms: int) -> bool:
+    def has_served_since(self, content: str, then_ms: int) -> bool:
         """Return whether a request was served here after a time."""
         served_ms = self._at_ms_by_content.get(content)
         return served_ms is not None and served_ms > then_ms
--- a/lynxchute/quarantine/suspicion.py
+++ b/lynxchute/quarantine/suspicion.py
@@ -17,25 +17,25 @@
 # Upstreams that a request must have ended before no further one is risked. One end is
 # any crash, two may be bad luck: a request that was open beside the cause and was sent
 # on to the same place as it.
-ENDS_TO_QUARANTINE = 3
+CRASHES_TO_QUARANTINE = 3
 # The same where another run could be the cause at each of these ends.
-ENDS_IN_COMPANY = 5
+AMBIGUOUS_CRASHES_TO_QUARANTINE = 5
 # How much having begun at the moment of an end counts, in earlier ends. Of 25 ends of
 # engines under such requests, seen in one day's lines, 23 had one run with the head of
 # an answer and no event, the cause; what waited there and what had answered for a while
 # was open by chance.
-BEGUN_WEIGHT = 2
+STARTED_WEIGHT = 2
 # Milliseconds for which the reports on an end are collected: routers send them every
 # 50 ms, and a message takes some ms.
-SETTLE_MS = 300
+REPORT_WINDOW_MS = 300
 # Milliseconds for which reports on an upstream whose processes all have one name speak
 # of one end: longer than routers take to notice it, about as long as it is down.
-SAME_END_MS = 2_000
+SAME_CRASH_MS = 2_000
 # Stands between the name of such an upstream and the time of its end.
-TIME_MARK = "#"
+TIME_SEPARATOR = "#"
 # How long an end counts against a request. Callers repeat what fails within seconds to
 # minutes; what an upstream survives later is none of them.
-REMEMBERED_MS = 600_000
+BLAME_EXPIRY_MS = 600_000
 # How long a request is kept away, doubled each time it ends another upstream after
 # that: an upstream takes some seconds to come back, and a mended one takes longer
 # than this to be installed.
@@ -43,13 +43,13 @@
 MAX_QUARANTINE_MS = 7_200_000
 # What is kept at most; each entry takes some 300 bytes.
 MAX_SUSPECTS = 400
-MAX_ENDS = 64
+MAX_CRASHES = 64
 # How long an end is kept for reports that come late, in milliseconds.
-LATE_MS = 10_000
+LATE_REPORT_MS = 10_000
 
 
 @attrs.define
-class _End:
+class _Crash:
     """The end of an upstream, with the runs that may have caused it.
 
     Attributes
@@ -60,10 +60,10 @@
 
     at_ms: int
     progress_by_content: dict[str, Progress] = attrs.Factory(dict)
-    best: int | None = None
+    judged_weight: int | None = None
 
 
-class Suspicion:
+class CrashAttribution:
     """Blame the ends of upstreams on requests that were open there.
 
     An end is blamed on the run that had just begun there, and on requests under which
@@ -95,120 +95,125 @@
     def __init__(self) -> None:
         self.suspects_by_content: dict[str, Suspect] = {}
         self.quarantined_by_content: dict[str, QuarantineEntry] = {}
-        self.is_changed = False
-        self._stood: frozenset[str] = frozenset()
-        self._ends_by_process: dict[str, _End] = {}
+        self.has_unsaved_changes = False
+        self._stored_contents: frozenset[str] = frozenset()
+        self._crash_by_process: dict[str, _Crash] = {}
 
-    def report(self, run: BrokenRun, now_ms: int) -> None:
+    def record_run(self, run: BrokenRun, now_ms: int) -> None:
         """Take a run that broke off when its upstream ended."""
         process = run.process
         if not run.is_start_known:
-            process = self._name_of_end(process, now_ms)
-        end = self._ends_by_process.get(process)
-        if end is None:
-            self._make_room()
-            end = self._ends_by_process[process] = _End(now_ms)
-        known = end.progress_by_content.get(run.content)
+            process = self._crash_name(process, now_ms)
+        crash = self._crash_by_process.get(process)
+        if crash is None:
+            self._evict_oldest_crash()
+            crash = self._crash_by_process[process] = _Crash(now_ms)
+        known = crash.progress_by_content.get(run.content)
         if known is Progress.BEGUN:
             return
-        end.progress_by_content[run.content] = run.progress
-        if end.best is not None and self._weight(run.content, run.progress) >= end.best:
+        crash.progress_by_content[run.content] = run.progress
+        if (
+            crash.judged_weight is not None
+            and self._weight(run.content, run.progress) >= crash.judged_weight
+        ):
             # Its router was heard late; that others were blamed meanwhile does no harm.
             self._blame(run.content, process, now_ms, is_alone=False)
 
     def judge(self, now_ms: int) -> list[Finding]:
         """Blame the ends whose reports are in; return what came of each."""
         findings = []
-        for process, end in self._ends_by_process.items():
-            if end.best is None and now_ms - end.at_ms >= SETTLE_MS:
-                findings.extend(self._judge_end(process, end, now_ms))
+        for process, crash in self._crash_by_process.items():
+            if crash.judged_weight is None and now_ms - crash.at_ms >= REPORT_WINDOW_MS:
+                findings.extend(self._judge_crash(process, crash, now_ms))
         return findings
 
-    def has_ends(self) -> bool:
+    def has_pending_crashes(self) -> bool:
         """Return whether any end is still to be judged."""
-        return any(end.best is None for end in self._ends_by_process.values())
+        return any(
+            crash.judged_weight is None for crash in self._crash_by_process.values()
+        )
 
     def clear(self, content: str) -> bool:
         """Take a request for innocent; return whether it was not before."""
         suspect = self.suspects_by_content.pop(content, None)
         quarantined = self.quarantined_by_content.pop(content, None)
-        for end in self._ends_by_process.values():
-            end.progress_by_content.pop(content, None)
-        if quarantined is not None or (suspect is not None and _is_kept(suspect)):
-            self.is_changed = True
+        for crash in self._crash_by_process.values():
+            crash.progress_by_content.pop(content, None)
+        if quarantined is not None or (suspect is not None and _is_persisted(suspect)):
+            self.has_unsaved_changes = True
         return suspect is not None or quarantined is not None
 
-    def take_over(self, quarantined: QuarantineEntry) -> bool:
+    def adopt_quarantine(self, quarantined: QuarantineEntry) -> bool:
         """Take what another judge had found; return whether that is news."""
         if quarantined.content in self.quarantined_by_content:
             return False
         self.suspects_by_content.pop(quarantined.content, None)
-        self._put(quarantined)
-        self.is_changed = True
+        self._add_quarantine(quarantined)
+        self.has_unsaved_changes = True
         return True
 
-    def adopt(self, record: QuarantineRecord) -> None:
+    def merge_record(self, record: QuarantineRecord) -> None:
         """Take what stands in the store, beside what never stood there.
 
         What stood there and does not any more was taken back by someone else.
         """
-        standing = record.contents
-        for content in self._stood - standing:
+        stored = record.contents
+        for content in self._stored_contents - stored:
             self.quarantined_by_content.pop(content, None)
             self.suspects_by_content.pop(content, None)
-        self._stood = standing
+        self._stored_contents = stored
         for quarantined in record.quarantined:
             known = self.quarantined_by_content.get(quarantined.content)
             if known is None or known.until_ms < quarantined.until_ms:
-                self._put(quarantined)
+                self._add_quarantine(quarantined)
         for suspect in record.suspects:
             self._merge_suspect(suspect)
 
-    def forget(self, now_ms: int) -> bool:
+    def expire(self, now_ms: int) -> bool:
         """Let go of what has lapsed; return whether any of it stands in the store.
 
         Whoever leaves quarantine needs to end one more upstream to be back.
         """
-        lapsed = False
+        expired = False
         for content, quarantined in list(self.quarantined_by_content.items()):
             if now_ms >= quarantined.until_ms:
                 del self.quarantined_by_content[content]
-                self._watch_again(quarantined, now_ms)
-                lapsed = True
+                self._watch_released(quarantined, now_ms)
+                expired = True
         for content, suspect in list(self.suspects_by_content.items()):
-            if now_ms - suspect.last_ms >= REMEMBERED_MS:
+            if now_ms - suspect.last_ms >= BLAME_EXPIRY_MS:
                 del self.suspects_by_content[content]
-                lapsed = lapsed or _is_kept(suspect)
-        for process, end in list(self._ends_by_process.items()):
-            if now_ms - end.at_ms >= LATE_MS:
-                del self._ends_by_process[process]
-        return lapsed
+                expired = expired or _is_persisted(suspect)
+        for process, crash in list(self._crash_by_process.items()):
+            if now_ms - crash.at_ms >= LATE_REPORT_MS:
+                del self._crash_by_process[process]
+        return expired
 
-    def note_written(self, record: QuarantineRecord) -> None:
+    def record_written(self, record: QuarantineRecord) -> None:
         """Note what was written to the store from here."""
-        self._stood = record.contents
+        self._stored_contents = record.contents
 
     def record(self) -> QuarantineRecord:
         """Return what is to be kept in the store."""
-        suspects = [s for s in self.suspects_by_content.values() if _is_kept(s)]
+        suspects = [s for s in self.suspects_by_content.values() if _is_persisted(s)]
         suspects.sort(key=lambda suspect: (len(suspect.ended), suspect.last_ms))
         return QuarantineRecord(
             tuple(self.quarantined_by_content.values()),
             tuple(suspects[-MAX_SUSPECTS_KEPT:]),
         )
 
-    def _name_of_end(self, upstream: str, now_ms: int) -> str:
+    def _crash_name(self, upstream: str, now_ms: int) -> str:
         """Name one end of an upstream whose processes all have the same name."""
-        for name, end in self._ends_by_process.items():
-            is_its = name.startswith(f"{upstream}{TIME_MARK}")
-            if is_its and now_ms - end.at_ms < SAME_END_MS:
+        for name, crash in self._crash_by_process.items():
+            is_same_upstream = name.startswith(f"{upstream}{TIME_SEPARATOR}")
+            if is_same_upstream and now_ms - crash.at_ms < SAME_CRASH_MS:
                 return name
-        return f"{upstream}{TIME_MARK}{now_ms}"
+        return f"{upstream}{TIME_SEPARATOR}{now_ms}"
 
-    def _judge_end(self, process: str, end: _End, now_ms: int) -> list[Finding]:
-        progress_by_content = end.progress_by_content
+    def _judge_crash(self, process: str, crash: _Crash, now_ms: int) -> list[Finding]:
+        progress_by_content = crash.progress_by_content
         known = progress_by_content.keys() & self.quarantined_by_content.keys()
-        end.best = 0
+        crash.judged_weight = 0
         if known or not progress_by_content:
             # A copy of what is in quarantine was still open there.
             return []
@@ -216,23 +221,25 @@
             content: self._weight(content, progress)
             for content, progress in progress_by_content.items()
         }
-        end.best = max(weights.values())
-        blamed = [content for content in weights if weights[content] == end.best]
-        begun = [c for c, p in progress_by_content.items() if p is Progress.BEGUN]
+        crash.judged_weight = max(weights.values())
+        blamed = [
+            content for content in weights if weights[content] == crash.judged_weight
+        ]
+        started = [c for c, p in progress_by_content.items() if p is Progress.BEGUN]
         findings = []
         for content in blamed:
-            others = begun if content in begun else list(progress_by_content)
+            others = started if content in started else list(progress_by_content)
             company = len(others) - 1
             self._blame(content, process, now_ms, is_alone=not company)
             findings.append(self._finding(content, process, company))
-        if len(blamed) == 1 and self._is_found_out(blamed[0]):
+        if len(blamed) == 1 and self._is_proven(blamed[0]):
             findings[0] = self._quarantine(findings[0], now_ms)
         return findings
 
     def _weight(self, content: str, progress: Progress) -> int:
         suspect = self.suspects_by_content.get(content)
         ends = len(suspect.ended) if suspect is not None else 0
-        return ends + (BEGUN_WEIGHT if progress is Progress.BEGUN else 0)
+        return ends + (STARTED_WEIGHT if progress is Progress.BEGUN else 0)
 
     def _blame(
         self, content: str, process: str, now_ms: int, *, is_alone: bool
@@ -244,39 +251,41 @@
             return
         suspect = attrs.evolve(
             suspect,
-            ended=(*suspect.ended, process)[-ENDS_IN_COMPANY:],
+            ended=(*suspect.ended, process)[-AMBIGUOUS_CRASHES_TO_QUARANTINE:],
             alone=suspect.alone + is_alone,
             last_ms=now_ms,
         )
         # The newest one comes last, so that room is made by the oldest.
         self.suspects_by_content.pop(content, None)
         self.suspects_by_content[content] = suspect
-        self.is_changed = self.is_changed or _is_kept(suspect)
+        self.has_unsaved_changes = self.has_unsaved_changes or _is_persisted(suspect)
         if len(self.suspects_by_content) > MAX_SUSPECTS:
             fewest = min(self.suspects_by_content.values(), key=lambda s: len(s.ended))
             del self.suspects_by_content[fewest.content]
 
-    def _is_found_out(self, content: str) -> bool:
+    def _is_proven(self, content: str) -> bool:
         suspect = self.suspects_by_content[content]
-        if len(suspect.ended) >= ENDS_IN_COMPANY:
+        if len(suspect.ended) >= AMBIGUOUS_CRASHES_TO_QUARANTINE:
             return True
-        return len(suspect.ended) >= ENDS_TO_QUARANTINE and suspect.alone > 0
+        return len(suspect.ended) >= CRASHES_TO_QUARANTINE and suspect.alone > 0
 
     def _quarantine(self, finding: Finding, now_ms: int) -> Finding:
         suspect = self.suspects_by_content.pop(finding.content)
         times = suspect.times + 1
         lasts_ms = min(QUARANTINE_MS * 2 ** min(times - 1, 8), MAX_QUARANTINE_MS)
         until_ms = now_ms + lasts_ms
-        self._put(QuarantineEntry(finding.content, suspect.since_ms, until_ms, times))
-        self.is_changed = True
+        self._add_quarantine(
+            QuarantineEntry(finding.content, suspect.since_ms, until_ms, times)
+        )
+        self.has_unsaved_changes = True
         return attrs.evolve(finding, verdict=Verdict.QUARANTINED)
 
     def _finding(self, content: str, process: str, company: int) -> Finding:
         ends = len(self.suspects_by_content[content].ended)
         return Finding(Verdict.BLAMED, content, process, company, ends)
 
-    def _watch_again(self, quarantined: QuarantineEntry, now_ms: int) -> None:
-        earlier = range(ENDS_TO_QUARANTINE - 1)
+    def _watch_released(self, quarantined: QuarantineEntry, now_ms: int) -> None:
+        earlier = range(CRASHES_TO_QUARANTINE - 1)
         self.suspects_by_content[quarantined.content] = Suspect(
             quarantined.content,
             ended=tuple(f"before {number}" for number in earlier),
@@ -296,14 +305,14 @@
         ended = dict.fromkeys((*known.ended, *suspect.ended))
         self.suspects_by_content[suspect.content] = attrs.evolve(
             known,
-            ended=tuple(ended)[-ENDS_IN_COMPANY:],
+            ended=tuple(ended)[-AMBIGUOUS_CRASHES_TO_QUARANTINE:],
             alone=max(known.alone, suspect.alone),
             since_ms=min(known.since_ms, suspect.since_ms),
             last_ms=max(known.last_ms, suspect.last_ms),
             times=max(known.times, suspect.times),
         )
 
-    def _put(self, quarantined: QuarantineEntry) -> None:
+    def _add_quarantine(self, quarantined: QuarantineEntry) -> None:
         """Keep a request away; the one that lapses first makes room where none is."""
         self.quarantined_by_content[quarantined.content] = quarantined
         if len(self.quarantined_by_content) > MAX_QUARANTINED:
@@ -311,16 +320,16 @@
             soonest = min(items, key=lambda item: item.until_ms)
             del self.quarantined_by_content[soonest.content]
 
-    def _make_room(self) -> None:
-        if len(self._ends_by_process) < MAX_ENDS:
+    def _evict_oldest_crash(self) -> None:
+        if len(self._crash_by_process) < MAX_CRASHES:
             return
         oldest = min(
-            self._ends_by_process, key=lambda p: self._ends_by_process[p].at_ms
+            self._crash_by_process, key=lambda p: self._crash_by_process[p].at_ms
         )
-        del self._ends_by_process[oldest]
+        del self._crash_by_process[oldest]
 
 
-def _is_kept(suspect: Suspect) -> bool:
+def _is_persisted(suspect: Suspect) -> bool:
     """Return whether a suspect is worth a row in the store.
 
     Most requests that were open at one end are innocent, and forgotten with the router
--- a/tests/test_containment.py
+++ b/tests/test_containment.py
@@ -2,8 +2,12 @@
 
 from testtools import TestCase
 
-from lynxchute.containment.containment import MAX_WAITING, Containment
-from lynxchute.containment.news import MAX_NEWS, TELL_SECONDS, Newscast
+from lynxchute.containment.containment import MAX_PENDING, Containment
+from lynxchute.containment.news import (
+    DELIVERY_SECONDS,
+    MAX_UPDATES,
+    QuarantineBroadcast,
+)
 from lynxchute.fleet.client import Peers, PeerUnreachable
 from lynxchute.fleet.members import Member, Members
 from lynxchute.fleet.message import Done, from_json, to_json
@@ -73,43 +77,43 @@
     def setUp(self):
         super().setUp()
         self.fleet = Fleet()
-        self.news = Newscast(
+        self.broadcast = QuarantineBroadcast(
             self.fleet.members, self.fleet.peers, lambda: self.fleet.now
         )
 
     def test_each_router_is_told_once(self):
         async def work():
-            self.news.tell(quarantined=(ITEM,))
+            self.broadcast.publish(quarantined=(ITEM,))
             for _ in range(3):
-                await self.news.send()
+                await self.broadcast.send_pending()
 
         self.run_async(work())
         told = [vm for vm, _ in self.fleet.peers.messages]
         self.assertEqual(ROUTERS - 1, len(told))
         self.assertEqual(len(told), len(set(told)))
-        self.assertFalse(self.news.is_waiting)
+        self.assertFalse(self.broadcast.has_undelivered)
 
     def test_who_was_gone_is_told_until_it_is_too_late(self):
         async def work():
             self.fleet.peers.gone.add("vm-7")
-            self.news.tell(cleared=("q",))
-            await self.news.send()
-            await self.news.send()
-            self.assertTrue(self.news.is_waiting)
+            self.broadcast.publish(cleared=("q",))
+            await self.broadcast.send_pending()
+            await self.broadcast.send_pending()
+            self.assertTrue(self.broadcast.has_undelivered)
             self.assertEqual(ROUTERS, len(self.fleet.peers.messages))
-            self.fleet.now += TELL_SECONDS
-            await self.news.send()
-            self.assertFalse(self.news.is_waiting)
+            self.fleet.now += DELIVERY_SECONDS
+            await self.broadcast.send_pending()
+            self.assertFalse(self.broadcast.has_undelivered)
 
         self.run_async(work())
         self.assertEqual(ROUTERS, len(self.fleet.peers.messages))
 
     def test_who_has_started_again_is_told_again(self):
         async def work():
-            self.news.tell(quarantined=(ITEM,))
-            await self.news.send()
+            self.broadcast.publish(quarantined=(ITEM,))
+            await self.broadcast.send_pending()
             self.fleet.members.put(Member("vm-7", "dc-2", "run-new", "10.0.0.1:7340"))
-            await self.news.send()
+            await self.broadcast.send_pending()
 
         self.run_async(work())
         vm, message = self.fleet.peers.messages[-1]
@@ -118,19 +122,19 @@
 
     def test_nobody_is_told_of_what_was_taken_back(self):
         async def work():
-            self.news.tell(quarantined=(ITEM,))
-            self.news.tell(cleared=("other",))
-            self.news.keep_only(set())
-            await self.news.send()
+            self.broadcast.publish(quarantined=(ITEM,))
+            self.broadcast.publish(cleared=("other",))
+            self.broadcast.retain_only(set())
+            await self.broadcast.send_pending()
 
         self.run_async(work())
         told = {message.cleared for _, message in self.fleet.peers.messages}
         self.assertEqual({("other",)}, told)
 
     def test_no_more_news_are_kept_than_fit(self):
-        for number in range(2 * MAX_NEWS):
-            self.news.tell(cleared=(f"q{number}",))
-        self.assertEqual(MAX_NEWS, len(self.news._news))
+        for number in range(2 * MAX_UPDATES):
+            self.broadcast.publish(cleared=(f"q{number}",))
+        self.assertEqual(MAX_UPDATES, len(self.broadcast._updates))
 
 
 class EvidenceTest(AsyncTestCase):
@@ -159,14 +163,14 @@
         async def report():
             containment = self.containment()
             work(containment)
-            await containment._give_evidence()
+            await containment._send_evidence()
             return containment
 
         containment = self.run_async(report())
         # At this size another router judges, or this one does.
         messages = [message for _, message in self.fleet.peers.messages]
         if not messages:
-            return containment.judge.suspicion.has_ends()
+            return containment.judge.attribution.has_pending_crashes()
         self.assertEqual([RunEvidence], [type(message) for message in messages])
         return messages[0].broken
 
@@ -207,26 +211,26 @@
 
     def test_evidence_is_bounded(self):
         def work(containment):
-            for number in range(2 * MAX_WAITING):
+            for number in range(2 * MAX_PENDING):
                 containment.record_broken(ENGINE, self.send(f"q{number}"))
 
-        self.assertEqual(MAX_WAITING, len(self.evidence_of(work)))
+        self.assertEqual(MAX_PENDING, len(self.evidence_of(work)))
 
     def test_the_next_judge_gets_what_the_first_one_got(self):
         async def work():
             containment = self.containment()
             containment.record_broken(ENGINE, self.send())
-            await containment._give_evidence()
+            await containment._send_evidence()
             first, _ = self.fleet.peers.messages[-1]
             self.fleet.members.remove(first)
-            await containment._give_evidence()
+            await containment._send_evidence()
             second, message = self.fleet.peers.messages[-1]
             self.assertNotEqual(first, second)
             self.assertEqual("q", message.broken[0].content)
             # What has survived since is not told again.
             containment.record_end(self.send(), is_whole=True)
             self.fleet.members.remove(second)
-            await containment._give_evidence()
+            await containment._send_evidence()
             _, message = self.fleet.peers.messages[-1]
             self.assertEqual(RunEvidence((), ("q",)), message)
 
@@ -239,9 +243,9 @@
             self.fleet.now += 1.0
             containment.record_end(self.send(), is_whole=True)
             item = QuarantineEntry("q", since_ms, since_ms + 600_000)
-            await containment._serve_news(QuarantineNews((item,)))
+            await containment._handle_news_message(QuarantineNews((item,)))
             self.assertIsNone(containment.quarantine_seconds_left("q"))
-            await containment._give_evidence()
+            await containment._send_evidence()
             _, message = self.fleet.peers.messages[-1]
             self.assertEqual(("q",), message.survived)
 
@@ -251,7 +255,7 @@
         async def work():
             containment = self.containment()
             until_ms = containment.judge.now_ms() + 5_000
-            await containment._serve_news(
+            await containment._handle_news_message(
                 QuarantineNews((QuarantineEntry("q", 0, until_ms),))
             )
             left = containment.quarantine_seconds_left("q")
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -13,13 +13,13 @@
 from lynxchute.operators.language import parse, to_text
 from lynxchute.overload.drain import DrainRate
 from lynxchute.overload.fair_shares import (
-    FADE_SECONDS,
+    DECAY_SECONDS,
     SHARES_BY_NAME,
     EqualDivision,
 )
 from lynxchute.overload.returns import ExpectedRetries
 from lynxchute.overload.ticket import Ticket
-from lynxchute.overload.ticket_queue import LATE_SECONDS, FairTicketQueue
+from lynxchute.overload.ticket_queue import LATE_PENALTY_SECONDS, FairTicketQueue
 from lynxchute.overload.weights import usable_weight
 from lynxchute.settings import load_router_settings
 from tests.fuzz import run
@@ -73,13 +73,13 @@
         for name, shares in self.each():
             shares.record_use("big", 1_000.0, 0.0)
             shares.record_use("a", 1.0, 0.0)
-            later = 5 * FADE_SECONDS
+            later = 5 * DECAY_SECONDS
             shares.record_use("a", 1.0, later)
             self.assertEqual(0.0, shares.excess("big", later), name)
             self.assertLessEqual(shares.excess("a", later), 1.0, name)
 
     def test_the_state_is_bounded_and_the_large_one_stays_known(self):
-        for name, shares in self.each(most=64):
+        for name, shares in self.each(max_accounts=64):
             for number in range(5_000):
                 shares.record_use(f"a{number}", 1.0, number * 0.0005)
                 shares.record_use("big", 10.0, number * 0.0005)
@@ -243,7 +243,7 @@
         now = 0.5
         soon = ticket("soon", arrived_at=now, due_at=now + 1.0)
         self.assertEqual(["soon", "late"], self.order(late, soon, now=now))
-        now = LATE_SECONDS + 2.0
+        now = LATE_PENALTY_SECONDS + 2.0
         soon = ticket("soon", arrived_at=now, due_at=now + 1.0)
         self.assertEqual(["late", "soon"], self.order(late, soon, now=now))
 
@@ -284,7 +284,7 @@
         self.assertTrue(all(0.9 < after < 1.7 for after in told), told)
 
     def test_a_full_queue_makes_room_for_what_is_more_urgent(self):
-        queue = FairTicketQueue(self.shares, DrainRate(FAST), most=2)
+        queue = FairTicketQueue(self.shares, DrainRate(FAST), max_tickets=2)
         for name in "ab":
             self.assertIsNone(queue.put(ticket(name, rank=5), 0.0))
         self.assertIsNotNone(queue.put(ticket("c", rank=5), 0.0))
@@ -324,7 +324,7 @@
         self.assertFalse(returns.consume("a", "content", 10.6))
 
     def test_the_state_is_bounded(self):
-        returns = ExpectedRetries(most=3)
+        returns = ExpectedRetries(max_entries=3)
         for number in range(10):
             returns.record_refusal("a", str(number), 0.5, 10.0)
         self.assertEqual(3, len(returns))
--- a/tests/test_memory_guard.py
+++ b/tests/test_memory_guard.py
@@ -148,49 +148,49 @@
 
     def test_an_upstream_of_which_nothing_is_known_takes_all(self):
         memory = UpstreamMemory()
-        memory.note_sent("u", 10**9)
-        self.assertTrue(memory.may_take("u", 10**9))
+        memory.record_send("u", 10**9)
+        self.assertTrue(memory.may_send("u", 10**9))
 
     def test_what_it_held_when_it_ended_is_not_reached_again(self):
         memory = UpstreamMemory()
         for _ in range(10):
-            memory.note_sent("u", 100_000)
-        memory.note_crashed("u")
+            memory.record_send("u", 100_000)
+        memory.record_crash("u")
         sent = 0
-        while memory.may_take("u", 100_000):
-            memory.note_sent("u", 100_000)
+        while memory.may_send("u", 100_000):
+            memory.record_send("u", 100_000)
             sent += 1
         self.assertEqual(8, sent)
 
     def test_an_end_that_memory_cannot_explain_teaches_nothing(self):
         memory = UpstreamMemory()
-        memory.note_sent("u", 500)
-        memory.note_crashed("u")
-        memory.note_sent("u", 500)
-        self.assertTrue(memory.may_take("u", 10**9))
+        memory.record_send("u", 500)
+        memory.record_crash("u")
+        memory.record_send("u", 500)
+        self.assertTrue(memory.may_send("u", 10**9))
 
     def test_a_request_that_is_alone_is_let_through(self):
         memory = UpstreamMemory()
-        memory.note_named("u", 1_000)
-        self.assertTrue(memory.may_take("u", 5_000))
-        memory.note_sent("u", 5_000)
-        self.assertFalse(memory.may_take("u", 1))
+        memory.record_stated_limit("u", 1_000)
+        self.assertTrue(memory.may_send("u", 5_000))
+        memory.record_send("u", 5_000)
+        self.assertFalse(memory.may_send("u", 1))
 
     @given(st.lists(st.tuples(st.sampled_from("sec"), st.integers(1, 10**6))))
     def test_what_is_held_stays_within_what_is_known(self, steps):
         memory, open_sizes, least = UpstreamMemory(), [], None
         for step, size in steps:
-            if step == "s" and memory.may_take("u", size):
+            if step == "s" and memory.may_send("u", size):
                 if open_sizes and least is not None:
                     self.assertLessEqual(sum(open_sizes) + size, least)
-                memory.note_sent("u", size)
+                memory.record_send("u", size)
                 open_sizes.append(size)
             elif step == "e" and open_sizes:
                 memory.record_end("u", open_sizes.pop())
             elif step == "c":
                 if sum(open_sizes) >= 65536:
                     least = min(sum(open_sizes), least or 10**12)
-                memory.note_crashed("u")
+                memory.record_crash("u")
                 open_sizes = []
 
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -17,7 +17,7 @@
 import json
 
 from lynxchute.config.role import Role
-from lynxchute.containment.judge import HOME_KEY, QUARANTINE_ROW_ID
+from lynxchute.containment.judge import JUDGE_KEY, QUARANTINE_ROW_ID
 from lynxchute.edge.state import state_of
 from lynxchute.fleet.client import PeerUnreachable
 from lynxchute.http import ExchangeFailed
@@ -209,7 +209,7 @@
         async def scenario(deployment):
             for vm in VMS:
                 deployment.faults(vm).outage = Outage.SILENT
-            judge = deployment.routers["a-1"].members.first_for(HOME_KEY)
+            judge = deployment.routers["a-1"].members.first_for(JUDGE_KEY)
             left = next(vm for vm in VMS if vm != judge)
             started = [vm for vm in VMS if vm != left]
             # The one that is left has seen none of the ends itself.
@@ -236,7 +236,7 @@
         async def scenario(deployment):
             for vm in VMS:
                 deployment.faults(vm).outage = Outage.SILENT
-            judge = deployment.routers["a-1"].members.first_for(HOME_KEY)
+            judge = deployment.routers["a-1"].members.first_for(JUDGE_KEY)
             # All ends were seen by the judge alone.
             await end_until_known(deployment, [judge], known_at=VMS)
             await deployment.routers.pop(judge).kill()
@@ -253,7 +253,7 @@
         async def scenario(deployment):
             await repeat(deployment, 1, ["b-1"])
             await asyncio.sleep(KNOWN_SECONDS / 2)
-            judge = deployment.routers["a-1"].members.first_for(HOME_KEY)
+            judge = deployment.routers["a-1"].members.first_for(JUDGE_KEY)
             await deployment.routers.pop(judge).kill()
             left = [vm for vm in VMS if vm != judge]
             await end_until_known(deployment, left, ends(deployment) + ENDS_KNOWN)
@@ -265,18 +265,18 @@
 
     def test_a_router_that_was_out_of_reach_is_told_again(self):
         async def scenario(deployment):
-            judge = deployment.routers["a-1"].members.first_for(HOME_KEY)
+            judge = deployment.routers["a-1"].members.first_for(JUDGE_KEY)
             deaf = next(vm for vm in VMS if vm != judge)
             others = [vm for vm in VMS if vm != deaf]
             # Neither the store's row nor the others' word comes through.
             router = deployment.routers[deaf]
             router.registry.takers_by_key.clear()
-            news = deployment.routers[judge].containment.judge._news
-            peers, asked = news._peers, []
-            news._peers = DeafPeers(peers, deaf, asked)
+            broadcast = deployment.routers[judge].containment.judge._broadcast
+            peers, asked = broadcast._peers, []
+            broadcast._peers = DeafPeers(peers, deaf, asked)
             await end_until_known(deployment, others)
             self.assertEqual({}, router.containment.quarantine.by_content)
-            news._peers = peers
+            broadcast._peers = peers
             await until(lambda: router.containment.quarantine.by_content)
             return len(asked)
 
--- a/tests/test_router_load.py
+++ b/tests/test_router_load.py
@@ -24,7 +24,11 @@
     ProcessorMeter,
     Resource,
 )
-from lynxchute.overload.guard import LONGEST_SPELL, REST_SECONDS, SPELL_SECONDS
+from lynxchute.overload.guard import (
+    MAX_NOT_READY_SECONDS,
+    MIN_NOT_READY_SECONDS,
+    MIN_READY_SECONDS,
+)
 from lynxchute.overload.local_shares import fair_level
 from lynxchute.relay.guarded_load import LAG_HOLD_SECONDS, GuardedLoad
 from lynxchute.relay.load import RouterLoad
@@ -86,7 +90,7 @@
     def test_a_suspension_is_no_load(self):
         self.turns(10, work=0.001, sleep=0.1)
         self.turns(1, work=30.0, sleep=0.1)
-        self.assertLess(self.meter.load().use, PROCESSOR_LIMITS.least_use)
+        self.assertLess(self.meter.load().use, PROCESSOR_LIMITS.min_use)
 
     @given(st.lists(st.tuples(FIGURES, FIGURES, FIGURES), max_size=20))
     def test_odd_times_give_a_load_that_can_be_compared(self, sleeps):
@@ -167,7 +171,7 @@
         self.processor.now = Load(0.5, 0.004)
         self.assertEqual("", self.poll())
         self.assertTrue(self.guard.is_ready)
-        self.assertEqual("", self.guard.full)
+        self.assertEqual("", self.guard.full_resource)
         self.assertEqual("", self.guard.shed_reason(0.1, "small"))
         self.assertFalse(self.guard.ends_connection("small"))
 
@@ -179,10 +183,10 @@
         ):
             source.now = load
             self.poll()
-            self.assertEqual(source.resource.name, self.guard.full)
+            self.assertEqual(source.resource.name, self.guard.full_resource)
             source.now = Load()
             self.poll()
-            self.assertEqual("", self.guard.full)
+            self.assertEqual("", self.guard.full_resource)
 
     def test_the_more_connections_are_closed_the_longer_work_waits(self):
         closed = []
@@ -197,7 +201,7 @@
         self.processor.now = Load(0.3, 0.1)
         self.assertEqual("", self.poll())
         self.assertTrue(self.guard.is_ready)
-        self.assertEqual("", self.guard.full)
+        self.assertEqual("", self.guard.full_resource)
 
     def test_work_that_nobody_asked_for_sends_nobody_elsewhere(self):
         self.processor.now = Load(1.0, 0.2)
@@ -211,14 +215,14 @@
             self.poll()
             ready += self.guard.is_ready
             self.clock.now += 0.05
-        share = REST_SECONDS / (REST_SECONDS + LONGEST_SPELL)
+        share = MIN_READY_SECONDS / (MIN_READY_SECONDS + MAX_NOT_READY_SECONDS)
         self.assertAlmostEqual(1000 * share, ready, delta=120)
 
     def test_it_is_ready_once_the_load_is_over_and_the_balancer_has_seen(self):
         self.processor.now = Load(0.9, 0.01)
         self.assertEqual("processor", self.poll())
         self.processor.now = Load(0.1, 0.001)
-        self.clock.now += SPELL_SECONDS - 0.1
+        self.clock.now += MIN_NOT_READY_SECONDS - 0.1
         self.poll()
         self.assertFalse(self.guard.is_ready)
         self.clock.now += 0.2
@@ -288,7 +292,7 @@
         clock.now += 20.0
         guard.poll()
         self.assertTrue(guard.is_ready)
-        self.assertEqual("", guard.full)
+        self.assertEqual("", guard.full_resource)
         self.assertEqual("", guard.shed_reason(0.1, "a"))
 
 
@@ -522,7 +526,7 @@
             most = 1.5 * PROCESSOR_LIMITS.full_delay
             await until(lambda: router.load.loads()["processor"].delay > most)
             load = state_of(router)["load"]["processor"]
-            self.assertGreater(load["use"], PROCESSOR_LIMITS.least_use)
+            self.assertGreater(load["use"], PROCESSOR_LIMITS.min_use)
             stranger = PlatformCaller(deployment)
             arrived = sum(len(app.arrivals) for app in deployment.apps)
             with self.assertRaises(ExchangeFailed):
--- a/tests/tickets_machine.py
+++ b/tests/tickets_machine.py
@@ -9,20 +9,28 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from lynxchute.overload.drain import DrainRate
-from lynxchute.overload.fair_shares import FADE_SECONDS, FADES_KEPT, EqualDivision
-from lynxchute.overload.returns import EARLY_SECONDS, KEPT_SECONDS, ExpectedRetries
+from lynxchute.overload.fair_shares import (
+    DECAY_SECONDS,
+    RETAINED_TIME_CONSTANTS,
+    EqualDivision,
+)
+from lynxchute.overload.returns import (
+    EARLY_TOLERANCE_SECONDS,
+    LATE_TOLERANCE_SECONDS,
+    ExpectedRetries,
+)
 from lynxchute.overload.ticket import Ticket
 from lynxchute.overload.ticket_queue import (
-    LATE_SECONDS,
-    ORDER_SECONDS,
-    SHARE_SLACK,
+    LATE_PENALTY_SECONDS,
+    REORDER_SECONDS,
+    SHARE_TOLERANCE,
     FairTicketQueue,
 )
 
 ACCOUNTS = ("a", "b", "c", "d", "e", "f")
 WEIGHTS = {"b": 2.0}
-MOST_ACCOUNTS = 4
-MOST_TICKETS = 12
+MAX_ACCOUNTS = 4
+MAX_TICKETS = 12
 PLACES_A_SECOND = 10.0
 SECONDS = (0.0, 0.01, 0.06, 0.3, 1.0, 5.0, 20.0)
 
@@ -34,11 +42,11 @@
         super().__init__()
         self.now = 100.0
         self.shares = EqualDivision(
-            lambda account: WEIGHTS.get(account, 1.0), most=MOST_ACCOUNTS
+            lambda account: WEIGHTS.get(account, 1.0), max_accounts=MAX_ACCOUNTS
         )
         drain = DrainRate(PLACES_A_SECOND)
-        self.queue = FairTicketQueue(self.shares, drain, most=MOST_TICKETS)
-        self.returns = ExpectedRetries(most=8)
+        self.queue = FairTicketQueue(self.shares, drain, max_tickets=MAX_TICKETS)
+        self.returns = ExpectedRetries(max_entries=8)
         self.waiting = {}
         self.gone = set()
         self.count = 0
@@ -60,13 +68,13 @@
         """Let a request come."""
         self.count += 1
         is_timely_retry = self.returns.consume(account, "content", self.now)
-        back_at = self.told.pop(account, None)
-        if back_at is None:
+        retry_at = self.told.pop(account, None)
+        if retry_at is None:
             assert not is_timely_retry, "a return that was not told"
         else:
-            early = back_at - EARLY_SECONDS - self.now
+            early = retry_at - EARLY_TOLERANCE_SECONDS - self.now
             assert is_timely_retry == (
-                early <= 0 and self.now <= back_at + KEPT_SECONDS
+                early <= 0 and self.now <= retry_at + LATE_TOLERANCE_SECONDS
             )
         self.shares.record_use(account, cost, self.now)
         if cost > 0.0:
@@ -135,14 +143,14 @@
 
     def check_nobody_was_passed(self, taken):
         """Check that no ticket like the taken one came long before it."""
-        if taken.is_timely_retry or self.excess(taken) > 0.9 * SHARE_SLACK:
+        if taken.is_timely_retry or self.excess(taken) > 0.9 * SHARE_TOLERANCE:
             return
         for ticket in self.waiting.values():
             if ticket.run_id not in self.queue or ticket.rank != taken.rank:
                 continue
-            if ticket.is_timely_retry or self.excess(ticket) > 0.9 * SHARE_SLACK:
+            if ticket.is_timely_retry or self.excess(ticket) > 0.9 * SHARE_TOLERANCE:
                 continue
-            margin = LATE_SECONDS + ORDER_SECONDS
+            margin = LATE_PENALTY_SECONDS + REORDER_SECONDS
             waited_longer = taken.arrived_at - ticket.arrived_at
             assert waited_longer <= margin, "an old ticket was passed"
 
@@ -163,8 +171,8 @@
 
     @invariant()
     def no_more_than_the_queue_holds(self):
-        assert len(self.queue) <= MOST_TICKETS, "too many tickets"
-        assert len(self.shares) <= MOST_ACCOUNTS, "too many accounts"
+        assert len(self.queue) <= MAX_TICKETS, "too many tickets"
+        assert len(self.shares) <= MAX_ACCOUNTS, "too many accounts"
         assert len(self.returns) <= 8, "too many returns"
 
     @invariant()
@@ -185,7 +193,7 @@
 
     @invariant()
     def nobody_pays_for_what_is_long_ago(self):
-        recent = self.now - FADES_KEPT * FADE_SECONDS
+        recent = self.now - RETAINED_TIME_CONSTANTS * DECAY_SECONDS
         for account in ACCOUNTS:
             if not any(a == account and at > recent for a, _, at in self.uses):
                 assert not self.shares.excess(account, self.now), "room not given back"
--- a/tests/tickets_mutants.py
+++ b/tests/tickets_mutants.py
@@ -3,39 +3,39 @@
 from unittest import mock
 
 from lynxchute.overload import returns, ticket_queue
-from lynxchute.overload.fair_shares import FadingUse
+from lynxchute.overload.fair_shares import DecayingUsage
 from lynxchute.overload.returns import ExpectedRetries
 from lynxchute.overload.ticket_queue import FairTicketQueue
 
 
 def keep_the_share_of_who_has_gone():
-    def drop_first(self, now):
-        _, use = self._use_by_account.popitem(last=False)
-        self._weights -= use.weight
+    def evict_oldest(self, now):
+        _, use = self._usage_by_account.popitem(last=False)
+        self._total_weight -= use.weight
 
-    return mock.patch.object(FadingUse, "_drop_first", drop_first)
+    return mock.patch.object(DecayingUsage, "_evict_oldest", evict_oldest)
 
 
 def keep_the_weight_of_who_has_gone():
-    def drop_first(self, now):
-        _, use = self._use_by_account.popitem(last=False)
-        self._total = self._total_of(now) - use.at(now)
-        self._total_at = now
+    def evict_oldest(self, now):
+        _, use = self._usage_by_account.popitem(last=False)
+        self._total = self._decayed_total(now) - use.decayed_amount(now)
+        self._total_updated_at = now
 
-    return mock.patch.object(FadingUse, "_drop_first", drop_first)
+    return mock.patch.object(DecayingUsage, "_evict_oldest", evict_oldest)
 
 
 def give_lent_room_back_to_nobody():
-    return mock.patch.object(FadingUse, "_forget", lambda self, now: None)
+    return mock.patch.object(DecayingUsage, "_expire_idle", lambda self, now: None)
 
 
 def keep_any_number_of_accounts():
-    init = FadingUse.__init__
+    init = DecayingUsage.__init__
 
-    def without_bound(self, weight_of, *, most):
-        init(self, weight_of, most=10**9)
+    def without_bound(self, weight_of, *, max_accounts):
+        init(self, weight_of, max_accounts=10**9)
 
-    return mock.patch.object(FadingUse, "__init__", without_bound)
+    return mock.patch.object(DecayingUsage, "__init__", without_bound)
 
 
 def keep_the_ticket_of_who_has_left():
@@ -53,17 +53,19 @@
 
 
 def let_all_pass_who_is_late():
-    return mock.patch.object(ticket_queue, "LATE_SECONDS", 1e6)
+    return mock.patch.object(ticket_queue, "LATE_PENALTY_SECONDS", 1e6)
 
 
 def know_a_return_for_ever():
-    return mock.patch.object(returns, "KEPT_SECONDS", 1e6)
+    return mock.patch.object(returns, "LATE_TOLERANCE_SECONDS", 1e6)
 
 
 def know_a_return_again_and_again():
     def consume(self, account, content, now):
-        told = self._told_by_caller.get((account, content))
-        return told is not None and now >= told.back_at - returns.EARLY_SECONDS
+        told = self._retry_by_caller.get((account, content))
+        return (
+            told is not None and now >= told.retry_at - returns.EARLY_TOLERANCE_SECONDS
+        )
 
     return mock.patch.object(ExpectedRetries, "consume", consume)
 
