--- a/lynxchute/quarantine/__init__.py
+++ b/lynxchute/quarantine/__init__.py
@@ -1,4 +1,4 @@
-"""Requests that end the upstreams that run them: decisions without I/O."""
+"""Attribution of upstream crashes to requests, and their quarantine; without I/O."""
 
 from lynxchute.quarantine.content import content_id
 from lynxchute.quarantine.evidence import BrokenRun, Finding, Verdict
--- a/lynxchute/quarantine/content.py
+++ b/lynxchute/quarantine/content.py
@@ -1,23 +1,23 @@
-"""Tell whether two attempts ask for the same thing."""
+"""Identify requests by content, so that retries are recognised."""
 
 from __future__ import annotations
 
 import hashlib
 
-# Bytes of an id: so many that nobody finds another request with the same one.
+# Bytes of an id: enough that nobody can find another request with the same id.
 DIGEST_BYTES = 16
 
 
 def content_id(
     *, account: str, method: str, host: str, target: str, body: bytes
 ) -> str:
-    """Return what names the content of a request, whatever its attempt is called.
+    """Return an id of the content of a request, the same for each attempt.
 
     Parameters
     ----------
     account
-        Name of the client account; empty on public routes. The same words of another
-        account are another request: no caller can have another's refused.
+        Name of the client account; empty on public routes. It is part of the content,
+        so that no account can have another one's request refused.
 
     Examples
     --------
@@ -30,7 +30,7 @@
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for field in (account, method, host, target):
         encoded = field.encode()
-        # With its length before it no field can run into the next one.
+        # The length prefix keeps adjacent fields from running into each other.
         digest.update(len(encoded).to_bytes(4, "big"))
         digest.update(encoded)
     digest.update(body)
--- a/lynxchute/quarantine/evidence.py
+++ b/lynxchute/quarantine/evidence.py
@@ -1,4 +1,4 @@
-"""What the ends of upstreams say, and what is made of it."""
+"""Evidence on upstream crashes, and the findings drawn from it."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 @attrs.frozen
 class BrokenRun:
-    """A run that broke off before its upstream had outlived it.
+    """A run that broke off early enough to be the cause of its upstream's crash.
 
     Attributes
     ----------
     content
-        Names what the request asks for.
+        Id of the request's content.
     process
-        Names the upstream and its start.
+        Id of the upstream process: the upstream and its start.
     progress
-        How far it had come.
+        How far the upstream had come with the run.
     is_start_known
-        Whether the next process at the upstream will have another name.
+        Whether a restarted process of the upstream gets a different id.
     """
 
     content: str
@@ -32,14 +32,14 @@
 
 
 class Verdict(enum.Enum):
-    """What the end of an upstream says of a request that was open there.
+    """The conclusion about a request that was open when an upstream crashed.
 
     Attributes
     ----------
     BLAMED
-        It may have ended the upstream.
+        The request may have caused the crash.
     QUARANTINED
-        It has ended as many as it may.
+        The request has caused too many crashes and is quarantined.
     """
 
     BLAMED = "blamed"
@@ -48,14 +48,14 @@
 
 @attrs.frozen
 class Finding:
-    """What came of an end for one request.
+    """The conclusion about one request after one crash.
 
     Attributes
     ----------
     company
-        How many other runs may have been the cause.
+        Number of other runs that may have caused the crash.
     ends
-        How many upstreams it is blamed for by now.
+        Number of crashes that the request is blamed for so far.
     """
 
     verdict: Verdict
--- a/lynxchute/quarantine/progress.py
+++ b/lynxchute/quarantine/progress.py
@@ -1,4 +1,4 @@
-"""How far an upstream has come with a run."""
+"""The progress of a run at its upstream."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
     Attributes
     ----------
     UNANSWERED
-        It had said nothing; a model engine has such a run waiting.
+        No response yet; at a model engine the run is still queued.
     BEGUN
-        It had sent the head of its answer and nothing of the answer itself.
+        The head of the answer was received, but no event or body.
     ANSWERING
-        It had sent events, or a part of a body.
+        Events or a part of the body were received.
     """
 
     UNANSWERED = "unanswered"
--- a/lynxchute/quarantine/quarantine.py
+++ b/lynxchute/quarantine/quarantine.py
@@ -1,4 +1,4 @@
-"""The requests that this router sends to no upstream."""
+"""The quarantined requests that a router refuses to send to upstreams."""
 
 from __future__ import annotations
 
@@ -6,22 +6,24 @@
 
 from lynxchute.quarantine.record import MAX_QUARANTINED, QuarantineEntry
 
-# Milliseconds for which what a router told counts beside a newer row of the store that
-# does not have it: the router that judged writes it within some ms, or takes it back.
+# Milliseconds for which an entry reported by a router is kept although the row in the
+# store lacks it: the judging router writes the row within milliseconds, or withdraws
+# the entry.
 UNCONFIRMED_MS = 30_000
 
 
 class Quarantine:
-    """What is known here of the fleet's quarantined requests.
+    """The quarantined requests known to this router.
 
-    The store's row decides; what another router told counts before it stands there.
+    The row in the store is authoritative. Entries reported by other routers count until
+    the row contains them.
 
     Attributes
     ----------
     by_content
-        Those that have not been seen to lapse.
+        Entries by content id; expired ones are removed on lookup.
     dropped
-        How many had no room.
+        Number of entries that were dropped for lack of room.
 
     Examples
     --------
@@ -38,7 +40,7 @@
         self._reported_at_ms_by_content: dict[str, int] = {}
 
     def find(self, content: str, now_ms: int) -> QuarantineEntry | None:
-        """Return the quarantine that a request is in, if any."""
+        """Return the quarantine entry of a request; None if it is not quarantined."""
         found = self.by_content.get(content)
         if found is None:
             return None
@@ -48,7 +50,7 @@
         return found
 
     def replace(self, quarantined: Iterable[QuarantineEntry], now_ms: int) -> list[str]:
-        """Take what stands in the store; return the contents that are new."""
+        """Replace the entries with those in the store; return the new content ids."""
         stored = {item.content: item for item in quarantined}
         for content in list(self.by_content):
             reported_ms = self._reported_at_ms_by_content.get(content, -UNCONFIRMED_MS)
@@ -59,22 +61,22 @@
         return self._add_all(stored.values())
 
     def add(self, quarantined: Iterable[QuarantineEntry], now_ms: int) -> list[str]:
-        """Take what a router tells; return the contents that are new."""
+        """Add entries reported by a router; return the new content ids."""
         items = list(quarantined)
         for item in items:
-            # What stands in the store already goes with its row.
+            # An entry that is already known from the store is removed with its row.
             if item.content not in self.by_content:
                 self._reported_at_ms_by_content[item.content] = now_ms
         return self._add_all(items)
 
     def unconfirmed(self) -> tuple[QuarantineEntry, ...]:
-        """Return what was told and does not stand in the store yet."""
+        """Return the reported entries that are not in the store yet."""
         return tuple(
             self.by_content[content] for content in self._reported_at_ms_by_content
         )
 
     def clear(self, contents: Iterable[str]) -> None:
-        """Take requests again."""
+        """Release requests from quarantine."""
         for content in contents:
             self._discard(content)
 
--- a/lynxchute/quarantine/record.py
+++ b/lynxchute/quarantine/record.py
@@ -1,4 +1,4 @@
-"""What the fleet keeps of requests that ended upstreams."""
+"""The stored record of quarantined and suspected requests."""
 
 from __future__ import annotations
 
@@ -9,29 +9,30 @@
 
 from lynxchute.store.row_value import RowValue, ValueUnreadable, whole
 
-# Requests in quarantine at most; a row of the store holds 64 KB, one of these takes 110
-# bytes. Each has ended three upstreams, so that a fleet without any left comes first.
+# Maximum number of quarantined requests. A row of the store holds 64 KB, and an entry
+# takes 110 bytes. Each entry stands for three crashes, so a fleet runs out of upstreams
+# before it reaches this limit.
 MAX_QUARANTINED = 200
-# Suspects in the row at most, with their upstreams up to 250 bytes each.
+# Maximum number of suspects in the row, each up to 250 bytes with its crashes.
 MAX_SUSPECTS_KEPT = 100
 
 
 @attrs.frozen
 class Suspect:
-    """A request that was open when upstreams ended, and may be why.
+    """A request that may have caused upstream crashes, as it was open during them.
 
     Attributes
     ----------
     content
-        Names what it asks for.
+        Id of the request's content.
     ended
-        The upstream processes that it is blamed for, oldest first.
+        Ids of the crashed upstream processes that it is blamed for, oldest first.
     alone
-        How many of them had no other run that may have ended them.
+        Number of those crashes that no other run can have caused.
     since_ms, last_ms
-        When the first and the last of them ended, on the store's clock.
+        Times of the first and the last of those crashes, on the store's clock.
     times
-        How often it has been in quarantine.
+        How often the request has been quarantined.
     """
 
     content: str
@@ -44,16 +45,16 @@
 
 @attrs.frozen
 class QuarantineEntry:
-    """A request that is sent to no upstream for a while.
+    """A request that is temporarily not sent to any upstream.
 
     Attributes
     ----------
     since_ms
-        When the first upstream ended under it, on the store's clock.
+        Time of the first crash that it is blamed for, on the store's clock.
     until_ms
-        When it is taken again.
+        Time at which the quarantine expires.
     times
-        How often it has been in quarantine, with this one.
+        How often the request has been quarantined, including this time.
     """
 
     content: str
@@ -64,25 +65,25 @@
 
 @attrs.frozen
 class QuarantineRecord:
-    """The fleet's knowledge, as it stands in a row of the store."""
+    """The quarantined and suspected requests of the fleet, stored as one row."""
 
     quarantined: tuple[QuarantineEntry, ...] = ()
     suspects: tuple[Suspect, ...] = ()
 
     @property
     def contents(self) -> frozenset[str]:
-        """Return the requests that it names."""
+        """Return the content ids of all entries."""
         quarantined = {item.content for item in self.quarantined}
         return frozenset(quarantined | {suspect.content for suspect in self.suspects})
 
     def encode(self) -> bytes:
-        """Return the row's value."""
+        """Return the value of the row in the store."""
         fields = attrs.asdict(self, recurse=True)
         return json.dumps(fields, separators=(",", ":")).encode()
 
     @classmethod
     def decode(cls, value: bytes) -> Result[QuarantineRecord, str]:
-        """Return the record of a row, or what is wrong with the row."""
+        """Return the record in a row, or a description of what is wrong with it."""
         try:
             row = RowValue.decode(value)
             quarantined = [
@@ -90,17 +91,17 @@
             ]
             suspects = [_suspect(RowValue(item)) for item in _items(row, "suspects")]
         except ValueUnreadable as error:
-            return Error(f"the record of quarantined requests cannot be read: {error}")
+            return Error(f"the quarantine record is unreadable: {error}")
         return Ok(cls(tuple(quarantined), tuple(suspects)))
 
 
 def _items(row: RowValue, name: str) -> list[dict[str, object]]:
     items = row.fields.get(name)
     if not isinstance(items, list):
-        raise ValueUnreadable(f"{name!r} is no list")
+        raise ValueUnreadable(f"{name!r} is not a list")
     for item in items:
         if not isinstance(item, dict):
-            raise ValueUnreadable(f"{name!r} has an entry that is no object")
+            raise ValueUnreadable(f"{name!r} has an entry that is not an object")
     return items
 
 
@@ -116,7 +117,7 @@
 def _suspect(row: RowValue) -> Suspect:
     ended = row.fields.get("ended")
     if not isinstance(ended, list) or not all(isinstance(name, str) for name in ended):
-        raise ValueUnreadable("'ended' is no list of texts")
+        raise ValueUnreadable("'ended' is not a list of strings")
     return Suspect(
         content=row.text("content"),
         ended=tuple(ended),
--- a/lynxchute/quarantine/suspicion.py
+++ b/lynxchute/quarantine/suspicion.py
@@ -1,4 +1,4 @@
-"""Find out which request ends the upstreams that run it."""
+"""Find the requests that cause upstream crashes."""
 
 from __future__ import annotations
 
@@ -14,48 +14,49 @@
     Suspect,
 )
 
-# Upstreams that a request must have ended before no further one is risked. One end is
-# any crash, two may be bad luck: a request that was open beside the cause and was sent
-# on to the same place as it.
+# Crashes after which a request is quarantined. One crash may have any cause. Two may be
+# bad luck: a request that was open beside the cause and was retried at the same
+# upstream as it.
 CRASHES_TO_QUARANTINE = 3
-# The same where another run could be the cause at each of these ends.
+# The same if another run may have been the cause of each of the crashes.
 AMBIGUOUS_CRASHES_TO_QUARANTINE = 5
-# How much having begun at the moment of an end counts, in earlier ends. Of 25 ends of
-# engines under such requests, seen in one day's lines, 23 had one run with the head of
-# an answer and no event, the cause; what waited there and what had answered for a while
-# was open by chance.
+# Weight, in earlier crashes, of a run that had just begun at the time of a crash. Of 25
+# engine crashes under such requests, 23 had exactly one run with the head of an answer
+# and no event, which was the cause; runs that were still queued, or had answered for a
+# while, were open by chance.
 STARTED_WEIGHT = 2
-# Milliseconds for which the reports on an end are collected: routers send them every
-# 50 ms, and a message takes some ms.
+# Milliseconds for which reports on a crash are collected before it is judged: routers
+# send them every 50 ms, and a message takes some milliseconds.
 REPORT_WINDOW_MS = 300
-# Milliseconds for which reports on an upstream whose processes all have one name speak
-# of one end: longer than routers take to notice it, about as long as it is down.
+# Milliseconds within which reports on an upstream whose processes share one id are
+# taken for the same crash: longer than routers take to notice it, and about as long as
+# the upstream is down.
 SAME_CRASH_MS = 2_000
-# Stands between the name of such an upstream and the time of its end.
+# Separates the id of such an upstream from the time of its crash.
 TIME_SEPARATOR = "#"
-# How long an end counts against a request. Callers repeat what fails within seconds to
-# minutes; what an upstream survives later is none of them.
+# Milliseconds for which a crash counts against a request. Callers retry a failed
+# request within seconds to minutes, so a later one is not a retry.
 BLAME_EXPIRY_MS = 600_000
-# How long a request is kept away, doubled each time it ends another upstream after
-# that: an upstream takes some seconds to come back, and a mended one takes longer
-# than this to be installed.
+# Duration of the first quarantine. It doubles each time the request crashes another
+# upstream after that: an upstream restarts within seconds, but installing a fixed one
+# takes longer than this.
 QUARANTINE_MS = 600_000
 MAX_QUARANTINE_MS = 7_200_000
-# What is kept at most; each entry takes some 300 bytes.
+# Limits on the state; each entry takes some 300 bytes.
 MAX_SUSPECTS = 400
 MAX_CRASHES = 64
-# How long an end is kept for reports that come late, in milliseconds.
+# Milliseconds for which a crash is kept for late reports.
 LATE_REPORT_MS = 10_000
 
 
 @attrs.define
 class _Crash:
-    """The end of an upstream, with the runs that may have caused it.
+    """A crash of an upstream, with the runs that may have caused it.
 
     Attributes
     ----------
-    best
-        The weight of what was blamed, once it was judged.
+    judged_weight
+        Weight of the runs that were blamed; None until the crash is judged.
     """
 
     at_ms: int
@@ -64,31 +65,31 @@
 
 
 class CrashAttribution:
-    """Blame the ends of upstreams on requests that were open there.
+    """Attribute upstream crashes to requests that were open during them.
 
-    An end is blamed on the run that had just begun there, and on requests under which
-    others have ended before; what was open beside it keeps no blame. Only a request
-    that is blamed for several upstreams, and was the only one that could be the cause
-    for one of them, is put in quarantine.
+    A crash is blamed on the run that had just begun there, and on requests that were
+    open during earlier crashes; other runs beside them are not blamed. A request is
+    quarantined only if it is blamed for several crashes and was the only possible cause
+    of at least one of them.
 
-    Times are milliseconds on the store's clock, which goes on over restarts and is the
-    same for all routers.
+    Times are milliseconds on the store's clock, which continues across restarts and is
+    the same for all routers.
 
     Attributes
     ----------
     suspects_by_content
-        Requests that are blamed.
+        Requests that are blamed for crashes.
     quarantined_by_content
-        Requests that are sent nowhere.
-    is_changed
-        Whether there is something that the store does not have.
+        Requests that are not sent to any upstream.
+    has_unsaved_changes
+        Whether the state has changes that are not in the store.
 
     Examples
     --------
-    >>> suspicion = Suspicion()
+    >>> attribution = CrashAttribution()
     >>> for number in range(3):
-    ...     suspicion.report(BrokenRun("q", f"e{number}", Progress.BEGUN), number)
-    >>> [finding.verdict.value for finding in suspicion.judge(SETTLE_MS + 2)]
+    ...     attribution.record_run(BrokenRun("q", f"e{number}", Progress.BEGUN), number)
+    >>> [found.verdict.value for found in attribution.judge(REPORT_WINDOW_MS + 2)]
     ['blamed', 'blamed', 'quarantined']
     """
 
@@ -100,7 +101,7 @@
         self._crash_by_process: dict[str, _Crash] = {}
 
     def record_run(self, run: BrokenRun, now_ms: int) -> None:
-        """Take a run that broke off when its upstream ended."""
+        """Record a run that broke off when its upstream crashed."""
         process = run.process
         if not run.is_start_known:
             process = self._crash_name(process, now_ms)
@@ -116,11 +117,11 @@
             crash.judged_weight is not None
             and self._weight(run.content, run.progress) >= crash.judged_weight
         ):
-            # Its router was heard late; that others were blamed meanwhile does no harm.
+            # A late report; blaming it in addition to the other runs does no harm.
             self._blame(run.content, process, now_ms, is_alone=False)
 
     def judge(self, now_ms: int) -> list[Finding]:
-        """Blame the ends whose reports are in; return what came of each."""
+        """Judge the crashes whose reports are complete; return the findings."""
         findings = []
         for process, crash in self._crash_by_process.items():
             if crash.judged_weight is None and now_ms - crash.at_ms >= REPORT_WINDOW_MS:
@@ -128,13 +129,13 @@
         return findings
 
     def has_pending_crashes(self) -> bool:
-        """Return whether any end is still to be judged."""
+        """Return whether any crash is still to be judged."""
         return any(
             crash.judged_weight is None for crash in self._crash_by_process.values()
         )
 
     def clear(self, content: str) -> bool:
-        """Take a request for innocent; return whether it was not before."""
+        """Clear a request of blame and quarantine; return whether it had any."""
         suspect = self.suspects_by_content.pop(content, None)
         quarantined = self.quarantined_by_content.pop(content, None)
         for crash in self._crash_by_process.values():
@@ -144,7 +145,7 @@
         return suspect is not None or quarantined is not None
 
     def adopt_quarantine(self, quarantined: QuarantineEntry) -> bool:
-        """Take what another judge had found; return whether that is news."""
+        """Add an entry found by an earlier judge; return whether it is new."""
         if quarantined.content in self.quarantined_by_content:
             return False
         self.suspects_by_content.pop(quarantined.content, None)
@@ -153,9 +154,9 @@
         return True
 
     def merge_record(self, record: QuarantineRecord) -> None:
-        """Take what stands in the store, beside what never stood there.
+        """Merge the record in the store with entries that were never stored.
 
-        What stood there and does not any more was taken back by someone else.
+        Entries that were stored before and are now gone were released by someone else.
         """
         stored = record.contents
         for content in self._stored_contents - stored:
@@ -170,9 +171,9 @@
             self._merge_suspect(suspect)
 
     def expire(self, now_ms: int) -> bool:
-        """Let go of what has lapsed; return whether any of it stands in the store.
+        """Remove expired state; return whether any of it is in the store.
 
-        Whoever leaves quarantine needs to end one more upstream to be back.
+        A request whose quarantine expires is quarantined again after one more crash.
         """
         expired = False
         for content, quarantined in list(self.quarantined_by_content.items()):
@@ -190,11 +191,11 @@
         return expired
 
     def record_written(self, record: QuarantineRecord) -> None:
-        """Note what was written to the store from here."""
+        """Record what this router has written to the store."""
         self._stored_contents = record.contents
 
     def record(self) -> QuarantineRecord:
-        """Return what is to be kept in the store."""
+        """Return the state to be stored."""
         suspects = [s for s in self.suspects_by_content.values() if _is_persisted(s)]
         suspects.sort(key=lambda suspect: (len(suspect.ended), suspect.last_ms))
         return QuarantineRecord(
@@ -203,7 +204,7 @@
         )
 
     def _crash_name(self, upstream: str, now_ms: int) -> str:
-        """Name one end of an upstream whose processes all have the same name."""
+        """Return a name for one crash of an upstream whose processes share an id."""
         for name, crash in self._crash_by_process.items():
             is_same_upstream = name.startswith(f"{upstream}{TIME_SEPARATOR}")
             if is_same_upstream and now_ms - crash.at_ms < SAME_CRASH_MS:
@@ -215,7 +216,7 @@
         known = progress_by_content.keys() & self.quarantined_by_content.keys()
         crash.judged_weight = 0
         if known or not progress_by_content:
-            # A copy of what is in quarantine was still open there.
+            # A copy of a quarantined request was still open, which explains the crash.
             return []
         weights = {
             content: self._weight(content, progress)
@@ -238,8 +239,8 @@
 
     def _weight(self, content: str, progress: Progress) -> int:
         suspect = self.suspects_by_content.get(content)
-        ends = len(suspect.ended) if suspect is not None else 0
-        return ends + (STARTED_WEIGHT if progress is Progress.BEGUN else 0)
+        crashes = len(suspect.ended) if suspect is not None else 0
+        return crashes + (STARTED_WEIGHT if progress is Progress.BEGUN else 0)
 
     def _blame(
         self, content: str, process: str, now_ms: int, *, is_alone: bool
@@ -255,7 +256,7 @@
             alone=suspect.alone + is_alone,
             last_ms=now_ms,
         )
-        # The newest one comes last, so that room is made by the oldest.
+        # Most recent last, so that the oldest suspect is evicted first.
         self.suspects_by_content.pop(content, None)
         self.suspects_by_content[content] = suspect
         self.has_unsaved_changes = self.has_unsaved_changes or _is_persisted(suspect)
@@ -281,8 +282,8 @@
         return attrs.evolve(finding, verdict=Verdict.QUARANTINED)
 
     def _finding(self, content: str, process: str, company: int) -> Finding:
-        ends = len(self.suspects_by_content[content].ended)
-        return Finding(Verdict.BLAMED, content, process, company, ends)
+        crashes = len(self.suspects_by_content[content].ended)
+        return Finding(Verdict.BLAMED, content, process, company, crashes)
 
     def _watch_released(self, quarantined: QuarantineEntry, now_ms: int) -> None:
         earlier = range(CRASHES_TO_QUARANTINE - 1)
@@ -313,7 +314,7 @@
         )
 
     def _add_quarantine(self, quarantined: QuarantineEntry) -> None:
-        """Keep a request away; the one that lapses first makes room where none is."""
+        """Add an entry; if there are too many, drop the one that expires first."""
         self.quarantined_by_content[quarantined.content] = quarantined
         if len(self.quarantined_by_content) > MAX_QUARANTINED:
             items = self.quarantined_by_content.values()
@@ -330,9 +331,9 @@
 
 
 def _is_persisted(suspect: Suspect) -> bool:
-    """Return whether a suspect is worth a row in the store.
+    """Return whether a suspect is stored.
 
-    Most requests that were open at one end are innocent, and forgotten with the router
-    that judged it: that costs one upstream more at most.
+    Most requests that were open during a single crash are innocent. They are lost with
+    the router that judged the crash, which costs at most one further crash.
     """
     return len(suspect.ended) > 1
