--- a/lynxchute/containment/__init__.py
+++ b/lynxchute/containment/__init__.py
@@ -1,4 +1,4 @@
-"""Keep requests that end upstreams away from them, over the whole fleet."""
+"""Keep requests that crash upstreams away from them, across the whole fleet."""
 
 from lynxchute.containment.containment import Containment
 from lynxchute.containment.judge import Judge
--- a/lynxchute/containment/containment.py
+++ b/lynxchute/containment/containment.py
@@ -1,4 +1,4 @@
-"""Keep requests that end upstreams away from them."""
+"""Report upstream crashes, and refuse the requests that cause them."""
 
 from __future__ import annotations
 
@@ -29,48 +29,49 @@
 from lynxchute.upstreams.entry import OpenSend
 from lynxchute.upstreams.upstream import Upstream
 
-# Evidence of this many seconds goes out together: all runs of an upstream break off
-# within some ms.
+# Seconds for which evidence is collected into one message: all runs of a crashed
+# upstream break off within some milliseconds.
 BATCH_SECONDS = 0.05
-# Seconds between two looks whether another router judges by now.
+# Seconds between checks whether another router has become the judge.
 JUDGE_CHECK_SECONDS = 5.0
-# Evidence that waits at most, and that is kept: the open runs of several upstreams.
+# Limit on pending and on retained evidence: the open runs of several upstreams.
 MAX_PENDING = 300
-# Milliseconds for which evidence is kept for the next judge: one that ends had
-# collected it, and had written to the store what is blamed for two ends or more.
+# Milliseconds for which evidence is retained for the next judge. A judge that dies has
+# received it, but has stored only requests that are blamed for two crashes or more.
 EVIDENCE_RETENTION_MS = 60_000
-# Routers that are tried for the fleet's judge before this one judges by itself.
+# Attempts to reach the fleet's judge before this router judges by itself.
 JUDGE_ATTEMPTS = 3
-# Contents that were reported from here, whose survival is worth telling.
+# Reported content ids that are remembered, to report it if the request is served later.
 MAX_REPORTED = 500
-# Milliseconds for which having been served speaks for a request. What is asked for many
-# times a second is open at most ends, and is no cause while others run it; an upstream
-# that was replaced since may end with what the one before could run.
+# Milliseconds for which a request that was served is not suspected. A request that is
+# sent many times a second is open during most crashes, and cannot be their cause while
+# other upstreams serve it. The time is limited, as a replaced upstream may crash on
+# what its predecessor could run.
 SERVED_RECENTLY_MS = 5_000
 
 
 class Containment:
-    """Report runs that ended with their upstreams, and refuse what ends them.
+    """Report runs that broke off in crashes, and refuse quarantined requests.
 
     Parameters
     ----------
     members, peers
         The other routers.
     store
-        Tells the time that all share.
+        Provides the clock that all routers share.
     directory
-        Has the sends that are open.
+        The upstreams and their open sends.
     metrics
-        Where quarantined requests are counted.
+        Counts broken runs and quarantined requests.
     clock
         Seconds on the steady clock.
 
     Attributes
     ----------
     judge
-        Judges the ends, where this router does it for the fleet.
+        Judges crashes while this router does so for the fleet.
     quarantine
-        What is refused.
+        The requests that are refused.
     """
 
     def __init__(
@@ -82,9 +83,9 @@
         metrics: Metrics,
         clock: Callable[[], float],
     ) -> None:
-        news = QuarantineBroadcast(members, peers, clock)
-        news.listeners.append(self._handle_news)
-        self.judge = Judge(members, store, news, metrics, clock)
+        broadcast = QuarantineBroadcast(members, peers, clock)
+        broadcast.listeners.append(self._handle_news)
+        self.judge = Judge(members, store, broadcast, metrics, clock)
         self.quarantine = Quarantine()
         self._members = members
         self._peers = peers
@@ -102,27 +103,27 @@
 
     @property
     def components(self) -> list[Component]:
-        """Return what runs in the background."""
+        """Return the background components."""
         return [self._loop, *self.judge.components]
 
     def serve(self, server: PeerServer) -> None:
-        """Take what other routers tell."""
+        """Register the handlers for messages from other routers."""
         server.answers_by_class[RunEvidence] = self._handle_evidence_message
         server.answers_by_class[QuarantineNews] = self._handle_news_message
 
     def watch_registry(self, registry: Registry) -> None:
-        """Take what stands in the store, and notice who judges."""
+        """Follow the row in the store, and changes of the judge."""
         registry.takers_by_key[ROW_KEY] = self._handle_row
         registry.listeners.append(self._handle_members)
 
     def quarantine_seconds_left(self, content: str) -> float | None:
-        """Return how long a request is still kept away; None where it is not."""
+        """Return the remaining quarantine of a request; None if it has none."""
         now_ms = self.judge.now_ms()
         found = self.quarantine.find(content, now_ms)
         return None if found is None else (found.until_ms - now_ms) / 1000.0
 
     def record_broken(self, upstream: Upstream, send: OpenSend) -> None:
-        """Note a run that broke off because its upstream ended, or seems to have."""
+        """Record a run that broke off because its upstream crashed, or may have."""
         self._metrics.broken_runs.inc(send.progress.value)
         if send.is_cancelled or send.is_past_crash_window(self._clock()):
             return
@@ -141,7 +142,7 @@
         self._loop.wake()
 
     def record_end(self, send: OpenSend, *, is_whole: bool) -> None:
-        """Note a run that has ended, with a whole answer or otherwise."""
+        """Record the end of a run, with or without a complete answer."""
         if not is_whole and not send.is_past_crash_window(self._clock()):
             return
         self._served.record_served(send.content, self.judge.now_ms())
@@ -151,7 +152,7 @@
             self._record_survived(send.content)
 
     def _handle_members(self) -> None:
-        """Give a new judge what the one before was told, and what it told."""
+        """Wake up to send a new judge what its predecessor had received and sent."""
         if self._has_backlog_for_judge:
             self._loop.wake()
 
@@ -162,7 +163,7 @@
         return self._current_judge().incarnation != self._last_judge
 
     def _handle_row(self, row: Row) -> None:
-        """Take what the fleet knows; a row that is gone says that it is nothing."""
+        """Handle a new version of the row; a deleted row stands for an empty one."""
         record = QuarantineRecord()
         if not row.deleted:
             result = QuarantineRecord.decode(row.value)
@@ -186,7 +187,7 @@
     async def _send_to_judge(
         self, broken: tuple[BrokenRun, ...], survived: tuple[str, ...]
     ) -> None:
-        """Give evidence to the fleet's judge, all that counts yet to a new one."""
+        """Send evidence to the fleet's judge; a new judge gets all recent evidence."""
         for _ in range(JUDGE_ATTEMPTS):
             judge = self._current_judge()
             quarantined: tuple[QuarantineEntry, ...] = ()
@@ -232,7 +233,7 @@
         self._apply_quarantine(new, source="router")
 
     def _apply_quarantine(self, contents: list[str], *, source: str) -> None:
-        """Act on requests that are newly quarantined."""
+        """Apply new quarantine entries: withdraw open sends, or clear the request."""
         for content in contents:
             quarantined = self.quarantine.by_content.get(content)
             if quarantined is None:
@@ -240,7 +241,7 @@
             was_served = self._served.has_served_since(content, quarantined.since_ms)
             withdrawn = 0
             if was_served:
-                # It was served here after the first end that it is blamed for.
+                # It was served after the first crash that it is blamed for.
                 self.quarantine.clear([content])
                 self._record_survived(content)
             else:
@@ -256,7 +257,7 @@
             )
 
     def _withdraw_sends(self, content: str) -> int:
-        """Break off what waits at upstreams; return how much that was."""
+        """Abort unanswered sends of a request; return their number."""
         withdrawn = 0
         for entry in self._directory.entries_by_id.values():
             for send in list(entry.open_sends):
--- a/lynxchute/containment/judge.py
+++ b/lynxchute/containment/judge.py
@@ -1,4 +1,4 @@
-"""Judge the ends of upstreams for the fleet, or have another router do so."""
+"""Judge upstream crashes for the fleet, on the router elected to do so."""
 
 from __future__ import annotations
 
@@ -24,48 +24,48 @@
 from lynxchute.store.rows import ABSENT
 from lynxchute.telemetry import Metrics, log_event
 
-# The row stands in a table that every router follows anyway, so that it needs no feed
+# The row is part of a table that every router follows already, so that it needs no feed
 # of its own.
 ROW_KEY = "quarantine"
 QUARANTINE_ROW_ID = RowId(TABLE, ROW_KEY)
 JUDGE_KEY = "quarantine"
-# Seconds between two looks while ends are judged. A copy of the request is on its way
-# to the next upstream meanwhile; the routers' reports themselves take half as long.
+# Seconds between polls while crashes are being judged. A copy of the request may be on
+# its way to the next upstream already; the routers' reports take half this time.
 POLL_SECONDS = 0.1
-# The same while routers are only to be told again, and while there is nothing to do.
+# Poll intervals while messages only have to be sent again, and while idle.
 RESEND_SECONDS = 0.5
 IDLE_SECONDS = 5.0
-# Seconds until the row is written again after the store did not take it.
+# Seconds until the row is written again after the store was unavailable.
 WRITE_RETRY_SECONDS = 0.5
-# Tries to write the row at one look, where others have written it.
+# Attempts to write the row in one poll when another router has written it meanwhile.
 WRITE_ATTEMPTS = 3
 
 
 class Judge:
-    """Decide which requests are kept from upstreams, and tell everyone.
+    """Decide which requests to quarantine, and notify all routers.
 
-    One router does it for the fleet, named by rendezvous hashing: it alone sees all
-    runs that were open at an end. What it finds stands in a row of the store, so that
-    whoever takes over, or starts again, knows it; and is told to all routers, which
-    reach one another also while the store is away.
+    One router does this for the fleet, elected by rendezvous hashing, as only a single
+    judge sees all runs that were open during a crash. Its findings are stored in a row,
+    so that a successor or a restarted router knows them. They are also sent to all
+    routers, which can reach one another even while the store is unavailable.
 
     Parameters
     ----------
     members
-        The routers.
+        The routers of the fleet.
     store
-        Where the row stands.
-    news
-        Tells the other routers.
+        The store that holds the row.
+    broadcast
+        Notifies the other routers.
     metrics
-        Where findings are counted.
+        Counts the findings.
     clock
         Seconds on the steady clock.
 
     Attributes
     ----------
-    suspicion
-        What is known.
+    attribution
+        The crashes and the requests blamed for them.
     """
 
     def __init__(
@@ -93,21 +93,21 @@
 
     @property
     def components(self) -> list[Component]:
-        """Return what runs in the background."""
+        """Return the background components."""
         return [self._loop, self._tasks]
 
     def now_ms(self) -> int:
-        """Return a time that the store's clock has reached, in milliseconds."""
+        """Return a lower bound of the store's clock, in milliseconds."""
         return self._store.clock.earliest_ms(self._clock())
 
     def handle_evidence(self, evidence: RunEvidence) -> None:
-        """Take what runs say, here or at another router."""
+        """Handle reports on runs, from this router or another one."""
         now_ms = self.now_ms()
         for run in evidence.broken:
             self.attribution.record_run(run, now_ms)
         for quarantined in evidence.quarantined:
             if self.attribution.adopt_quarantine(quarantined):
-                # The judge before has died, and who has started since knows nothing.
+                # The previous judge has died, and restarted routers lack the entry.
                 self._broadcast.publish(quarantined=(quarantined,))
         for content in evidence.survived:
             was_quarantined = content in self.attribution.quarantined_by_content
@@ -119,20 +119,20 @@
         self._loop.wake()
 
     def merge_record(self, record: QuarantineRecord, version: int) -> None:
-        """Take what stands in the store."""
+        """Merge the record in the store, unless a newer version was merged before."""
         if version > self._version:
             self._version = version
             self._merge_record(record)
 
     def _merge_record(self, record: QuarantineRecord) -> None:
         self.attribution.merge_record(record)
-        # Nobody is told any more of what was taken back.
+        # Stop sending messages about requests that were released.
         self._broadcast.retain_only(self.attribution.quarantined_by_content.keys())
 
     async def _poll(self) -> None:
         self._judge_crashes()
         if self._sending is None or self._sending.done():
-            # Ends are judged meanwhile: a router that is gone keeps a message waiting.
+            # Runs in the background, as a message to a dead router takes long to fail.
             self._sending = self._tasks.spawn(self._broadcast.send_pending())
         interval = self._poll_interval()
         if self._timer is not None:
@@ -175,9 +175,10 @@
             self._broadcast.publish(quarantined=(quarantined,))
 
     async def _write_row(self) -> None:
-        """Write what is new, unless the store is away; a later look tries again.
+        """Write unsaved changes; if the store is unavailable, a later poll retries.
 
-        The others are told meanwhile: a store that is away keeps a call for seconds.
+        It runs in the background so that routers are notified meanwhile: a call to an
+        unavailable store takes seconds.
         """
         try:
             for _ in range(WRITE_ATTEMPTS):
@@ -190,7 +191,7 @@
             self._is_writing = False
 
     async def _try_write(self, record: QuarantineRecord) -> bool:
-        """Write the row; return whether no other try is worth it now."""
+        """Write the row; return False if it should be tried again at once."""
         expected = Expected(QUARANTINE_ROW_ID, self._version)
         write = Write((expected,), (Put(QUARANTINE_ROW_ID, record.encode()),))
         try:
@@ -205,7 +206,7 @@
         if isinstance(outcome, Committed):
             self._record_written(record, outcome.version)
             return True
-        # Another router has judged as well; both findings count.
+        # Another router has judged as well: merge its findings and write again.
         self.attribution.has_unsaved_changes = True
         row = outcome.rows_by_id.get(QUARANTINE_ROW_ID)
         self._version = row.version if row is not None else ABSENT
--- a/lynxchute/containment/news.py
+++ b/lynxchute/containment/news.py
@@ -1,4 +1,4 @@
-"""Tell all routers which requests are kept from upstreams."""
+"""Notify all routers which requests are quarantined."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 from lynxchute.quarantine import QuarantineEntry
 from lynxchute.telemetry import log_event
 
-# Seconds for which a router that has not taken news is told again; by then it has the
-# row from the store, or has started anew.
+# Seconds for which a message is sent again to routers that have not received it; by
+# then they have the row from the store, or have restarted.
 DELIVERY_SECONDS = 60.0
-# News that are kept at most.
+# Maximum number of messages that are kept.
 MAX_UPDATES = 100
-# Routers told at once: a VM with a link of 5 Mbit/s sends these messages within 10 ms.
+# Concurrent sends: a VM with a link of 5 Mbit/s sends these messages within 10 ms.
 MAX_CONCURRENT_SENDS = 16
 
 
 @attrs.define(eq=False)
 class _Update:
-    """What is to be told until a time.
+    """A message that is sent until it expires.
 
     Attributes
     ----------
-    told
-        The runs of routers that have taken it.
+    delivered_to
+        Incarnations of the routers that have received it.
     """
 
     message: QuarantineNews
@@ -38,10 +38,10 @@
 
 
 class QuarantineBroadcast:
-    """Send news to every router until each has taken them.
+    """Send quarantine messages to every router until each has received them.
 
-    The store's row says the same; a router whose connection to the store has gone
-    silent hears of that only seconds later.
+    The row in the store says the same, but a router whose connection to the store has
+    gone silent learns of that only seconds later.
 
     Parameters
     ----------
@@ -62,7 +62,7 @@
 
     @property
     def has_undelivered(self) -> bool:
-        """Return whether a registered router may not have taken all news."""
+        """Return whether a registered router may not have received all messages."""
         incarnations = {member.incarnation for member in self._members.by_vm.values()}
         incarnations.discard(self._members.own.incarnation)
         return any(incarnations - update.delivered_to for update in self._updates)
@@ -73,7 +73,7 @@
         quarantined: tuple[QuarantineEntry, ...] = (),
         cleared: tuple[str, ...] = (),
     ) -> None:
-        """Have something told, here at once."""
+        """Notify local listeners at once, and queue a message for all other routers."""
         message = QuarantineNews(quarantined, cleared)
         for listener in self.listeners:
             listener(message)
@@ -81,7 +81,7 @@
         del self._updates[:-MAX_UPDATES]
 
     def retain_only(self, contents: Container[str]) -> None:
-        """Tell nobody any more of other requests in quarantine."""
+        """Discard messages about other quarantined requests, which were released."""
         kept = []
         for update in self._updates:
             items = update.message.quarantined
@@ -90,7 +90,7 @@
         self._updates = kept
 
     async def send_pending(self) -> None:
-        """Tell the routers that can be reached what they have not taken yet."""
+        """Send undelivered messages to all reachable routers."""
         now = self._clock()
         self._updates = [update for update in self._updates if now < update.expires_at]
         if not self._updates:
