--- a/lynxchute/overload/claim.py
+++ b/lynxchute/overload/claim.py
@@ -82,15 +82,15 @@
             If a time, the rank or a name is out of range.
         """
         if not 0.0 <= self.waited <= MAX_SECONDS:
-            raise InvalidClaim("time waited")
+            raise InvalidClaim("time waited is out of range")
         if not 0.0 <= self.left <= MAX_SECONDS:
-            raise InvalidClaim("time left")
+            raise InvalidClaim("time left is out of range")
         if not abs(self.due_in) <= MAX_SECONDS:
-            raise InvalidClaim("time due")
+            raise InvalidClaim("time due is out of range")
         if not 0 <= self.rank <= MAX_RANK:
-            raise InvalidClaim("rank")
+            raise InvalidClaim("rank is out of range")
         if len(self.account) > MAX_NAME_LENGTH or len(self.content) > MAX_NAME_LENGTH:
-            raise InvalidClaim("name")
+            raise InvalidClaim("account or content id is too long")
 
     def ticket(
         self,
--- a/lynxchute/overload/guard.py
+++ b/lynxchute/overload/guard.py
@@ -14,8 +14,8 @@
 # Minimum seconds for which the VM reports not ready: the load balancer notices after
 # two, and connections that are ended after that reach another VM.
 MIN_NOT_READY_SECONDS = 3.0
-# After this many seconds the VM reports ready again, whatever its load, and stays ready
-# for at least the second: the VMs that took its work may be just as full by then.
+# After MAX_NOT_READY_SECONDS the VM reports ready again, whatever its load, and stays
+# ready for at least MIN_READY_SECONDS: the VMs that took its work may be just as full.
 MAX_NOT_READY_SECONDS = 8.0
 MIN_READY_SECONDS = 4.0
 # Seconds for which a request counts as recent. Work without recent requests, such as at
@@ -185,9 +185,13 @@
             self._shares.record_use(account, 1.0, self._last_request_at)
 
     def poll(self) -> str:
-        """Update readiness; return the resource that has just made the VM not ready.
+        """Update readiness from the load of all resources.
 
-        An empty string means that the VM has not become not ready in this poll.
+        Returns
+        -------
+        str
+            The resource by which the VM becomes not ready in this poll, or an empty
+            string.
         """
         self._full_resource = self._find_full_resource()
         now = self._clock()
--- a/lynxchute/overload/processor.py
+++ b/lynxchute/overload/processor.py
@@ -15,8 +15,8 @@
 DELAY_DECAY_SECONDS = 0.25
 # Timers normally fire this many seconds late.
 TIMER_SLACK_SECONDS = 0.002
-# A longer loop iteration, in seconds, means that the VM was suspended; it counts as the
-# second value instead.
+# A loop iteration longer than MAX_ITERATION_SECONDS means that the VM was suspended; it
+# counts as SUSPENDED_SECONDS.
 MAX_ITERATION_SECONDS = 1.0
 SUSPENDED_SECONDS = 0.25
 
