--- a/lynxchute/quarantine/quarantine.py
+++ b/lynxchute/quarantine/quarantine.py
@@ -1,4 +1,4 @@
-"""The requests that this router sends to no upstream."""
+"""The quarantined requests that a router refuses to send to upstreams."""
 
 from __future__ import annotations
 
@@ -6,22 +6,24 @@
 
 from lynxchute.quarantine.record import MAX_QUARANTINED, QuarantineEntry
 
-# Milliseconds for which what a router told counts beside a newer row of the store that
-# does not have it: the router that judged writes it within some ms, or takes it back.
-TOLD_MS = 30_000
+# Milliseconds for which an entry reported by a router is kept although the row in the
+# store lacks it: the judging router writes the row within milliseconds, or withdraws
+# the entry.
+UNCONFIRMED_MS = 30_000
 
 
 class Quarantine:
-    """What is known here of the fleet's quarantined requests.
+    """The quarantined requests known to this router.
 
-    The store's row decides; what another router told counts before it stands there.
+    The row in the store is authoritative. Entries reported by other routers count until
+    the row contains them.
 
     Attributes
     ----------
     by_content
-        Those that have not been seen to lapse.
+        Entries by content id; expired ones are removed on lookup.
     dropped
-        How many had no room.
+        Number of entries that were dropped for lack of room.
 
     Examples
     --------
@@ -35,50 +37,50 @@
     def __init__(self) -> None:
         self.by_content: dict[str, QuarantineEntry] = {}
         self.dropped = 0
-        self._told_at_ms_by_content: dict[str, int] = {}
+        self._reported_at_ms_by_content: dict[str, int] = {}
 
     def find(self, content: str, now_ms: int) -> QuarantineEntry | None:
-        """Return the quarantine that a request is in, if any."""
+        """Return the quarantine entry of a request; None if it is not quarantined."""
         found = self.by_content.get(content)
         if found is None:
             return None
         if now_ms >= found.until_ms:
-            self._drop(content)
+            self._discard(content)
             return None
         return found
 
     def replace(self, quarantined: Iterable[QuarantineEntry], now_ms: int) -> list[str]:
-        """Take what stands in the store; return the contents that are new."""
-        standing = {item.content: item for item in quarantined}
+        """Replace the entries with those in the store; return the new content ids."""
+        stored = {item.content: item for item in quarantined}
         for content in list(self.by_content):
-            told_ms = self._told_at_ms_by_content.get(content, -TOLD_MS)
-            if content not in standing and now_ms - told_ms >= TOLD_MS:
-                self._drop(content)
-        for content in standing:
-            self._told_at_ms_by_content.pop(content, None)
-        return self._put(standing.values())
+            reported_ms = self._reported_at_ms_by_content.get(content, -UNCONFIRMED_MS)
+            if content not in stored and now_ms - reported_ms >= UNCONFIRMED_MS:
+                self._discard(content)
+        for content in stored:
+            self._reported_at_ms_by_content.pop(content, None)
+        return self._add_all(stored.values())
 
     def add(self, quarantined: Iterable[QuarantineEntry], now_ms: int) -> list[str]:
-        """Take what a router tells; return the contents that are new."""
+        """Add entries reported by a router; return the new content ids."""
         items = list(quarantined)
         for item in items:
-            # What stands in the store already goes with its row.
+            # An entry that is already known from the store is removed with its row.
             if item.content not in self.by_content:
-                self._told_at_ms_by_content[item.content] = now_ms
-        return self._put(items)
+                self._reported_at_ms_by_content[item.content] = now_ms
+        return self._add_all(items)
 
-    def told(self) -> tuple[QuarantineEntry, ...]:
-        """Return what was told and does not stand in the store yet."""
+    def unconfirmed(self) -> tuple[QuarantineEntry, ...]:
+        """Return the reported entries that are not in the store yet."""
         return tuple(
-            self.by_content[content] for content in self._told_at_ms_by_content
+            self.by_content[content] for content in self._reported_at_ms_by_content
         )
 
     def clear(self, contents: Iterable[str]) -> None:
-        """Take requests again."""
+        """Release requests from quarantine."""
         for content in contents:
-            self._drop(content)
+            self._discard(content)
 
-    def _put(self, items: Iterable[QuarantineEntry]) -> list[str]:
+    def _add_all(self, items: Iterable[QuarantineEntry]) -> list[str]:
         new = []
         for item in items:
             if item.content not in self.by_content:
@@ -86,10 +88,10 @@
             self.by_content[item.content] = item
         while len(self.by_content) > MAX_QUARANTINED:
             soonest = min(self.by_content.values(), key=lambda item: item.until_ms)
-            self._drop(soonest.content)
+            self._discard(soonest.content)
             self.dropped += 1
         return new
 
-    def _drop(self, content: str) -> None:
+    def _discard(self, content: str) -> None:
         self.by_content.pop(content, None)
-        self._told_at_ms_by_content.pop(content, None)
+        self._reported_at_ms_by_content.pop(content, None)
