--- a/lynxchute/application.py
+++ b/lynxchute/application.py
@@ -40,7 +40,7 @@
         """End at once and let go of everything."""
 
 
-class Background(Component, ABC):
+class BackgroundTask(Component, ABC):
     """A part that works in one task of its own."""
 
     def __init__(self) -> None:
@@ -61,7 +61,7 @@
             await asyncio.gather(self._task, return_exceptions=True)
 
 
-class Loop(Background):
+class PeriodicTask(BackgroundTask):
     """A part that does one thing again and again.
 
     Parameters
@@ -106,7 +106,7 @@
         try:
             is_due = self._is_due()
         except Exception:
-            logging.exception("the loop %s could not look", self._name)
+            logging.exception("periodic task %s: due check failed", self._name)
             is_due = True
         if is_due:
             self._ring()
@@ -137,7 +137,7 @@
             try:
                 await self._step()
             except Exception:
-                logging.exception("the loop %s failed once", self._name)
+                logging.exception("periodic task %s: step failed", self._name)
 
 
 def _next_tick(now: float, interval: float) -> float:
@@ -178,7 +178,7 @@
         logging.error("a background task failed: %r", task.exception())
 
 
-class Ending(enum.Enum):
+class StopReason(enum.Enum):
     """Why an application ended."""
 
     STOPPED = "stopped"
@@ -197,7 +197,7 @@
     def __init__(self, stop_deadline: float) -> None:
         self.components: list[Component] = []
         self._stop_deadline = stop_deadline
-        self._ending: asyncio.Future[Ending] | None = None
+        self._ending: asyncio.Future[StopReason] | None = None
 
     async def start(self) -> None:
         """Start the components in order."""
@@ -205,12 +205,12 @@
         for component in self.components:
             await component.start()
 
-    async def run(self) -> Ending:
+    async def run(self) -> StopReason:
         """Start, serve until asked to end, drain and stop."""
         await self.start()
         assert self._ending is not None
         ending = await asyncio.shield(self._ending)
-        if ending is Ending.STOPPED:
+        if ending is StopReason.STOPPED:
             await self.drain()
         await self.kill()
         return ending
@@ -220,7 +220,7 @@
         """Return whether the application has been asked to end."""
         return self._ending is not None and self._ending.done()
 
-    def end(self, ending: Ending) -> None:
+    def request_stop(self, ending: StopReason) -> None:
         """Ask the application to end; the first reason counts."""
         if self._ending is not None and not self._ending.done():
             self._ending.set_result(ending)
@@ -228,9 +228,9 @@
     async def drain(self) -> None:
         """Finish open work, last component first; cut nothing in time."""
         loop = asyncio.get_running_loop()
-        end = loop.time() + self._stop_deadline
+        request_stop = loop.time() + self._stop_deadline
         for component in reversed(self.components):
-            await component.drain(max(end - loop.time(), 0.0))
+            await component.drain(max(request_stop - loop.time(), 0.0))
 
     async def kill(self) -> None:
         """Stop every component at once, last one first."""
@@ -238,7 +238,9 @@
             await component.stop()
 
 
-def end_on_signals(end: Callable[[], None], kill: Callable[[], None]) -> None:
+def install_stop_handlers(
+    request_stop: Callable[[], None], kill: Callable[[], None]
+) -> None:
     """Call one function at the first SIGTERM or SIGINT, another at the second."""
     loop = asyncio.get_running_loop()
     seen = 0
@@ -247,7 +249,7 @@
         nonlocal seen
         seen += 1
         if seen == 1:
-            end()
+            request_stop()
         else:
             kill()
 
--- a/lynxchute/bench/emulator/engine.py
+++ b/lynxchute/bench/emulator/engine.py
@@ -198,7 +198,7 @@
         still = deque[EngineRun]()
         for run in self.reading:
             if run.has_left:
-                self._occupied -= run.generation.most_tokens
+                self._occupied -= run.generation.max_total_tokens
                 continue
             if run.left_to_read:
                 still.append(run)
@@ -212,7 +212,10 @@
                 continue
             if len(self.running) + len(self.reading) >= self.shape.slots:
                 return
-            if self._occupied + run.generation.most_tokens > self.shape.memory_tokens:
+            if (
+                self._occupied + run.generation.max_total_tokens
+                > self.shape.memory_tokens
+            ):
                 return
             self.waiting.popleft()
             self._begin_reading(run, seen)
@@ -229,7 +232,7 @@
             cached = 0
             self.read_again += part.tokens if part.id in seen else 0
             seen.add(part.id)
-        self._occupied += generation.most_tokens
+        self._occupied += generation.max_total_tokens
         self._keep(generation)
         self.reading.append(run)
 
@@ -286,4 +289,4 @@
     def _end(self, run: EngineRun, now: float) -> None:
         run.ended_at = now
         self.running.remove(run)
-        self._occupied -= run.generation.most_tokens
+        self._occupied -= run.generation.max_total_tokens
--- a/lynxchute/bench/emulator/play.py
+++ b/lynxchute/bench/emulator/play.py
@@ -16,7 +16,7 @@
 from lynxchute.bench.emulator.scenario import Arrival, Scenario, Trouble, make_trace
 from lynxchute.scheduling.newcomer import PendingRequest
 from lynxchute.standins.arrivals import Arrivals
-from lynxchute.upstreams.aims import Aims
+from lynxchute.upstreams.aims import LatencyTargets
 
 # Callers leave a stream that does not begin within the longest of two seconds, four
 # times its objective and eight times the longest pause; a router refuses what is
@@ -167,7 +167,7 @@
         newcomer = PendingRequest(
             request.run_id,
             request.arrival.generation,
-            Aims((request.objective_at - now) * 1000.0, kind.max_pause_ms),
+            LatencyTargets((request.objective_at - now) * 1000.0, kind.max_pause_ms),
         )
         choice = self._policy.choose(newcomer, engines, now)
         if choice is None:
--- a/lynxchute/bench/limits.py
+++ b/lynxchute/bench/limits.py
@@ -90,7 +90,7 @@
         now += rng.expovariate(fleet.demand)
         router = rng.choice(routers)
         counting = router if fleet.is_cut else routers[0]
-        if not (router.take_turn(entry, now) or counting.admit(entry, now)):
+        if not (router.use_turn(entry, now) or counting.admit(entry, now)):
             continue
         sent += 1
         recent.append(now)
--- a/lynxchute/bench/router_process.py
+++ b/lynxchute/bench/router_process.py
@@ -9,7 +9,7 @@
 import sys
 from pathlib import Path
 
-from lynxchute.http import ExchangeFailed, HttpClient
+from lynxchute.http import ExchangeError, HttpClient
 from lynxchute.platform import names
 from lynxchute.platform.settings import SETTINGS_VARIABLE
 
@@ -106,7 +106,7 @@
     async def _is_ready(self, client: HttpClient) -> bool:
         try:
             status, _ = await client.get_json(names.READY_PATH)
-        except ExchangeFailed:
+        except ExchangeError:
             return False
         return status == 200
 
--- a/lynxchute/bench/slopes.py
+++ b/lynxchute/bench/slopes.py
@@ -35,16 +35,16 @@
 from lynxchute.event_loop import run as run_loop
 from lynxchute.fleet.client import HttpPeers
 from lynxchute.fleet.members import Member, Members
-from lynxchute.fleet.message import Done, Message, from_json, to_json
+from lynxchute.fleet.message import Ack, Message, from_json, to_json
 from lynxchute.fleet.messages import (
-    PlaceReply,
-    PlaceRequest,
+    PlacementReply,
+    PlacementRequest,
     ReserveOutcome,
     ReserveReply,
     ReserveRequest,
-    RunNews,
-    RunNewsRequest,
     RunStage,
+    RunUpdate,
+    RunUpdateRequest,
     Settlement,
     SettleRequest,
 )
@@ -150,12 +150,12 @@
 def settle(count: int) -> Exchange:
     """Return the exchange that settles requests at their holder."""
     settlements = [Settlement(f"{n:016x}.01234567", 1576) for n in range(count)]
-    return Exchange(SettleRequest(tuple(settlements)), Done()).run()
+    return Exchange(SettleRequest(tuple(settlements)), Ack()).run()
 
 
 def place(parts: int) -> Exchange:
     """Return the exchange that places one generation."""
-    request = PlaceRequest(
+    request = PlacementRequest(
         run_id=f"{7:016x}.0",
         service="engines",
         data_centre="kyu-a",
@@ -165,15 +165,15 @@
         parts=tuple((f"{n:08x}", 6000) for n in range(parts)),
         router="0123456789ab",
     )
-    return Exchange(request, PlaceReply("i-0123456789", "", 120.5)).run()
+    return Exchange(request, PlacementReply("i-0123456789", "", 120.5)).run()
 
 
 def news(count: int) -> Exchange:
     """Return the exchange that tells of runs' beginnings and ends."""
     told = [
-        RunNews(f"{n:016x}.0", "i-0123456789", RunStage.ENDED) for n in range(count)
+        RunUpdate(f"{n:016x}.0", "i-0123456789", RunStage.ENDED) for n in range(count)
     ]
-    return Exchange(RunNewsRequest(tuple(told)), Done()).run()
+    return Exchange(RunUpdateRequest(tuple(told)), Ack()).run()
 
 
 def ledger_with_shares(count: int) -> Ledger:
--- a/lynxchute/budgets/rows.py
+++ b/lynxchute/budgets/rows.py
@@ -9,7 +9,7 @@
 from lynxchute.budgets.line import LimitLine
 from lynxchute.budgets.share import Terms
 from lynxchute.store import RowId
-from lynxchute.store.row_value import RowValue, ValueUnreadable, whole
+from lynxchute.store.row_value import RowValue, RowValueError, whole_number
 
 TOTALS_TABLE = "budget-totals"
 HOLDERS_TABLE = "budget-holders"
@@ -56,8 +56,8 @@
         """
         try:
             found = RowValue.decode(value).fields
-            return cls({vm: whole(tokens, vm) for vm, tokens in found.items()})
-        except ValueUnreadable as error:
+            return cls({vm: whole_number(tokens, vm) for vm, tokens in found.items()})
+        except RowValueError as error:
             raise RowDecodeError(f"invalid budget totals: {error}") from error
 
 
@@ -111,7 +111,7 @@
             row = RowValue.decode(value)
             terms_by_account = {}
             for account, numbers in row.mapping("shares").items():
-                granted, *line = (whole(number, account) for number in numbers)
+                granted, *line = (whole_number(number, account) for number in numbers)
                 terms_by_account[account] = Terms(granted, LimitLine(*line))
             return cls(row.text("incarnation"), row.count("sequence"), terms_by_account)
         except (ValueError, TypeError) as error:
--- a/lynxchute/callers/dialect.py
+++ b/lynxchute/callers/dialect.py
@@ -118,7 +118,7 @@
         )
         return headers
 
-    def is_answer(self, call: Call, head: h11.Response) -> bool:
+    def matches_request(self, call: Call, head: h11.Response) -> bool:
         """Return whether a response belongs to this call."""
         return is_for_request(head, names.REQUEST_ID, call.request_id)
 
--- a/lynxchute/containment/containment.py
+++ b/lynxchute/containment/containment.py
@@ -6,13 +6,13 @@
 from collections import OrderedDict, deque
 from collections.abc import Callable
 
-from lynxchute.application import Component, Loop
+from lynxchute.application import Component, PeriodicTask
 from lynxchute.containment.judge import JUDGE_KEY, ROW_KEY, Judge
 from lynxchute.containment.news import QuarantineBroadcast
 from lynxchute.fleet.client import Peers, PeerUnreachable
 from lynxchute.fleet.members import Member, Members
-from lynxchute.fleet.message import Done
-from lynxchute.fleet.quarantine_messages import QuarantineNews, RunEvidence
+from lynxchute.fleet.message import Ack
+from lynxchute.fleet.quarantine_messages import CrashEvidence, QuarantineUpdate
 from lynxchute.fleet.registry import Registry
 from lynxchute.fleet.server import PeerServer
 from lynxchute.quarantine import (
@@ -99,7 +99,7 @@
         self._recent_evidence: deque[tuple[int, BrokenRun]] = deque(maxlen=MAX_PENDING)
         self._last_judge = members.own.incarnation
         self._pending_survived: deque[str] = deque(maxlen=MAX_PENDING)
-        self._loop = Loop("evidence", self._send_evidence, JUDGE_CHECK_SECONDS)
+        self._loop = PeriodicTask("evidence", self._send_evidence, JUDGE_CHECK_SECONDS)
 
     @property
     def components(self) -> list[Component]:
@@ -108,12 +108,12 @@
 
     def serve(self, server: PeerServer) -> None:
         """Register the handlers for messages from other routers."""
-        server.answers_by_class[RunEvidence] = self._handle_evidence_message
-        server.answers_by_class[QuarantineNews] = self._handle_news_message
+        server.handlers_by_class[CrashEvidence] = self._handle_evidence_message
+        server.handlers_by_class[QuarantineUpdate] = self._handle_news_message
 
     def watch_registry(self, registry: Registry) -> None:
         """Follow the row in the store, and changes of the judge."""
-        registry.takers_by_key[ROW_KEY] = self._handle_row
+        registry.handlers_by_key[ROW_KEY] = self._handle_row
         registry.listeners.append(self._handle_members)
 
     def quarantine_seconds_left(self, content: str) -> float | None:
@@ -193,7 +193,7 @@
             quarantined: tuple[QuarantineEntry, ...] = ()
             if judge.incarnation != self._last_judge:
                 broken, quarantined = self._recent_runs(), self.quarantine.unconfirmed()
-            evidence = RunEvidence(broken, survived, quarantined)
+            evidence = CrashEvidence(broken, survived, quarantined)
             if judge.vm == self._members.own.vm:
                 break
             try:
@@ -209,7 +209,7 @@
         self.judge.handle_evidence(evidence)
 
     def _current_judge(self) -> Member:
-        return self._members.by_vm[self._members.first_for(JUDGE_KEY)]
+        return self._members.by_vm[self._members.owner_of(JUDGE_KEY)]
 
     def _recent_runs(self) -> tuple[BrokenRun, ...]:
         oldest_ms = self.judge.now_ms() - EVIDENCE_RETENTION_MS
@@ -219,15 +219,15 @@
             if recorded_ms >= oldest_ms
         )
 
-    async def _handle_evidence_message(self, evidence: RunEvidence) -> Done:
+    async def _handle_evidence_message(self, evidence: CrashEvidence) -> Ack:
         self.judge.handle_evidence(evidence)
-        return Done()
+        return Ack()
 
-    async def _handle_news_message(self, news: QuarantineNews) -> Done:
+    async def _handle_news_message(self, news: QuarantineUpdate) -> Ack:
         self._handle_news(news)
-        return Done()
+        return Ack()
 
-    def _handle_news(self, news: QuarantineNews) -> None:
+    def _handle_news(self, news: QuarantineUpdate) -> None:
         self.quarantine.clear(news.cleared)
         new = self.quarantine.add(news.quarantined, self.judge.now_ms())
         self._apply_quarantine(new, source="router")
--- a/lynxchute/containment/judge.py
+++ b/lynxchute/containment/judge.py
@@ -5,10 +5,10 @@
 import asyncio
 from collections.abc import Callable
 
-from lynxchute.application import Component, Loop, Tasks
+from lynxchute.application import Component, PeriodicTask, Tasks
 from lynxchute.containment.news import QuarantineBroadcast
 from lynxchute.fleet.members import Members
-from lynxchute.fleet.quarantine_messages import RunEvidence
+from lynxchute.fleet.quarantine_messages import CrashEvidence
 from lynxchute.fleet.registry import TABLE
 from lynxchute.quarantine import CrashAttribution, Finding, QuarantineRecord, Verdict
 from lynxchute.store import (
@@ -77,7 +77,7 @@
         clock: Callable[[], float],
     ) -> None:
         self.attribution = CrashAttribution()
-        self._loop = Loop("quarantine", self._poll, IDLE_SECONDS)
+        self._loop = PeriodicTask("quarantine", self._poll, IDLE_SECONDS)
         self._tasks = Tasks()
         self._timer: asyncio.TimerHandle | None = None
         self._sending: asyncio.Task[None] | None = None
@@ -100,7 +100,7 @@
         """Return a lower bound of the store's clock, in milliseconds."""
         return self._store.clock.earliest_ms(self._clock())
 
-    def handle_evidence(self, evidence: RunEvidence) -> None:
+    def handle_evidence(self, evidence: CrashEvidence) -> None:
         """Handle reports on runs, from this router or another one."""
         now_ms = self.now_ms()
         for run in evidence.broken:
@@ -152,7 +152,7 @@
         for finding in self.attribution.judge(now_ms):
             self._report_finding(finding)
         expired = self.attribution.expire(now_ms)
-        if expired and self._members.first_for(JUDGE_KEY) == self._members.own.vm:
+        if expired and self._members.owner_of(JUDGE_KEY) == self._members.own.vm:
             self.attribution.has_unsaved_changes = True
         is_due = self._clock() >= self._next_write_at and not self._is_writing
         if self.attribution.has_unsaved_changes and is_due:
--- a/lynxchute/containment/news.py
+++ b/lynxchute/containment/news.py
@@ -9,7 +9,7 @@
 
 from lynxchute.fleet.client import Peers, PeerUnreachable
 from lynxchute.fleet.members import Members
-from lynxchute.fleet.quarantine_messages import QuarantineNews
+from lynxchute.fleet.quarantine_messages import QuarantineUpdate
 from lynxchute.quarantine import QuarantineEntry
 from lynxchute.telemetry import log_event
 
@@ -32,7 +32,7 @@
         Incarnations of the routers that have received it.
     """
 
-    message: QuarantineNews
+    message: QuarantineUpdate
     expires_at: float
     delivered_to: set[str] = attrs.Factory(set)
 
@@ -54,7 +54,7 @@
     def __init__(
         self, members: Members, peers: Peers, clock: Callable[[], float]
     ) -> None:
-        self.listeners: list[Callable[[QuarantineNews], None]] = []
+        self.listeners: list[Callable[[QuarantineUpdate], None]] = []
         self._members = members
         self._peers = peers
         self._clock = clock
@@ -74,7 +74,7 @@
         cleared: tuple[str, ...] = (),
     ) -> None:
         """Notify local listeners at once, and queue a message for all other routers."""
-        message = QuarantineNews(quarantined, cleared)
+        message = QuarantineUpdate(quarantined, cleared)
         for listener in self.listeners:
             listener(message)
         self._updates.append(_Update(message, self._clock() + DELIVERY_SECONDS))
--- a/lynxchute/daemon.py
+++ b/lynxchute/daemon.py
@@ -8,7 +8,7 @@
 
 import defopt
 
-from lynxchute.application import Ending, end_on_signals
+from lynxchute.application import StopReason, install_stop_handlers
 from lynxchute.clock import steady_seconds
 from lynxchute.event_loop import run as run_loop
 from lynxchute.router import RouterApplication
@@ -36,8 +36,9 @@
 async def serve(settings: RouterSettings, started_at: float) -> None:
     """Run until told to stop."""
     application = RouterApplication(settings, started_at=started_at)
-    end_on_signals(
-        lambda: application.end(Ending.STOPPED), lambda: os._exit(EXIT_KILLED)
+    install_stop_handlers(
+        lambda: application.request_stop(StopReason.STOPPED),
+        lambda: os._exit(EXIT_KILLED),
     )
     await application.run()
 
--- a/lynxchute/demo.py
+++ b/lynxchute/demo.py
@@ -18,7 +18,7 @@
 from lynxchute.callers import names
 from lynxchute.config.from_document import CHAT_PATH
 from lynxchute.event_loop import run as run_loop
-from lynxchute.http import ExchangeFailed, HttpClient
+from lynxchute.http import ExchangeError, HttpClient
 from lynxchute.relay.refusal import RunStatus
 from lynxchute.standins.backpressure_scene import press_throttled
 from lynxchute.standins.callers import Callers, Sent
@@ -222,7 +222,7 @@
     headers = [(names.AUTHORIZATION, f"Bearer {key}")]
     try:
         status, _ = await client.post_json(CHAT_PATH, question, headers=headers)
-    except ExchangeFailed:
+    except ExchangeError:
         return 0
     finally:
         client.close()
@@ -238,7 +238,7 @@
     end = time.monotonic() + seconds
     while time.monotonic() < end:
         routers = deployment.routers_by_vm.values()
-        if not any(router.keeper.ledger.reservations_by_id for router in routers):
+        if not any(router.ledger_sync.ledger.reservations_by_id for router in routers):
             return
         await asyncio.sleep(0.1)
     _say("some reservations are not settled yet")
--- a/lynxchute/edge/application.py
+++ b/lynxchute/edge/application.py
@@ -28,7 +28,7 @@
 from lynxchute.edge.upstream_rules import UpstreamRules
 from lynxchute.edge.upstreams import UpstreamWatcher
 from lynxchute.fleet.client import HttpPeers
-from lynxchute.fleet.members import Member, Members, strength_of
+from lynxchute.fleet.members import Member, Members, relay_capacity
 from lynxchute.fleet.registry import Registry
 from lynxchute.fleet.relayed_store import RelayedStore
 from lynxchute.fleet.server import PeerServer
@@ -62,7 +62,7 @@
 from lynxchute.spending.settlements import SettlementSender
 from lynxchute.spending.standing import LocalReserve
 from lynxchute.store import TableFeed
-from lynxchute.store.counted import CountedStore
+from lynxchute.store.counted import InstrumentedStore
 from lynxchute.telemetry import Metrics, log_event
 from lynxchute.upstreams.backpressure_watch import BackpressureWatch
 from lynxchute.upstreams.directory import Directory
@@ -122,7 +122,7 @@
             self.members, lambda: self.registry.secret, steady_seconds, meter
         )
         store = RelayedStore(
-            CountedStore(
+            InstrumentedStore(
                 platform.store, self.metrics.store_calls, self.metrics.store_seconds
             ),
             self.members,
@@ -138,7 +138,7 @@
             self.members,
             lambda: self.registry.feed.synced.is_set(),
             lambda now: platform.store.clock.earliest_ms(now),
-            lambda now: self.registry.feed.silent_for(now),
+            lambda now: self.registry.feed.seconds_since_answer(now),
         )
         self.rates = rules.rates
         self.evacuations = rules.evacuations
@@ -170,25 +170,25 @@
             # router their lines do not queue behind one another.
             store_part=settings.vm if settings.store_spans_parts else "",
         )
-        self.final_uses = FinalUseExchange(ledger, self.members, self.peers)
-        self.final_uses.serve(self.peer_server)
-        self.keeper = LedgerSync(
+        self.final_use_exchange = FinalUseExchange(ledger, self.members, self.peers)
+        self.final_use_exchange.serve(self.peer_server)
+        self.ledger_sync = LedgerSync(
             ledger,
             platform.store,
             self.members.homes,
             settled=self.registry.settled,
             started_at=steady_seconds() if started_at is None else started_at,
-            before_first_write=self.final_uses.fetch_predecessor_use,
+            before_first_write=self.final_use_exchange.fetch_predecessor_use,
         )
-        self.configurations.listeners.append(self.keeper.configure)
+        self.configurations.listeners.append(self.ledger_sync.configure)
         self.settlements = SettlementSender(ledger, self.members, self.peers)
-        lenders = Lenders(self.keeper, self.members, self.peers, self.settlements)
+        lenders = Lenders(self.ledger_sync, self.members, self.peers, self.settlements)
         standing = None
         if settings.features.demand_lines:
-            standing = LocalReserve(self.keeper, lenders, self.members)
+            standing = LocalReserve(self.ledger_sync, lenders, self.members)
         standing_loops = [standing.loop] if standing is not None else []
         budgets = FleetBudgets(
-            self.keeper,
+            self.ledger_sync,
             self.members,
             self.peers,
             self.settlements,
@@ -198,7 +198,7 @@
         )
         budgets.serve(self.peer_server)
         self.balance = Rebalancer(
-            self.keeper, lenders, self.members, self.peers, standing
+            self.ledger_sync, lenders, self.members, self.peers, standing
         )
         rng = random.Random()
         self.admission = Admission(self.configurations, rng, self.load)
@@ -297,7 +297,7 @@
             check_head=self._check_head,
             meter=meter,
             guard=self.memory_guard,
-            takes_connections=self.load.may_accept,
+            may_accept_connection=self.load.may_accept,
         )
         self.readiness = HttpServer(self._answer_readiness)
         self.exposition = HttpServer(Exposition(self, log_lines_dropped).answer)
@@ -305,7 +305,7 @@
             self.configurations,
             self.upstreams,
             self.registry,
-            self.keeper,
+            self.ledger_sync,
             self.settlements,
             self.balance.loop,
             *standing_loops,
@@ -339,7 +339,11 @@
 
     def upstreams_silent_for(self, now: float) -> float:
         """Return the seconds since the store last told of upstreams."""
-        return self._upstream_feed.silent_for(now) if self._upstream_feed else 0.0
+        return (
+            self._upstream_feed.seconds_since_answer(now)
+            if self._upstream_feed
+            else 0.0
+        )
 
     async def handle(self, request: Request, respond: Responder) -> None:
         """Serve a request of a caller."""
@@ -363,13 +367,13 @@
         """
         started = steady_seconds()
         log_event("stopping", open_requests=self.relay.open_requests)
-        self.callers.announce_close()
-        await self.registry.announce(self.members.leave())
+        self.callers.disable_keep_alive()
+        await self.registry.announce(self.members.mark_leaving())
         # What is not used may be needed at once, and a later outage of the
         # store would keep it here.
-        if not await self.keeper.close(started + CLOSE_SECONDS):
+        if not await self.ledger_sync.close(started + CLOSE_SECONDS):
             # The others may be out of reach by the end.
-            await self.final_uses.announce()
+            await self.final_use_exchange.announce()
         await self.balance.transfer_borrowed()
         serve_until = started + STILL_SERVING_SECONDS
         end = started + self.settings.bounds.stop - STOP_MARGIN_SECONDS
@@ -388,15 +392,16 @@
         except TimeoutError:
             # What is told to nobody counts as if the process had been killed.
             log_event(
-                "not all was told at the stop", seconds=steady_seconds() - started
+                "stop deadline passed before all usage was reported",
+                seconds=steady_seconds() - started,
             )
         log_event("stopped", open_requests=self.relay.open_requests)
 
     async def _tell_last(self) -> None:
         """Tell what was used and lent, and give back what was not used."""
         await asyncio.gather(self.settlements.flush(), self.balance.transfer_borrowed())
-        if not await self.keeper.close(steady_seconds() + CLOSE_SECONDS):
-            await self.final_uses.announce()
+        if not await self.ledger_sync.close(steady_seconds() + CLOSE_SECONDS):
+            await self.final_use_exchange.announce()
 
     def is_ready(self) -> bool:
         """Return whether new connections should come here."""
@@ -434,7 +439,7 @@
 
     def _note_members(self) -> None:
         self.retries.routers = self.members.count
-        self.keeper.request_write()
+        self.ledger_sync.request_write()
 
     def _traits_of(self, service: str) -> EngineTraits | None:
         """Return what the engines of a service can do, where it is known."""
@@ -473,5 +478,5 @@
         data_centre=settings.data_centre,
         incarnation=secrets.token_hex(6),
         address=str(settings.peers_reached_at or settings.peers),
-        strength=strength_of(link_mbps=settings.link_mbps, cores=settings.cores),
+        strength=relay_capacity(link_mbps=settings.link_mbps, cores=settings.cores),
     )
--- a/lynxchute/edge/configurations.py
+++ b/lynxchute/edge/configurations.py
@@ -12,7 +12,7 @@
 from lynxchute.relay.admission import ConfigurationSource
 from lynxchute.store import Row, TableFeed
 from lynxchute.store.feed import FeedTimes
-from lynxchute.store.row_value import RowValue, ValueUnreadable
+from lynxchute.store.row_value import RowValue, RowValueError
 from lynxchute.telemetry import log_event
 from lynxchute.upstreams.evacuations import Evacuations
 
@@ -81,7 +81,7 @@
 
     def unconfirmed_seconds(self) -> float:
         """Return the seconds since the store last confirmed the version."""
-        return self.feed.silent_for(steady_seconds())
+        return self.feed.seconds_since_answer(steady_seconds())
 
     async def wait_loaded(self) -> None:
         """Wait for the first version, no longer than a start takes."""
@@ -93,11 +93,11 @@
             # The store is away; whoever waited is told to come back.
             return
 
-    async def confirm(self) -> bool:
+    async def ensure_current(self) -> bool:
         """Return whether the version is the newest, as of a moment ago."""
-        return await self.feed.confirm(
+        return await self.feed.ensure_current(
             within=self._bound * CONFIRM_SHARE,
-            list_within=LIST_SECONDS,
+            max_list_age=LIST_SECONDS,
             patience=CONFIRM_SECONDS,
         )
 
@@ -133,7 +133,9 @@
         if not is_news:
             return
         log_event(
-            "data centre taken back" if row.deleted else "data centre evacuated",
+            "data centre evacuation revoked"
+            if row.deleted
+            else "data centre evacuated",
             data_centre=data_centre,
             row_version=row.version,
             is_understood=row.deleted or _is_object(row.value),
@@ -143,7 +145,7 @@
         result = self._decode(row.value)
         if result.is_error():
             log_event(
-                "configuration not understood",
+                "configuration cannot be decoded",
                 row_version=row.version,
                 problem=result.error,
                 kept=self._current.version if self._current else None,
@@ -176,6 +178,6 @@
     """Return whether an order's row can be read; it counts either way."""
     try:
         RowValue.decode(value)
-    except ValueUnreadable:
+    except RowValueError:
         return False
     return True
--- a/lynxchute/edge/entrance.py
+++ b/lynxchute/edge/entrance.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lynxchute.application import Loop
+from lynxchute.application import PeriodicTask
 from lynxchute.http import HttpServer
 from lynxchute.relay.load import RouterLoad
 from lynxchute.telemetry import log_event
@@ -12,7 +12,7 @@
 LOOK_SECONDS = 0.05
 
 
-class Entrance(Loop):
+class Entrance(PeriodicTask):
     """Close the way in while the VM is full, and open it again.
 
     Balancers send a caller's connections to one VM and notice after two seconds that
@@ -42,7 +42,7 @@
         is_full = self._load.is_full
         if is_full and self._server.is_accepting:
             await self._server.pause_accepting()
-            log_event("link full: no connections are taken")
+            log_event("VM full: not accepting connections")
         elif not is_full and not self._server.is_accepting:
             await self._server.resume_accepting()
-            log_event("connections are taken again")
+            log_event("accepting connections again")
--- a/lynxchute/edge/exposition.py
+++ b/lynxchute/edge/exposition.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from lynxchute.clock import steady_seconds
-from lynxchute.edge.state import state_of
+from lynxchute.edge.state import router_state
 from lynxchute.http import Request, Responder, not_found
 from lynxchute.overload import IDLE_LOAD
 
@@ -37,13 +37,13 @@
     async def answer(self, request: Request, respond: Responder) -> None:
         """Answer one question."""
         if request.path == STATE_PATH:
-            await respond.json(200, state_of(self._router))
+            await respond.json(200, router_state(self._router))
             return
         if request.path != METRICS_PATH:
             await not_found(request, respond)
             return
         body, content_type = self._metrics()
-        await respond.whole(200, body, content_type)
+        await respond.send_whole(200, body, content_type)
 
     def _metrics(self) -> tuple[bytes, str]:
         router = self._router
@@ -52,7 +52,7 @@
         metrics.open_requests.set(router.relay.open_requests)
         metrics.configuration_version.set(current.version if current else 0)
         metrics.upstreams.set(router.directory.count())
-        metrics.store_answers.set(router.keeper.store_answers)
+        metrics.store_answers.set(router.ledger_sync.store_answers)
         metrics.routers.set(router.members.count)
         if router.memory_guard is not None:
             metrics.held_bytes.set(router.memory_guard.held)
--- a/lynxchute/edge/reload.py
+++ b/lynxchute/edge/reload.py
@@ -8,7 +8,7 @@
 
 from expression import Result
 
-from lynxchute.application import Background
+from lynxchute.application import BackgroundTask
 from lynxchute.edge.settings import EdgeSettings
 from lynxchute.telemetry import log_event
 
@@ -18,7 +18,7 @@
 Reader = Callable[[], Result[EdgeSettings, tuple[str, ...]]]
 
 
-class SettingsWatcher(Background):
+class SettingsWatcher(BackgroundTask):
     """Read the settings again at SIGHUP, and when they have changed silently.
 
     Parameters
@@ -80,14 +80,14 @@
         result = self._read()
         if result.is_error():
             if result.error != self._problem or by_signal:
-                log_event("settings not taken", problems=result.error)
+                log_event("settings rejected", problems=result.error)
             self._problem = result.error
             return
         self._problem = ()
         if result.ok == self._settings:
             if by_signal:
-                log_event("settings read again", changed=False)
+                log_event("settings reloaded", changed=False)
             return
-        log_event("settings read again", changed=True, by_signal=by_signal)
+        log_event("settings reloaded", changed=True, by_signal=by_signal)
         self._settings = result.ok
         self._apply(result.ok)
--- a/lynxchute/edge/settings.py
+++ b/lynxchute/edge/settings.py
@@ -8,7 +8,7 @@
 
 
 @attrs.frozen
-class Bounds:
+class DeploymentBounds:
     """The figures that the deployment promises to keep.
 
     Attributes
@@ -67,7 +67,7 @@
 
 # A VM's link in Mbit/s where nothing says what it carries: that of a data
 # centre's usual network card.
-USUAL_LINK_MBPS = 1000.0
+DEFAULT_LINK_MBPS = 1000.0
 
 
 @attrs.frozen
@@ -113,7 +113,7 @@
     peers: Address
     store: str
     memory_mb: float
-    link_mbps: float = USUAL_LINK_MBPS
+    link_mbps: float = DEFAULT_LINK_MBPS
     cores: float = 1.0
     metrics: Address | None = None
     is_first_start: bool = False
@@ -121,5 +121,5 @@
     cold_admission: str = "first"
     rate_sharing: str = "counted"
     peers_reached_at: Address | None = None
-    bounds: Bounds = Bounds()
+    bounds: DeploymentBounds = DeploymentBounds()
     features: Features = Features()
--- a/lynxchute/edge/state.py
+++ b/lynxchute/edge/state.py
@@ -10,7 +10,7 @@
     from lynxchute.edge.application import EdgeApplication
 
 
-def state_of(router: EdgeApplication) -> dict[str, Any]:
+def router_state(router: EdgeApplication) -> dict[str, Any]:
     """Return a router's state as JSON values; ages are in seconds."""
     now = steady_seconds()
     current = router.configurations.current
@@ -25,7 +25,7 @@
             "version": current.version if current is not None else None,
             "age": _age(router.configurations.unconfirmed_seconds()),
         },
-        "store_answers": router.keeper.store_answers,
+        "store_answers": router.ledger_sync.store_answers,
         "evacuated": _evacuated(router, now),
         "routers": _routers(router),
         "upstreams": _upstreams(router, now),
@@ -102,8 +102,8 @@
 
 
 def _budgets(router: EdgeApplication) -> list[dict[str, Any]]:
-    ledger = router.keeper.ledger
-    now_ms = router.keeper.now_ms()
+    ledger = router.ledger_sync.ledger
+    now_ms = router.ledger_sync.now_ms()
     rows = []
     for account, share in ledger.shares_by_account.items():
         rows.append(
--- a/lynxchute/edge/upstreams.py
+++ b/lynxchute/edge/upstreams.py
@@ -53,7 +53,7 @@
             platform.upstream_table,
             times=FeedTimes(wait=bound * WAIT_SHARE, pause=PAUSE_SECONDS),
             on_row=self._take,
-            on_page=self._note_page,
+            on_batch=self._note_page,
         )
         self._is_changed = False
         self._decode = platform.decode_upstream
@@ -85,13 +85,13 @@
         """Take an entry; return whether it is news."""
         if row.deleted:
             # A feed that never lost the store has regained_at at zero.
-            expires_at = self.feed.regained_at + LAPSE_SECONDS
+            expires_at = self.feed.recovered_at + LAPSE_SECONDS
             return self._remove(row, now, expires_at=expires_at)
         result = self._decode(row)
         if result.is_error():
             # It names no upstream to use, whatever it named before; what runs there
             # goes on.
-            log_event("upstream not understood", problem=result.error)
+            log_event("upstream entry cannot be decoded", problem=result.error)
             return self._remove(row, now, expires_at=0.0)
         upstream = result.ok
         entry = self._directory.entries_by_id.get(upstream.id)
@@ -105,7 +105,7 @@
         is_told = is_start or upstream.is_leaving
         if is_told and (entry is None or upstream.is_leaving != was_leaving):
             log_event(
-                "upstream leaving" if upstream.is_leaving else "upstream known",
+                "upstream leaving" if upstream.is_leaving else "upstream registered",
                 upstream=upstream.id,
                 service=upstream.service,
                 address=upstream.address,
@@ -117,7 +117,7 @@
         removed = self._directory.remove(row.id.key, now, expires_at=expires_at)
         if removed:
             log_event(
-                "upstream gone",
+                "upstream removed",
                 upstream=row.id.key,
                 version=row.version,
                 may_be_back_s=round(max(expires_at - now, 0.0), 2),
--- a/lynxchute/fleet/backpressure_messages.py
+++ b/lynxchute/fleet/backpressure_messages.py
@@ -8,7 +8,7 @@
 
 
 @attrs.frozen
-class BackpressureNews:
+class BackpressureReport:
     """What a router has last heard of an upstream's limit.
 
     Attributes
@@ -42,7 +42,7 @@
 
     is_admitted: bool
     again_s: float = 0.0
-    backpressure: tuple[BackpressureNews, ...] = ()
+    backpressure: tuple[BackpressureReport, ...] = ()
 
 
 @attrs.frozen
@@ -53,4 +53,4 @@
     REPLY = PermitReply
 
     upstream: str
-    backpressure: tuple[BackpressureNews, ...] = ()
+    backpressure: tuple[BackpressureReport, ...] = ()
--- a/lynxchute/fleet/client.py
+++ b/lynxchute/fleet/client.py
@@ -10,11 +10,11 @@
 from lynxchute.fleet.message import (
     PREFIX,
     Message,
-    MessageUnreadable,
+    MessageDecodeError,
     from_json,
     to_json,
 )
-from lynxchute.http import ClientPool, ExchangeFailed, LinkMeter, Timeouts
+from lynxchute.http import ClientPool, ExchangeError, LinkMeter, Timeouts
 from lynxchute.telemetry import log_event
 
 ReplyT = TypeVar("ReplyT")
@@ -22,7 +22,9 @@
 
 # An answer within a region takes a few ms; a router that took five times as
 # long as usual for its work would still be in time.
-TIMEOUTS = Timeouts(connect=0.12, first_byte=0.6, between_bytes=0.6, kept_idle=20.0)
+TIMEOUTS = Timeouts(
+    connect=0.12, first_byte=0.6, between_bytes=0.6, keepalive_expiry=20.0
+)
 
 
 class PeerUnreachable(Exception):
@@ -90,11 +92,11 @@
             if status != 200:
                 raise PeerUnreachable(f"{vm} answered {status}")
             reply = cast(ReplyT, from_json(value, message.REPLY))
-        except (ExchangeFailed, MessageUnreadable, PeerUnreachable) as error:
-            if self._members.note_silence(vm, self._clock()):
+        except (ExchangeError, MessageDecodeError, PeerUnreachable) as error:
+            if self._members.record_failure(vm, self._clock()):
                 log_event("router does not answer", peer=vm, reason=str(error))
             raise PeerUnreachable(f"{vm}: {error}") from error
-        self._members.note_answer(vm)
+        self._members.record_success(vm)
         return reply
 
     def close(self) -> None:
--- a/lynxchute/fleet/members.py
+++ b/lynxchute/fleet/members.py
@@ -87,7 +87,7 @@
     retry_at: float = 0.0
 
 
-def strength_of(*, link_mbps: float, cores: float) -> float:
+def relay_capacity(*, link_mbps: float, cores: float) -> float:
     """Return what a VM can carry for others, from 0 to 1.
 
     Parameters
@@ -99,7 +99,7 @@
 
     Examples
     --------
-    >>> strength_of(link_mbps=1000.0, cores=2.0), strength_of(link_mbps=5.0, cores=2.0)
+    >>> relay_capacity(link_mbps=1000.0, cores=2.0), relay_capacity(link_mbps=5.0, cores=2.0)
     (1.0, 0.05)
     """
     return min(link_mbps / AMPLE_LINK_MBPS, cores / AMPLE_CORES, 1.0)
@@ -129,7 +129,7 @@
         self._reach_by_vm: dict[str, Reach] = {}
         self._ranks = (0, dict[str, int | None]())
 
-    def leave(self) -> Member:
+    def mark_leaving(self) -> Member:
         """Note that this router takes nothing new; return what it says now."""
         self.own = attrs.evolve(self.own, is_leaving=True)
         self.by_vm[self.own.vm] = self.own
@@ -163,9 +163,11 @@
         if vm in self._reach_by_vm:
             return False
         member = self.by_vm.get(vm)
-        return member is None or not self.reachability.is_cut(member.data_centre)
+        return member is None or not self.reachability.is_unreachable(
+            member.data_centre
+        )
 
-    def to_try_again(self, now: float) -> list[str]:
+    def retries_due(self, now: float) -> list[str]:
         """Return the routers that gave no answer and are due to be tried."""
         found = []
         for vm, reach in self._reach_by_vm.items():
@@ -173,18 +175,18 @@
                 found.append(vm)
         return found
 
-    def note_answer(self, vm: str) -> None:
+    def record_success(self, vm: str) -> None:
         """Note that a router answered."""
         self._reach_by_vm.pop(vm, None)
         member = self.by_vm.get(vm)
         if member is not None:
-            self.reachability.note_heard(member.data_centre)
+            self.reachability.record_response(member.data_centre)
 
-    def note_silence(self, vm: str, now: float) -> bool:
+    def record_failure(self, vm: str, now: float) -> bool:
         """Note that a router gave no answer; return whether that is news."""
         member = self.by_vm.get(vm)
         if member is not None:
-            self.reachability.note_silent(member.data_centre, vm, now)
+            self.reachability.record_timeout(member.data_centre, vm, now)
         reach = self._reach_by_vm.setdefault(vm, Reach())
         reach.failures += 1
         pause = FIRST_PAUSE * 2 ** min(reach.failures - 1, 8)
@@ -197,17 +199,19 @@
         The first one is the account's home here; the next ones stand in for
         it. Routers that leave or cannot be reached are left out.
         """
-        return self.in_order(account, self._asked_in(self.own.data_centre))
+        return self.preference_order(account, self._asked_in(self.own.data_centre))
 
-    def homes_elsewhere(self, account: str) -> list[str]:
+    def remote_homes(self, account: str) -> list[str]:
         """Return the account's home in each other data centre."""
         found = []
         data_centres = {member.data_centre for member in self.by_vm.values()}
         for data_centre in sorted(data_centres - {self.own.data_centre}):
-            found.extend(self.in_order(account, self._asked_in(data_centre))[:1])
+            found.extend(
+                self.preference_order(account, self._asked_in(data_centre))[:1]
+            )
         return found
 
-    def first_for(self, key: str) -> str:
+    def owner_of(self, key: str) -> str:
         """Return the VM that does one thing for the whole fleet.
 
         All routers that see the same others name the same one.
@@ -216,7 +220,7 @@
         for member in self.by_vm.values():
             if not member.is_leaving and self.is_reachable(member.vm):
                 vms.append(member.vm)
-        return self.in_order(key, vms)[0] if vms else self.own.vm
+        return self.preference_order(key, vms)[0] if vms else self.own.vm
 
     def own_rank(self, key: str) -> int | None:
         """Return this router's place among all that are registered, from 0.
@@ -238,9 +242,9 @@
         if self.own.is_leaving:
             return None
         staying = [vm for vm, member in self.by_vm.items() if not member.is_leaving]
-        return self.in_order(key, staying).index(self.own.vm)
+        return self.preference_order(key, staying).index(self.own.vm)
 
-    def in_order(self, key: str, vms: list[str]) -> list[str]:
+    def preference_order(self, key: str, vms: list[str]) -> list[str]:
         """Return VMs in the order in which they should serve a key.
 
         Those whose links or processors are weak come last.
--- a/lynxchute/fleet/message.py
+++ b/lynxchute/fleet/message.py
@@ -28,14 +28,14 @@
 
 
 @attrs.frozen
-class Done:
+class Ack:
     """Say that a message was taken."""
 
 
 _CONVERTER = cattrs.Converter(forbid_extra_keys=False)
 
 
-class MessageUnreadable(ValueError):
+class MessageDecodeError(ValueError):
     """Report a message that is not of its class."""
 
 
@@ -55,4 +55,4 @@
     try:
         return _CONVERTER.structure(value, cls)
     except Exception as error:
-        raise MessageUnreadable(f"no {cls.__name__}: {error!r}") from error
+        raise MessageDecodeError(f"no {cls.__name__}: {error!r}") from error
--- a/lynxchute/fleet/messages.py
+++ b/lynxchute/fleet/messages.py
@@ -8,9 +8,9 @@
 
 import attrs
 
-from lynxchute.fleet.backpressure_messages import BackpressureNews, PermitRequest
-from lynxchute.fleet.message import Done, Message
-from lynxchute.fleet.quarantine_messages import QuarantineNews, RunEvidence
+from lynxchute.fleet.backpressure_messages import BackpressureReport, PermitRequest
+from lynxchute.fleet.message import Ack, Message
+from lynxchute.fleet.quarantine_messages import CrashEvidence, QuarantineUpdate
 from lynxchute.fleet.store_messages import (
     StoreChangesRequest,
     StoreScanRequest,
@@ -80,7 +80,7 @@
 
 
 @attrs.frozen
-class VoidLoan:
+class CancelledLoan:
     """A loan whose answer did not come: the borrower has none of it."""
 
     loan_id: str
@@ -88,14 +88,14 @@
 
 
 @attrs.frozen
-class SettleRequest(Message[Done]):
+class SettleRequest(Message[Ack]):
     """Take what requests have used, and back what was lent in vain."""
 
     NAME = "settle"
-    REPLY = Done
+    REPLY = Ack
 
     settlements: tuple[Settlement, ...]
-    void_loans: tuple[VoidLoan, ...] = ()
+    void_loans: tuple[CancelledLoan, ...] = ()
 
 
 @attrs.frozen
@@ -147,7 +147,7 @@
 
 
 @attrs.frozen
-class GiveRequest(Message[Done]):
+class TransferRequest(Message[Ack]):
     """Take tokens that the sender had borrowed and does not need.
 
     Attributes
@@ -157,7 +157,7 @@
     """
 
     NAME = "give"
-    REPLY = Done
+    REPLY = Ack
 
     gift_id: str
     account: str
@@ -165,7 +165,7 @@
 
 
 @attrs.frozen
-class FinalUse(Message[Done]):
+class FinalUseReport(Message[Ack]):
     """Keep what a router that stops has used, for the next run on its VM.
 
     It is sent where the store could not be told.
@@ -177,7 +177,7 @@
     """
 
     NAME = "final-use"
-    REPLY = Done
+    REPLY = Ack
 
     vm: str
     incarnation: str
@@ -203,7 +203,7 @@
 
 
 @attrs.frozen
-class PlaceReply:
+class PlacementReply:
     """The engine for a generation; empty where none is known.
 
     Attributes
@@ -235,7 +235,7 @@
     expected_ms: float = 0.0
     is_counted: bool = False
     is_admitted: bool = False
-    backpressure: tuple[BackpressureNews, ...] = ()
+    backpressure: tuple[BackpressureReport, ...] = ()
     is_refused: bool = False
     wait_ms: float = 0.0
     ahead: int = 0
@@ -243,7 +243,7 @@
 
 
 @attrs.frozen
-class PlaceRequest(Message[PlaceReply]):
+class PlacementRequest(Message[PlacementReply]):
     """Choose an engine for a generation.
 
     Attributes
@@ -270,7 +270,7 @@
     """
 
     NAME = "place"
-    REPLY = PlaceReply
+    REPLY = PlacementReply
 
     run_id: str
     service: str
@@ -284,7 +284,7 @@
     first_event_ms: float = math.inf
     pause_ms: float = math.inf
     own_turns: tuple[str, ...] = ()
-    backpressure: tuple[BackpressureNews, ...] = ()
+    backpressure: tuple[BackpressureReport, ...] = ()
     claim: Claim | None = None
 
 
@@ -307,7 +307,7 @@
 
 
 @attrs.frozen
-class RunNews:
+class RunUpdate:
     """What has become of a run on an engine.
 
     Attributes
@@ -325,21 +325,21 @@
 
 
 @attrs.frozen
-class RunNewsRequest(Message[Done]):
+class RunUpdateRequest(Message[Ack]):
     """Take news of runs that were placed."""
 
     NAME = "news"
-    REPLY = Done
+    REPLY = Ack
 
-    news: tuple[RunNews, ...]
+    news: tuple[RunUpdate, ...]
 
 
 @attrs.frozen
-class PingRequest(Message[Done]):
+class PingRequest(Message[Ack]):
     """Ask whether a router answers again."""
 
     NAME = "ping"
-    REPLY = Done
+    REPLY = Ack
 
 
 @attrs.frozen
@@ -377,16 +377,16 @@
         ReserveRequest,
         SettleRequest,
         LendRequest,
-        GiveRequest,
-        FinalUse,
+        TransferRequest,
+        FinalUseReport,
         FinalUseRequest,
-        PlaceRequest,
-        RunNewsRequest,
+        PlacementRequest,
+        RunUpdateRequest,
         PingRequest,
         EvacuationRequest,
         PermitRequest,
-        RunEvidence,
-        QuarantineNews,
+        CrashEvidence,
+        QuarantineUpdate,
         StoreWriteRequest,
         StoreScanRequest,
         StoreChangesRequest,
--- a/lynxchute/fleet/quarantine_messages.py
+++ b/lynxchute/fleet/quarantine_messages.py
@@ -4,12 +4,12 @@
 
 import attrs
 
-from lynxchute.fleet.message import Done, Message
+from lynxchute.fleet.message import Ack, Message
 from lynxchute.quarantine import BrokenRun, QuarantineEntry
 
 
 @attrs.frozen
-class RunEvidence(Message[Done]):
+class CrashEvidence(Message[Ack]):
     """Take what runs say of requests that may end upstreams.
 
     Attributes
@@ -23,7 +23,7 @@
     """
 
     NAME = "evidence"
-    REPLY = Done
+    REPLY = Ack
 
     broken: tuple[BrokenRun, ...] = ()
     survived: tuple[str, ...] = ()
@@ -31,11 +31,11 @@
 
 
 @attrs.frozen
-class QuarantineNews(Message[Done]):
+class QuarantineUpdate(Message[Ack]):
     """Send some requests to no upstream, and others again."""
 
     NAME = "quarantine"
-    REPLY = Done
+    REPLY = Ack
 
     quarantined: tuple[QuarantineEntry, ...] = ()
     cleared: tuple[str, ...] = ()
--- a/lynxchute/fleet/registry.py
+++ b/lynxchute/fleet/registry.py
@@ -6,7 +6,7 @@
 import secrets
 from collections.abc import Callable
 
-from lynxchute.application import Background
+from lynxchute.application import BackgroundTask
 from lynxchute.fleet.client import Peers, PeerUnreachable
 from lynxchute.fleet.members import Member, Members
 from lynxchute.fleet.messages import PingRequest
@@ -43,7 +43,7 @@
 FIRST_START_SECONDS = 1.5
 
 
-class Registry(Background):
+class Registry(BackgroundTask):
     """Keep this router registered, and the members in step with the store.
 
     Parameters
@@ -73,13 +73,13 @@
         self.settled = asyncio.Event()
         self.listeners: list[Callable[[], None]] = []
         self.peers: Peers | None = None
-        self.takers_by_key: dict[str, Callable[[Row], None]] = {}
+        self.handlers_by_key: dict[str, Callable[[Row], None]] = {}
         self.feed = TableFeed(
             store,
             TABLE,
             times=FEED_TIMES,
             on_row=self._take,
-            on_page=self._note_change,
+            on_batch=self._note_change,
         )
         self._store = store
         self._members = members
@@ -131,7 +131,7 @@
         try:
             outcome = await self._store.write(write)
         except (StoreUnavailable, OutcomeUnknown) as error:
-            log_event("no secret yet", reason=str(error))
+            log_event("fleet secret not written; retrying", reason=str(error))
             await asyncio.sleep(RETRY_SECONDS)
             return
         if isinstance(outcome, Committed):
@@ -146,7 +146,7 @@
         if self.peers is None:
             return
         loop = asyncio.get_running_loop()
-        for vm in self._members.to_try_again(loop.time()):
+        for vm in self._members.retries_due(loop.time()):
             try:
                 await self.peers.ask(vm, PingRequest())
             except PeerUnreachable:
@@ -158,8 +158,8 @@
         if row.id.key == SECRET_KEY and not row.deleted:
             self.secret = row.value.decode()
             return
-        if row.id.key in self.takers_by_key:
-            self.takers_by_key[row.id.key](row)
+        if row.id.key in self.handlers_by_key:
+            self.handlers_by_key[row.id.key](row)
             return
         if row.id.key.startswith(ROUTER_PREFIX):
             self._take_router(row)
@@ -172,15 +172,15 @@
         vm = row.id.key.removeprefix(ROUTER_PREFIX)
         if row.deleted:
             self._members.remove(vm)
-            log_event("router gone", peer=vm)
+            log_event("router deregistered", peer=vm)
             return
         result = Member.decode(row.value)
         if result.is_error():
-            log_event("router not understood", peer=vm, problem=result.error)
+            log_event("router row could not be decoded", peer=vm, problem=result.error)
             return
         self._members.put(result.ok)
         log_event(
-            "router known",
+            "router registration received",
             peer=vm,
             incarnation=result.ok.incarnation,
             is_leaving=result.ok.is_leaving,
--- a/lynxchute/fleet/relayed_store.py
+++ b/lynxchute/fleet/relayed_store.py
@@ -89,9 +89,9 @@
 
     def serve(self, server: PeerServer) -> None:
         """Call the store for other routers."""
-        server.answers_by_class[StoreWriteRequest] = self._serve_write
-        server.answers_by_class[StoreScanRequest] = self._serve_scan
-        server.answers_by_class[StoreChangesRequest] = self._serve_changes
+        server.handlers_by_class[StoreWriteRequest] = self._serve_write
+        server.handlers_by_class[StoreScanRequest] = self._serve_scan
+        server.handlers_by_class[StoreChangesRequest] = self._serve_changes
 
     async def write(self, write: Write) -> Outcome:
         """Apply a write."""
@@ -100,7 +100,7 @@
                 return await self._note_direct(self._direct.write(write))
             except OutcomeUnknown as error:
                 # It may have taken effect, so that it must not be repeated.
-                if error.is_silent:
+                if error.is_unresponsive:
                     self._note_away()
                 raise
             except StoreUnavailable:
@@ -219,7 +219,7 @@
                 continue
             if self._members.is_reachable(member.vm):
                 vms.append(member.vm)
-        order = self._members.in_order(f"store for {own.vm}", vms)
+        order = self._members.preference_order(f"store for {own.vm}", vms)
         if self._via in order:
             order.remove(self._via)
             order.insert(0, self._via)
@@ -246,7 +246,7 @@
             return StoreReply(StoreEnd.UNAVAILABLE)
         except (OutcomeUnknown, TimeoutError):
             return StoreReply(StoreEnd.UNKNOWN)
-        told_ms = self.clock.last_told_ms
+        told_ms = self.clock.last_reported_ms
         if isinstance(outcome, Committed):
             return StoreReply(StoreEnd.DONE, version=outcome.version, told_ms=told_ms)
         rows = wire_rows(outcome.rows_by_id.values())
@@ -278,5 +278,5 @@
             StoreEnd.DONE,
             wire_rows(found.rows),
             found.version,
-            self.clock.last_told_ms,
+            self.clock.last_reported_ms,
         )
--- a/lynxchute/fleet/server.py
+++ b/lynxchute/fleet/server.py
@@ -10,7 +10,7 @@
 from lynxchute.fleet.message import (
     PREFIX,
     Message,
-    MessageUnreadable,
+    MessageDecodeError,
     from_json,
     to_json,
 )
@@ -45,7 +45,7 @@
     """
 
     def __init__(self, secret: Callable[[], str], meter: LinkMeter) -> None:
-        self.answers_by_class: dict[type[Message[Any]], Answer] = {}
+        self.handlers_by_class: dict[type[Message[Any]], Answer] = {}
         self.server = HttpServer(self._handle, meter=meter)
         self._secret = secret
 
@@ -56,14 +56,14 @@
             await respond.json(401, {"error": "the fleet's secret is wrong"})
             return
         cls = MESSAGES_BY_NAME.get(request.path.removeprefix(PREFIX))
-        if cls is None or cls not in self.answers_by_class:
+        if cls is None or cls not in self.handlers_by_class:
             await not_found(request, respond)
             return
         try:
             message = from_json(request.json(), cls)
-        except MessageUnreadable as error:
+        except MessageDecodeError as error:
             raise BadRequest(422, str(error)) from error
         # What was decided is decided, also where the asker no longer waits.
-        respond.outlives_caller = True
-        reply = await self.answers_by_class[cls](message)
+        respond.survives_disconnect = True
+        reply = await self.handlers_by_class[cls](message)
         await respond.json(200, to_json(reply))
--- a/lynxchute/http/__init__.py
+++ b/lynxchute/http/__init__.py
@@ -3,7 +3,7 @@
 from lynxchute.http.client import (
     AbortHandle,
     ClientPool,
-    ExchangeFailed,
+    ExchangeError,
     HttpClient,
     Response,
     Timeouts,
@@ -11,15 +11,15 @@
 from lynxchute.http.headers import HeaderItems, Headers
 from lynxchute.http.link_meter import LinkMeter
 from lynxchute.http.messages import BadRequest, Request, RequestHead
-from lynxchute.http.responder import CallerLeft, Responder
+from lynxchute.http.responder import CallerDisconnected, Responder
 from lynxchute.http.server import HttpServer, ServerLimits, not_found
 
 __all__ = [
     "AbortHandle",
     "BadRequest",
-    "CallerLeft",
+    "CallerDisconnected",
     "ClientPool",
-    "ExchangeFailed",
+    "ExchangeError",
     "HeaderItems",
     "Headers",
     "HttpClient",
--- a/lynxchute/http/client.py
+++ b/lynxchute/http/client.py
@@ -45,10 +45,10 @@
     connect: float = 1.0
     first_byte: float | None = 30.0
     between_bytes: float | None = 15.0
-    kept_idle: float = 30.0
+    keepalive_expiry: float = 30.0
 
 
-class ExchangeFailed(Exception):
+class ExchangeError(Exception):
     """Report an exchange that gave no whole answer.
 
     Parameters
@@ -64,7 +64,7 @@
         self.sent = sent
 
     @property
-    def is_silence(self) -> bool:
+    def is_timeout(self) -> bool:
         """Return whether the peer said nothing, not even that it refuses."""
         return isinstance(self.__cause__, TimeoutError)
 
@@ -139,7 +139,7 @@
             self._release()
         return piece
 
-    async def read_each(self, take: Callable[[bytes], bool]) -> bool:
+    async def deliver_body(self, take: Callable[[bytes], bool]) -> bool:
         """Hand the body to a function piece by piece, each one as it arrives.
 
         Parameters
@@ -166,7 +166,7 @@
         if self._released:
             return True
         try:
-            is_whole = await self._connection.read_each(take)
+            is_whole = await self._connection.deliver_body(take)
         except BaseException as error:
             self._break_off(error)
             raise
@@ -206,7 +206,7 @@
         async for chunk in self.chunks():
             size += len(chunk)
             if size > limit:
-                raise ExchangeFailed("the answer is too large", sent=True)
+                raise ExchangeError("the answer is too large", sent=True)
             parts.append(chunk)
         return b"".join(parts)
 
@@ -216,7 +216,7 @@
         try:
             return json.loads(body)
         except (ValueError, RecursionError) as error:
-            raise ExchangeFailed(
+            raise ExchangeError(
                 f"the answer is not JSON: {error}", sent=True
             ) from error
 
@@ -231,7 +231,7 @@
         """Drop the connection; an answer that broke off is reported as such."""
         self.close()
         if isinstance(error, ConnectionBroken | TimeoutError):
-            raise ExchangeFailed(f"the answer broke off: {error}", sent=True) from error
+            raise ExchangeError(f"the answer broke off: {error}", sent=True) from error
 
     def _release(self) -> None:
         if not self._released:
@@ -286,8 +286,8 @@
         headers: HeaderItems = (),
         body: bytes = b"",
         timeouts: Timeouts | None = None,
-        fresh_within: float | None = None,
-        is_answer: Callable[[h11.Response], bool] = any_answer,
+        max_idle: float | None = None,
+        matches_request: Callable[[h11.Response], bool] = any_answer,
         on_sent: Callable[[], None] | None = None,
         abort_handle: AbortHandle | None = None,
     ) -> Response:
@@ -316,7 +316,7 @@
         limits = timeouts or self._timeouts
         await self._slots.acquire()
         try:
-            connection = await self._connect(limits, fresh_within)
+            connection = await self._connect(limits, max_idle)
         except BaseException:
             self._slots.release()
             raise
@@ -327,7 +327,7 @@
             if on_sent is not None:
                 on_sent()
             connection.send(outgoing, body)
-            head = await self._read_head(connection, limits, is_answer)
+            head = await self._read_head(connection, limits, matches_request)
         except (ConnectionBroken, TimeoutError) as error:
             connection.abort()
             self._slots.release()
@@ -335,7 +335,7 @@
                 # Kept connections go silent together, where a cut has come and gone
                 # between; each would cost its own timeout, a new one works.
                 self.close()
-            raise ExchangeFailed(f"no answer: {error}", sent=True) from error
+            raise ExchangeError(f"no answer: {error}", sent=True) from error
         except BaseException:
             connection.abort()
             self._slots.release()
@@ -385,9 +385,9 @@
         return full
 
     async def _connect(
-        self, limits: Timeouts, fresh_within: float | None
+        self, limits: Timeouts, max_idle: float | None
     ) -> ClientConnection:
-        kept = self._take_idle(limits, fresh_within)
+        kept = self._take_idle(limits, max_idle)
         if kept is not None:
             return kept
         loop = asyncio.get_running_loop()
@@ -400,23 +400,23 @@
                 lambda made: made[1].abort(),
             )
         except (OSError, TimeoutError) as error:
-            raise ExchangeFailed(f"cannot connect: {error!r}", sent=False) from error
+            raise ExchangeError(f"cannot connect: {error!r}", sent=False) from error
         self.opened += 1
         return connection
 
     def _take_idle(
-        self, limits: Timeouts, fresh_within: float | None
+        self, limits: Timeouts, max_idle: float | None
     ) -> ClientConnection | None:
         """Return the kept connection that was used last, if it is fresh enough."""
         now = asyncio.get_running_loop().time()
         while self._idle:
             connection = self._idle.pop()
             idle = now - connection.idle_since
-            longest = connection.keep_alive_seconds or limits.kept_idle
+            longest = connection.keep_alive_seconds or limits.keepalive_expiry
             if not connection.alive or idle > longest:
                 connection.abort()
                 continue
-            if fresh_within is not None and idle > fresh_within:
+            if max_idle is not None and idle > max_idle:
                 self._idle.append(connection)
                 return None
             return connection
@@ -426,7 +426,7 @@
         self,
         connection: ClientConnection,
         limits: Timeouts,
-        is_answer: Callable[[h11.Response], bool],
+        matches_request: Callable[[h11.Response], bool],
     ) -> h11.Response:
         patience = limits.first_byte
         if patience is not None:
@@ -434,7 +434,7 @@
         async with asyncio.timeout(patience):
             for _ in range(MAX_SKIPPED_ANSWERS + 1):
                 head = await connection.read_head()
-                if is_answer(head):
+                if matches_request(head):
                     return head
                 await connection.skip_answer()
         raise ConnectionBroken("only answers to other requests came")
--- a/lynxchute/http/client_connection.py
+++ b/lynxchute/http/client_connection.py
@@ -89,7 +89,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Take bytes from the peer."""
-        self._meter.note_received(len(data))
+        self._meter.record_received(len(data))
         if not self._in_use:
             # Bytes that answer nothing may begin an answer to an earlier request.
             self.abort()
@@ -133,7 +133,7 @@
         self._request = request
         data = self._send_head_and_body(request, body)
         assert self._transport is not None
-        self._meter.note_sent(len(data))
+        self._meter.record_sent(len(data))
         self._transport.write(data)
 
     async def read_head(self) -> h11.Response:
@@ -179,7 +179,7 @@
             piece = self.body_at_hand()
         return piece
 
-    async def read_each(self, take: Callable[[bytes], bool]) -> bool:
+    async def deliver_body(self, take: Callable[[bytes], bool]) -> bool:
         """Hand what arrives of the answer's body to a function, as it arrives.
 
         Parameters
--- a/lynxchute/http/connection.py
+++ b/lynxchute/http/connection.py
@@ -13,7 +13,7 @@
 from lynxchute.http.headers import Headers
 from lynxchute.http.held_answer import HeldAnswer
 from lynxchute.http.messages import BadRequest, Request, RequestHead
-from lynxchute.http.responder import CallerLeft, Responder
+from lynxchute.http.responder import CallerDisconnected, Responder
 from lynxchute.http.sockets import SocketOptions, apply_options
 
 if TYPE_CHECKING:
@@ -96,7 +96,7 @@
         """Take a new connection."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        if not self._server.takes_connections():
+        if not self._server.may_accept_connection():
             transport.close()
             return
         if self._server.guard is None:
@@ -111,7 +111,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Take bytes from the caller."""
-        self._server.meter.note_received(len(data))
+        self._server.meter.record_received(len(data))
         if self._phase in (_Phase.LINGERING, _Phase.CLOSED):
             return
         if self._phase is _Phase.SERVING:
@@ -142,7 +142,7 @@
             self._held.end()
         if self.served is None or self._responder is None:
             return
-        if not self._responder.finished and not self._responder.outlives_caller:
+        if not self._responder.finished and not self._responder.survives_disconnect:
             self.served.cancel()
 
     def pause_writing(self) -> None:
@@ -273,7 +273,7 @@
         self._responder = Responder(
             head.method, self._protocol, self._write, self._drained, self.abort
         )
-        self._responder.closing = self._server.closing
+        self._responder.close_after_response = self._server.close_after_response
         self._responder.held = self._held
         self.served = self._loop.create_task(self._run(request, self._responder))
 
@@ -285,12 +285,12 @@
             return
         except (OSError, h11.LocalProtocolError) as error:
             if not self._is_gone:
-                logging.warning("an answer could not be written: %r", error)
+                logging.warning("response could not be written: %r", error)
         except asyncio.CancelledError:
             self.abort()
             raise
         except Exception:
-            logging.exception("a request failed inside the router")
+            logging.exception("unhandled error in a request handler")
             if not respond.started:
                 self._refuse(502, "The router failed while it served the request.")
                 return
@@ -358,7 +358,7 @@
             data += self._protocol.send(h11.Data(data=body)) or b""
             data += self._protocol.send(h11.EndOfMessage()) or b""
         except h11.LocalProtocolError as error:
-            logging.info("a refusal could not be written: %r", error)
+            logging.info("error response could not be written: %r", error)
             self.abort()
             return
         self._write(data)
@@ -379,9 +379,9 @@
     def _write(self, data: bytes) -> bool:
         """Write to the caller; return whether it reads fast enough for more."""
         if self._transport is None or self._is_gone:
-            raise CallerLeft("the caller left")
+            raise CallerDisconnected("the caller left")
         if data:
-            self._server.meter.note_sent(len(data))
+            self._server.meter.record_sent(len(data))
             self._transport.write(data)
             if self._held is not None:
                 self._held.note_written(len(data))
--- a/lynxchute/http/link_meter.py
+++ b/lynxchute/http/link_meter.py
@@ -77,7 +77,7 @@
     Examples
     --------
     >>> meter = LinkMeter(8.0, lambda: 0.0)
-    >>> meter.note_sent(100_000)
+    >>> meter.record_sent(100_000)
     >>> round(meter.delay(), 3)
     0.108
     """
@@ -90,11 +90,11 @@
         self._receiving = _Queue(bytes_per_s * RECEIVING_SHARE)
         self._clock = clock
 
-    def note_sent(self, size: int) -> None:
+    def record_sent(self, size: int) -> None:
         """Count bytes that were handed to the kernel."""
         self._sending.add(size, self._clock())
 
-    def note_received(self, size: int) -> None:
+    def record_received(self, size: int) -> None:
         """Count bytes that have arrived."""
         self._receiving.add(size, self._clock())
 
--- a/lynxchute/http/responder.py
+++ b/lynxchute/http/responder.py
@@ -15,7 +15,7 @@
 BODILESS_STATUSES = frozenset({204, 304})
 
 
-class CallerLeft(ConnectionError):
+class CallerDisconnected(ConnectionError):
     """Report that nobody reads the answer any more."""
 
 
@@ -51,17 +51,17 @@
         method: str,
         protocol: h11.Connection,
         write: Callable[[bytes], bool],
-        drained: Callable[[], Any],
+        wait_drained: Callable[[], Any],
         abort: Callable[[], None],
     ) -> None:
         self.status = 0
         self.finished = False
-        self.outlives_caller = False
-        self.closing = False
+        self.survives_disconnect = False
+        self.close_after_response = False
         self.held: HeldAnswer | None = None
         self._protocol = protocol
         self._write = write
-        self._drained = drained
+        self._drained = wait_drained
         self._abort = abort
         self._to_head = method == "HEAD"
 
@@ -70,7 +70,7 @@
         """Return whether the head of the answer has been sent."""
         return self.status != 0
 
-    def belongs_to(self, account: str) -> None:
+    def set_account(self, account: str) -> None:
         """Count what waits for the caller with the other answers of an account."""
         if self.held is not None:
             self.held.account = account
@@ -91,7 +91,7 @@
         self._write(self._framed(data))
         await self._drained()
 
-    def begin(self, status: int, headers: HeaderItems, data: bytes) -> bool:
+    def start_with_body(self, status: int, headers: HeaderItems, data: bytes) -> bool:
         """Send the head of the answer and a piece of the body together.
 
         Returns
@@ -117,7 +117,7 @@
         """
         return self._write(self._framed(data))
 
-    async def drained(self) -> None:
+    async def wait_drained(self) -> None:
         """Wait until the caller has read enough for the next piece."""
         await self._drained()
 
@@ -127,7 +127,7 @@
         self.finished = True
         await self._drained()
 
-    async def whole(
+    async def send_whole(
         self,
         status: int,
         body: bytes,
@@ -154,7 +154,7 @@
     async def json(self, status: int, value: Any, headers: HeaderItems = ()) -> None:
         """Send a value as JSON."""
         body = encode_json(value)
-        await self.whole(status, body, headers=headers)
+        await self.send_whole(status, body, headers=headers)
 
     def abort(self) -> None:
         """Drop the connection, so that a broken answer never looks whole."""
@@ -169,7 +169,7 @@
 
     def _head(self, status: int, headers: HeaderItems) -> bytes:
         head = encoded(headers)
-        if self.closing:
+        if self.close_after_response:
             head.append((b"Connection", b"close"))
         response = h11.Response(status_code=status, headers=head)
         self.status = status
--- a/lynxchute/http/server.py
+++ b/lynxchute/http/server.py
@@ -83,14 +83,14 @@
         check_head: Callable[[RequestHead], None] = accept_all,
         meter: LinkMeter = AMPLE,
         guard: MemoryGuard | None = None,
-        takes_connections: Callable[[], bool] = take_all,
+        may_accept_connection: Callable[[], bool] = take_all,
     ) -> None:
         self.guard = guard
-        self.takes_connections = takes_connections
+        self.may_accept_connection = may_accept_connection
         self.connections: set[ServerConnection] = set()
         self.buffered_bytes = 0
         self.port = 0
-        self.closing = False
+        self.close_after_response = False
         self.handler = handler
         self.limits = limits
         self.check_head = check_head
@@ -148,9 +148,9 @@
         if self._server is not None and not self._server.is_serving():
             await self.start(self._host, self.port)
 
-    def announce_close(self) -> None:
+    def disable_keep_alive(self) -> None:
         """Let each further answer be the last one on its connection."""
-        self.closing = True
+        self.close_after_response = True
 
     def close_idle(self) -> None:
         """Close the connections on which nothing is being asked."""
@@ -171,7 +171,7 @@
         bool
             Whether every exchange ended by itself.
         """
-        self.announce_close()
+        self.disable_keep_alive()
         if self._server is not None:
             self._server.close()
         self.close_idle()
@@ -195,7 +195,7 @@
         results = await asyncio.gather(*tasks, return_exceptions=True)
         for result in results:
             if isinstance(result, Exception):
-                logging.warning("a request ended badly at the stop: %r", result)
+                logging.warning("request handler failed during shutdown: %r", result)
 
 
 async def not_found(request: Request, respond: Responder) -> None:
--- a/lynxchute/operators/client.py
+++ b/lynxchute/operators/client.py
@@ -24,7 +24,7 @@
 from lynxchute.config.role import Role
 from lynxchute.edge.platform import Platform
 from lynxchute.event_loop import run as run_loop
-from lynxchute.http import ExchangeFailed, HttpClient
+from lynxchute.http import ExchangeError, HttpClient
 from lynxchute.operators import runner
 from lynxchute.operators.collections import COLUMNS_BY_COLLECTION
 from lynxchute.operators.language import KEYWORDS, parse
@@ -91,7 +91,7 @@
                 _, answer = await client.post_json(
                     COMMANDS_PATH, {"statement": statement}, headers=self._headers
                 )
-            except ExchangeFailed as error:
+            except ExchangeError as error:
                 if error.sent:
                     detail = f"{address} gave no answer; repeat with the same id."
                     return {"state": runner.UNKNOWN, "detail": detail}
--- a/lynxchute/operators/collections.py
+++ b/lynxchute/operators/collections.py
@@ -197,7 +197,7 @@
                 continue
             decoded = Member.decode(row.value)
             if decoded.is_error():
-                log_event("router not understood", problem=decoded.error)
+                log_event("router row could not be decoded", problem=decoded.error)
                 continue
             member = decoded.ok
             rows.append(
--- a/lynxchute/operators/evacuation_reports.py
+++ b/lynxchute/operators/evacuation_reports.py
@@ -48,7 +48,7 @@
 
     def serve(self, server: PeerServer) -> None:
         """Answer other routers."""
-        server.answers_by_class[EvacuationRequest] = self._serve
+        server.handlers_by_class[EvacuationRequest] = self._serve
 
     async def gather(self, data_centre: str) -> EvacuationState:
         """Return what all routers tell of a data centre."""
--- a/lynxchute/operators/evacuation_rows.py
+++ b/lynxchute/operators/evacuation_rows.py
@@ -21,7 +21,7 @@
     StoreUnavailable,
     Write,
 )
-from lynxchute.store.row_value import RowValue, ValueUnreadable
+from lynxchute.store.row_value import RowValue, RowValueError
 
 OUT_OF_REACH = "The store is out of reach. Try again."
 UNKNOWN_OUTCOME = "It may have been done. `show evacuations` tells; it can be repeated."
@@ -178,6 +178,6 @@
     """Return when an order was given, where its row says so."""
     try:
         since_ms: int | None = RowValue.decode(row.value).count(SINCE, default=None)
-    except ValueUnreadable:
+    except RowValueError:
         return None
     return since_ms
--- a/lynxchute/operators/service.py
+++ b/lynxchute/operators/service.py
@@ -35,7 +35,7 @@
     async def serve(self, request: Request, respond: Responder) -> None:
         """Answer one statement, sent as ``{"statement": "…"}``."""
         # What an operator has ordered is carried to its end.
-        respond.outlives_caller = True
+        respond.survives_disconnect = True
         current = self._configuration()
         key = bearer_key(request.headers)
         operators = current.operators_by_key if current is not None else {}
--- a/lynxchute/overload/guard.py
+++ b/lynxchute/overload/guard.py
@@ -124,7 +124,7 @@
             return False
         return load.use >= use or load.delay >= delay
 
-    def is_too_slow(self, objective: float, *, is_brief: bool) -> bool:
+    def misses_objective(self, objective: float, *, is_brief: bool) -> bool:
         """Return whether waiting for the resource uses too much of the objective."""
         limits = self.limits
         waits_per_request = (
@@ -272,7 +272,7 @@
         if for_all:
             return for_all
         for resource in self._resources:
-            if not resource.is_too_slow(
+            if not resource.misses_objective(
                 _effective_objective(objective), is_brief=is_brief
             ):
                 continue
@@ -288,7 +288,7 @@
         """
         relaxed_objective = _effective_objective(objective) * WITHIN_SHARE_FACTOR
         for resource in self._resources:
-            if resource.is_too_slow(relaxed_objective, is_brief=is_brief):
+            if resource.misses_objective(relaxed_objective, is_brief=is_brief):
                 return resource.name
         return ""
 
--- a/lynxchute/platform/daemon.py
+++ b/lynxchute/platform/daemon.py
@@ -7,7 +7,7 @@
 import time
 from pathlib import Path
 
-from lynxchute.application import Ending, end_on_signals
+from lynxchute.application import StopReason, install_stop_handlers
 from lynxchute.clock import steady_seconds
 from lynxchute.edge.application import EdgeApplication
 from lynxchute.edge.platform import Platform
@@ -57,8 +57,9 @@
         log_lines_dropped=lambda: log.dropped,
     )
     application.watch_settings(lambda: read_settings(path), lambda: stamp(path))
-    end_on_signals(
-        lambda: application.end(Ending.STOPPED), lambda: os._exit(EXIT_KILLED)
+    install_stop_handlers(
+        lambda: application.request_stop(StopReason.STOPPED),
+        lambda: os._exit(EXIT_KILLED),
     )
     await application.run()
 
--- a/lynxchute/platform/dialect.py
+++ b/lynxchute/platform/dialect.py
@@ -81,7 +81,7 @@
         headers.extend((name.encode(), value.encode("latin-1")) for name, value in own)
         return headers
 
-    def is_answer(self, call: Call, head: h11.Response) -> bool:
+    def matches_request(self, call: Call, head: h11.Response) -> bool:
         """Return whether an answer is one to this call."""
         return is_for_request(head, names.REQUEST_ID, call.request_id)
 
--- a/lynxchute/platform/engines.py
+++ b/lynxchute/platform/engines.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from lynxchute.http import ExchangeFailed, Headers, Timeouts
+from lynxchute.http import ExchangeError, Headers, Timeouts
 from lynxchute.platform.names import (
     CACHE_LIST,
     COLD_MS,
@@ -17,7 +17,7 @@
     WAITING,
 )
 from lynxchute.platform.statements import STATEMENT_HEADERS
-from lynxchute.store.row_value import RowValue, ValueUnreadable
+from lynxchute.store.row_value import RowValue, RowValueError
 from lynxchute.upstreams.engines import Probe
 from lynxchute.upstreams.generation import PromptPart
 from lynxchute.upstreams.http_engines import HttpEngineClient, no_answer
@@ -37,10 +37,10 @@
         client = self._clients.get(upstream.address)
         try:
             response = await client.request(
-                "GET", REPORT_PATH, timeouts=PROBE_TIMEOUTS, fresh_within=0.0
+                "GET", REPORT_PATH, timeouts=PROBE_TIMEOUTS, max_idle=0.0
             )
             body = await response.body()
-        except ExchangeFailed as error:
+        except ExchangeError as error:
             raise no_answer(upstream, error) from error
         statement = STATEMENT_HEADERS.decode(response.status, response.headers)
         return attrs.evolve(_probe_of(body, response.headers), statement=statement)
@@ -57,7 +57,7 @@
         value = RowValue.decode(report)
         told_ms = value.count(COLD_REMAINING, default=0)
         started_ms = value.count(STARTED, default=None)
-    except ValueUnreadable:
+    except RowValueError:
         return Probe(cold_seconds=cold_ms / 1000.0)
     cold_seconds = max(cold_ms, told_ms) / 1000.0
     return Probe(started_ms, cold_seconds, active_requests=_in_work(value))
@@ -68,7 +68,7 @@
     try:
         running = report.count(RUNNING, default=None)
         waiting = report.count(WAITING, default=0)
-    except ValueUnreadable:
+    except RowValueError:
         return None
     return None if running is None else running + (waiting or 0)
 
--- a/lynxchute/platform/settings.py
+++ b/lynxchute/platform/settings.py
@@ -10,7 +10,12 @@
 from expression import Error, Ok, Result
 
 from lynxchute.address import Address
-from lynxchute.edge.settings import USUAL_LINK_MBPS, Bounds, EdgeSettings, Features
+from lynxchute.edge.settings import (
+    DEFAULT_LINK_MBPS,
+    DeploymentBounds,
+    EdgeSettings,
+    Features,
+)
 from lynxchute.upstreams.cold_admission import ADMISSIONS_BY_NAME, FirstRegistered
 from lynxchute.upstreams.rate_sharing import SHARINGS_BY_NAME, MostlyCentral
 
@@ -71,7 +76,7 @@
         peers=Address(reader.text("ip"), reader.first_port() + PEER_PORT_OFFSET),
         store=str(reader.address("platform", "address")),
         memory_mb=reader.number("limits", "memory_mb"),
-        link_mbps=reader.limit("link_mbps", USUAL_LINK_MBPS),
+        link_mbps=reader.limit("link_mbps", DEFAULT_LINK_MBPS),
         # A share of one core, which is so many times as fast as a usual one.
         cores=reader.limit("cpu_share", 1.0) * reader.limit("cores", 1.0),
         metrics=_metrics(reader, environment),
@@ -148,9 +153,9 @@
         return None
 
 
-def _bounds(reader: _Reader) -> Bounds:
-    usual = Bounds()
-    return Bounds(
+def _bounds(reader: _Reader) -> DeploymentBounds:
+    usual = DeploymentBounds()
+    return DeploymentBounds(
         # Seconds that a process may take between SIGTERM and SIGKILL.
         stop=reader.bound("grace_s", usual.stop),
         # Seconds after which a leaving upstream must get nothing new.
--- a/lynxchute/platform/store.py
+++ b/lynxchute/platform/store.py
@@ -7,7 +7,7 @@
 from typing import Any
 from urllib.parse import urlencode
 
-from lynxchute.http import ExchangeFailed, HttpClient, Timeouts
+from lynxchute.http import ExchangeError, HttpClient, Timeouts
 from lynxchute.platform.names import ROWS_FEED, ROWS_READ, ROWS_WRITE
 from lynxchute.store import (
     Changes,
@@ -55,9 +55,11 @@
             status, answer = await self._client.post_json(
                 ROWS_WRITE, body, timeouts=_timeouts(0.0)
             )
-        except ExchangeFailed as error:
+        except ExchangeError as error:
             if error.sent:
-                raise OutcomeUnknown(str(error), is_silent=error.is_silence) from error
+                raise OutcomeUnknown(
+                    str(error), is_unresponsive=error.is_timeout
+                ) from error
             raise StoreUnavailable(str(error)) from error
         if status in (429, 503):
             raise StoreUnavailable(f"the store answered {status}")
@@ -115,7 +117,7 @@
             status, answer = await self._client.get_json(
                 f"{path}?{urlencode(question)}", timeouts=_timeouts(wait)
             )
-        except ExchangeFailed as error:
+        except ExchangeError as error:
             raise StoreUnavailable(str(error)) from error
         if status == 410:
             raise HistoryLost
--- a/lynxchute/quarantine/record.py
+++ b/lynxchute/quarantine/record.py
@@ -7,7 +7,7 @@
 import attrs
 from expression import Error, Ok, Result
 
-from lynxchute.store.row_value import RowValue, ValueUnreadable, whole
+from lynxchute.store.row_value import RowValue, RowValueError, whole_number
 
 # Maximum number of quarantined requests. A row of the store holds 64 KB, and an entry
 # takes 110 bytes. Each entry stands for three crashes, so a fleet runs out of upstreams
@@ -90,7 +90,7 @@
                 _quarantined(RowValue(item)) for item in _items(row, "quarantined")
             ]
             suspects = [_suspect(RowValue(item)) for item in _items(row, "suspects")]
-        except ValueUnreadable as error:
+        except RowValueError as error:
             return Error(f"the quarantine record is unreadable: {error}")
         return Ok(cls(tuple(quarantined), tuple(suspects)))
 
@@ -98,10 +98,10 @@
 def _items(row: RowValue, name: str) -> list[dict[str, object]]:
     items = row.fields.get(name)
     if not isinstance(items, list):
-        raise ValueUnreadable(f"{name!r} is not a list")
+        raise RowValueError(f"{name!r} is not a list")
     for item in items:
         if not isinstance(item, dict):
-            raise ValueUnreadable(f"{name!r} has an entry that is not an object")
+            raise RowValueError(f"{name!r} has an entry that is not an object")
     return items
 
 
@@ -117,12 +117,12 @@
 def _suspect(row: RowValue) -> Suspect:
     ended = row.fields.get("ended")
     if not isinstance(ended, list) or not all(isinstance(name, str) for name in ended):
-        raise ValueUnreadable("'ended' is not a list of strings")
+        raise RowValueError("'ended' is not a list of strings")
     return Suspect(
         content=row.text("content"),
         ended=tuple(ended),
         alone=row.count("alone"),
         since_ms=row.count("since_ms"),
         last_ms=row.count("last_ms"),
-        times=whole(row.fields.get("times"), "times"),
+        times=whole_number(row.fields.get("times"), "times"),
     )
--- a/lynxchute/reachability.py
+++ b/lynxchute/reachability.py
@@ -8,7 +8,7 @@
 
 # An upstream or router that fell silent is evidence for this many seconds: as
 # long as one that has ended takes to be known as gone, and a little longer.
-EVIDENCE_SECONDS = 3.0
+TIMEOUT_WINDOW_SECONDS = 3.0
 # So many of a data centre must be silent at once: one may just have died.
 LEAST_SILENT = 2
 
@@ -32,7 +32,7 @@
     """
 
     silences_by_name: dict[str, Silence] = attrs.Factory(dict)
-    is_cut: bool = False
+    is_unreachable: bool = False
 
 
 class Reachability:
@@ -53,14 +53,14 @@
     Examples
     --------
     >>> reach = Reachability("a")
-    >>> reach.note_silent("b", "engine-1", 1.0, is_upstream=True)
-    >>> reach.is_cut("b")
+    >>> reach.record_timeout("b", "engine-1", 1.0, is_upstream=True)
+    >>> reach.is_unreachable("b")
     False
-    >>> reach.note_silent("b", "engine-2", 1.2, is_upstream=True)
-    >>> reach.is_cut("b")
+    >>> reach.record_timeout("b", "engine-2", 1.2, is_upstream=True)
+    >>> reach.is_unreachable("b")
     True
-    >>> reach.note_heard("b")
-    >>> reach.is_cut("b")
+    >>> reach.record_response("b")
+    >>> reach.is_unreachable("b")
     False
     """
 
@@ -68,7 +68,7 @@
         self._own = own
         self._by_data_centre: dict[str, _Place] = {}
 
-    def note_silent(
+    def record_timeout(
         self, data_centre: str, name: str, now: float, *, is_upstream: bool = False
     ) -> None:
         """Note that somebody there gave no answer in time."""
@@ -77,32 +77,32 @@
         place = self._by_data_centre.setdefault(data_centre, _Place())
         place.silences_by_name[name] = Silence(now, is_upstream)
         for other, silence in list(place.silences_by_name.items()):
-            if now - silence.at > EVIDENCE_SECONDS:
+            if now - silence.at > TIMEOUT_WINDOW_SECONDS:
                 del place.silences_by_name[other]
-        if place.is_cut or not self._is_proof(place):
+        if place.is_unreachable or not self._is_proof(place):
             return
-        place.is_cut = True
+        place.is_unreachable = True
         log_event(
-            "data centre out of reach",
+            "data centre unreachable",
             data_centre=data_centre,
             silent=sorted(place.silences_by_name),
         )
 
-    def note_heard(self, data_centre: str) -> None:
+    def record_response(self, data_centre: str) -> None:
         """Note that somebody there has answered."""
         place = self._by_data_centre.pop(data_centre, None)
-        if place is not None and place.is_cut:
-            log_event("data centre in reach again", data_centre=data_centre)
+        if place is not None and place.is_unreachable:
+            log_event("data centre reachable again", data_centre=data_centre)
 
     @property
-    def is_any_cut(self) -> bool:
+    def is_any_unreachable(self) -> bool:
         """Return whether any data centre cannot be reached, as far as is known."""
-        return any(place.is_cut for place in self._by_data_centre.values())
+        return any(place.is_unreachable for place in self._by_data_centre.values())
 
-    def is_cut(self, data_centre: str) -> bool:
+    def is_unreachable(self, data_centre: str) -> bool:
         """Return whether nobody there can be reached, as far as is known."""
         place = self._by_data_centre.get(data_centre)
-        return place is not None and place.is_cut
+        return place is not None and place.is_unreachable
 
     def _is_proof(self, place: _Place) -> bool:
         silences = place.silences_by_name.values()
--- a/lynxchute/relay/admission.py
+++ b/lynxchute/relay/admission.py
@@ -37,7 +37,7 @@
         """Wait for the first version, for at most as long as a start may take."""
 
     @abstractmethod
-    async def confirm(self) -> bool:
+    async def ensure_current(self) -> bool:
         """Return whether the store has just confirmed the version as the newest one."""
 
 
@@ -90,7 +90,7 @@
             await self._source.wait_loaded()
         configuration = self._configuration()
         if _denial(configuration, call) is not None:
-            if not await self._source.confirm():
+            if not await self._source.ensure_current():
                 title = "This router has not heard from the store for a while."
                 raise Refusal(Reason.STALE, title, retry_after=RETRY_AFTER_STALE)
             configuration = self._configuration()
@@ -149,7 +149,7 @@
             route.latency_objective, name, is_brief=call.generation is None
         )
         if resource:
-            respond.closing = True
+            respond.close_after_response = True
             raise Refusal(
                 Reason.OVERLOADED,
                 f"This router's {resource} is full. Send the request to another one.",
@@ -159,7 +159,7 @@
             )
         self._load.record_admitted(name)
         if self._load.ends_connection(name):
-            respond.closing = True
+            respond.close_after_response = True
 
     def _count_open(self, configuration: Configuration, account: ClientAccount) -> None:
         """Count an open request of an account, or reject it at the account's limit."""
--- a/lynxchute/relay/chooser.py
+++ b/lynxchute/relay/chooser.py
@@ -268,7 +268,7 @@
         return exchange.refuse(Reason.COLD, title, now, retry_after=wait)
 
     def _is_reachable(self, entry: Entry) -> bool:
-        return not self._reachability.is_cut(entry.upstream.data_centre)
+        return not self._reachability.is_unreachable(entry.upstream.data_centre)
 
     def _handle_change(self) -> None:
         self._changed.set()
--- a/lynxchute/relay/dialect.py
+++ b/lynxchute/relay/dialect.py
@@ -81,7 +81,7 @@
         """Return the request headers for an upstream, except for the body length."""
 
     @abstractmethod
-    def is_answer(self, call: Call, head: h11.Response) -> bool:
+    def matches_request(self, call: Call, head: h11.Response) -> bool:
         """Return whether a response belongs to this call."""
 
     @abstractmethod
--- a/lynxchute/relay/exchange.py
+++ b/lynxchute/relay/exchange.py
@@ -11,7 +11,7 @@
 from lynxchute.relay.call import Call
 from lynxchute.relay.events import EventOrder
 from lynxchute.relay.refusal import Reason, Refusal, RunStatus
-from lynxchute.upstreams.aims import Aims
+from lynxchute.upstreams.aims import LatencyTargets
 
 # Seconds before the caller's timeout at which a response must be sent to reach it.
 DELIVERY_MARGIN = 0.02
@@ -121,10 +121,10 @@
         return self.call.request.received_at
 
     @property
-    def most_tokens(self) -> int:
+    def max_total_tokens(self) -> int:
         """Return the largest number of budget tokens that the request can use."""
         if self.call.generation is not None:
-            return self.call.generation.most_tokens
+            return self.call.generation.max_total_tokens
         return self.route.cost
 
     @property
@@ -139,14 +139,14 @@
         wait = max(MIN_CALLER_WAIT, 4 * route.latency_objective, 8 * route.max_pause)
         return wait * CALLER_WAIT_SHARE
 
-    def aims(self, now: float) -> Aims:
+    def aims(self, now: float) -> LatencyTargets:
         """Return the latency targets that a response has to meet to be on time."""
         route = self.route
         if self.events:
             # The stream has begun, so only the time until its next event matters.
-            return Aims(route.max_pause * 1000.0, route.max_pause * 1000.0)
+            return LatencyTargets(route.max_pause * 1000.0, route.max_pause * 1000.0)
         left = self.received_at + route.latency_objective - now
-        return Aims(left * 1000.0, route.max_pause * 1000.0)
+        return LatencyTargets(left * 1000.0, route.max_pause * 1000.0)
 
     def claim(self, now: float) -> Claim:
         """Return the admission claim: who asks for a place and how long it can wait."""
--- a/lynxchute/relay/load.py
+++ b/lynxchute/relay/load.py
@@ -95,7 +95,7 @@
         is_brief
             Whether the request needs neither an engine nor tokens.
         """
-        return "link" if self.is_too_slow(objective) else ""
+        return "link" if self.misses_objective(objective) else ""
 
     def shed_reason_for_all(self, objective: float, *, is_brief: bool) -> str:
         """Return the resource for which requests of all accounts are shed.
@@ -123,7 +123,7 @@
         use = self._meter.use()
         return use > TARGET_USE and self._random.random() > TARGET_USE / use
 
-    def is_too_slow(self, objective: float) -> bool:
+    def misses_objective(self, objective: float) -> bool:
         """Return whether this router is too slow to serve a request in time.
 
         Parameters
--- a/lynxchute/relay/passing.py
+++ b/lynxchute/relay/passing.py
@@ -70,7 +70,7 @@
         if events is None:
             return True
         exchange.order.check(events)
-        answer.send.note_answering(now)
+        answer.send.record_answering(now)
         was_paused = exchange.has_paused
         exchange.record_events(events.count, events.last_id, now)
         if exchange.has_paused and not was_paused:
@@ -88,4 +88,4 @@
         self._sender.record_first_event(answer)
         response = answer.response
         headers = self._dialect.caller_headers(response.headers)
-        return exchange.respond.begin(response.status, headers, data)
+        return exchange.respond.start_with_body(response.status, headers, data)
--- a/lynxchute/relay/refusal.py
+++ b/lynxchute/relay/refusal.py
@@ -120,4 +120,4 @@
             "run": self.run.value,
         }
         body = json.dumps(problem).encode()
-        await respond.whole(self.status, body, CONTENT_TYPE, headers)
+        await respond.send_whole(self.status, body, CONTENT_TYPE, headers)
--- a/lynxchute/relay/relay.py
+++ b/lynxchute/relay/relay.py
@@ -8,7 +8,7 @@
 import attrs
 
 from lynxchute.config import RequestKind
-from lynxchute.http import ExchangeFailed, Request, Responder
+from lynxchute.http import ExchangeError, Request, Responder
 from lynxchute.relay.admission import Admission
 from lynxchute.relay.answer import Answer
 from lynxchute.relay.budgets import (
@@ -101,7 +101,7 @@
             request_id = call.request_id
             exchange = await self._admission.admit(call, respond)
             if exchange.account is not None:
-                respond.belongs_to(exchange.account.name)
+                respond.set_account(exchange.account.name)
         except Refusal as refusal:
             self._log.record_refusal(request_id, refusal)
             await refusal.send(respond)
@@ -143,14 +143,14 @@
                 # The outcome of such a call matters even after its caller has
                 # disconnected. The rest of a stream does not, and the engine is needed
                 # by others.
-                exchange.respond.outlives_caller = True
+                exchange.respond.survives_disconnect = True
             await self._send(exchange)
         finally:
             reservation.settle(used_tokens(exchange))
 
     async def _reserve(self, exchange: Exchange) -> Reservation:
         account = exchange.account
-        tokens = exchange.most_tokens
+        tokens = exchange.max_total_tokens
         if account is None or account.prepaid is None or not tokens:
             return EmptyReservation()
         try:
@@ -213,13 +213,13 @@
                     body = b"".join(chunks)
                     exchange.reported_tokens = self._dialect.reported_tokens(body)
                     return BufferedAnswer(body, is_success=not failed)
-                answer.send.note_answering(self._clock())
+                answer.send.record_answering(self._clock())
                 chunks.append(chunk)
                 size += len(chunk)
             await self._forward_unbuffered(exchange, answer, chunks)
             send_outcome = SendOutcome.SERVED
             return BufferedAnswer(None, is_forwarded=True)
-        except ExchangeFailed as error:
+        except ExchangeError as error:
             send_outcome = SendOutcome.BROKEN
             self._sender.record_broken(answer)
             log_event(
@@ -277,16 +277,16 @@
         )
         send_outcome = SendOutcome.ABANDONED
         try:
-            while not await answer.response.read_each(forwarder.forward_events):
-                await exchange.respond.drained()
+            while not await answer.response.deliver_body(forwarder.forward_events):
+                await exchange.respond.wait_drained()
             answer.entry.heard_at = self._clock()
             if forwarder.is_within_event:
                 send_outcome = SendOutcome.BROKEN
                 return False
             send_outcome = SendOutcome.SERVED
-        except (ExchangeFailed, EventsOutOfOrder) as error:
+        except (ExchangeError, EventsOutOfOrder) as error:
             send_outcome = SendOutcome.BROKEN
-            if isinstance(error, ExchangeFailed):
+            if isinstance(error, ExchangeError):
                 self._sender.record_broken(answer)
             log_event(
                 "upstream stream interrupted",
--- a/lynxchute/relay/request_log.py
+++ b/lynxchute/relay/request_log.py
@@ -75,13 +75,13 @@
     if exchange.run is RunStatus.NOT_RUN:
         return 0
     if generation is None:
-        return exchange.most_tokens
+        return exchange.max_total_tokens
     if exchange.reported_tokens is not None:
         # An upstream must not charge more than was requested.
-        return min(exchange.reported_tokens, generation.most_tokens)
+        return min(exchange.reported_tokens, generation.max_total_tokens)
     service = exchange.configuration.services_by_name.get(exchange.service)
     engine = service.engine if service is not None else None
     if engine is None:
-        return generation.most_tokens
+        return generation.max_total_tokens
     delivered = exchange.events * engine.tokens_per_event
     return generation.prompt_tokens + min(delivered, generation.max_output_tokens)
--- a/lynxchute/relay/sender.py
+++ b/lynxchute/relay/sender.py
@@ -8,7 +8,7 @@
 from lynxchute.http import (
     AbortHandle,
     ClientPool,
-    ExchangeFailed,
+    ExchangeError,
     Response,
     Timeouts,
 )
@@ -38,7 +38,7 @@
 FRESH_WITHIN = 0.25
 SERVER_ERROR = 500
 UPSTREAM_TIMEOUTS = Timeouts(
-    connect=CONNECT_TIMEOUT, first_byte=None, between_bytes=None, kept_idle=4.0
+    connect=CONNECT_TIMEOUT, first_byte=None, between_bytes=None, keepalive_expiry=4.0
 )
 
 
@@ -224,7 +224,7 @@
         """Send once; return None if there is no response to forward."""
         entry = choice.entry
         generation = exchange.call.generation
-        cost = generation.most_tokens if generation is not None else 0
+        cost = generation.max_total_tokens if generation is not None else 0
         entry.open_requests += 1
         entry.open_tokens += cost
         run_before = exchange.run
@@ -236,16 +236,16 @@
         entry.heard_at = max(entry.heard_at, sent_at)
         try:
             response = await self._send_request(exchange, choice, send)
-        except ExchangeFailed as error:
+        except ExchangeError as error:
             entry.open_sends.discard(send)
             outcome = _outcome_of(
                 send, SendOutcome.BROKEN if error.sent else SendOutcome.UNREACHED
             )
             if outcome is SendOutcome.BROKEN:
                 self._containment.record_broken(entry.upstream, send)
-            if outcome is SendOutcome.UNREACHED and error.is_silence:
+            if outcome is SendOutcome.UNREACHED and error.is_timeout:
                 upstream = entry.upstream
-                self._reachability.note_silent(
+                self._reachability.record_timeout(
                     upstream.data_centre, upstream.id, self._clock(), is_upstream=True
                 )
             self._record_failure(exchange, entry, cost, outcome, str(error))
@@ -262,7 +262,7 @@
             self._generations.record_end(exchange.run_id, upstream_id, failed=False)
             raise
         entry.heard_at = self._clock()
-        self._reachability.note_heard(entry.upstream.data_centre)
+        self._reachability.record_response(entry.upstream.data_centre)
         response_kind = self._dialect.response_kind(response.status, response.headers)
         if response_kind is not ResponseKind.MOVED:
             # Another process that reuses the address reports its own state only.
@@ -323,15 +323,15 @@
             self._set_typical_seconds(exchange, send)
             self._log_send(exchange, choice, dispatch)
 
-        fresh_within = None if exchange.route.is_repeatable else FRESH_WITHIN
+        max_idle = None if exchange.route.is_repeatable else FRESH_WITHIN
         return await self._clients.get(entry.upstream.address).request(
             call.request.method,
             call.request.target,
             headers=self._dialect.upstream_headers(call, dispatch),
             body=call.request.body,
             timeouts=UPSTREAM_TIMEOUTS,
-            fresh_within=fresh_within,
-            is_answer=lambda head: self._dialect.is_answer(call, head),
+            max_idle=max_idle,
+            matches_request=lambda head: self._dialect.matches_request(call, head),
             on_sent=before_send,
             abort_handle=send.handle,
         )
@@ -427,7 +427,7 @@
         """Read a rejection to its end so that its connection can be reused."""
         try:
             await response.body()
-        except ExchangeFailed as error:
+        except ExchangeError as error:
             log_event("upstream rejection interrupted", reason=str(error))
 
     def _record_failure(
--- a/lynxchute/router.py
+++ b/lynxchute/router.py
@@ -7,7 +7,7 @@
 
 from expression import Error, Ok, Result
 
-from lynxchute.application import Background, Component
+from lynxchute.application import BackgroundTask, Component
 from lynxchute.callers.dialect import (
     STATEMENT_HEADERS,
     ChatDialect,
@@ -116,7 +116,7 @@
             self._directory.changed()
 
 
-class FirstConfiguration(Background):
+class FirstConfiguration(BackgroundTask):
     """Write the configuration that a new fleet begins with, once.
 
     Parameters
@@ -198,7 +198,7 @@
             await self._operators.serve(request, respond)
             return
         if request.path == MODELS_PATH:
-            await respond.whole(200, models_body(self._models()))
+            await respond.send_whole(200, models_body(self._models()))
             return
         await super().handle(request, respond)
 
--- a/lynxchute/scheduling/asking.py
+++ b/lynxchute/scheduling/asking.py
@@ -8,7 +8,12 @@
 
 from lynxchute.fleet.client import Peers, PeerUnreachable
 from lynxchute.fleet.members import Members
-from lynxchute.fleet.messages import PlaceReply, PlaceRequest, RunNews, RunStage
+from lynxchute.fleet.messages import (
+    PlacementReply,
+    PlacementRequest,
+    RunStage,
+    RunUpdate,
+)
 from lynxchute.http import LinkMeter
 from lynxchute.scheduling.backpressure_news import (
     known_backpressure,
@@ -17,7 +22,7 @@
 from lynxchute.scheduling.news import RunNewsSender
 from lynxchute.scheduling.place_requests import scheduling_key
 from lynxchute.telemetry import log_event
-from lynxchute.upstreams.aims import Aims
+from lynxchute.upstreams.aims import LatencyTargets
 from lynxchute.upstreams.directory import Directory
 from lynxchute.upstreams.entry import Entry
 from lynxchute.upstreams.generation import Generation
@@ -90,8 +95,8 @@
         self._may_wait = may_wait
 
     async def query(
-        self, request: PlaceRequest, *, has_waited: bool
-    ) -> tuple[str, PlaceReply | None]:
+        self, request: PlacementRequest, *, has_waited: bool
+    ) -> tuple[str, PlacementReply | None]:
         """Return the scheduling VM and its reply.
 
         The reply is None if this router schedules the service itself, or if no router
@@ -104,7 +109,7 @@
         """
         own, key = self._members.own.vm, scheduling_key(request.service)
         for _ in range(MAX_QUERIED_ROUTERS if has_waited else 1):
-            vm = self._members.first_for(key)
+            vm = self._members.owner_of(key)
             if vm == own:
                 break
             reply = await self._query(vm, request)
@@ -115,7 +120,7 @@
     def is_scheduling_for_others(self, service: str) -> bool:
         """Return whether this router knows the load that others put on a service."""
         key = scheduling_key(service)
-        if self._members.first_for(key) != self._members.own.vm:
+        if self._members.owner_of(key) != self._members.own.vm:
             return False
         is_recent = self._clock() - self.last_queried_at < RECENT_QUERY_SECONDS
         return is_recent or self._members.own_rank(key) == 0
@@ -126,11 +131,11 @@
         service: str,
         generation: Generation,
         by_id: dict[str, Entry],
-        aims: Aims,
-    ) -> PlaceRequest:
+        aims: LatencyTargets,
+    ) -> PlacementRequest:
         """Return the placement query for a generation."""
         key = generation.affinity_key(run_id)
-        return PlaceRequest(
+        return PlacementRequest(
             run_id=run_id,
             service=service,
             data_centre=self._members.own.data_centre,
@@ -156,10 +161,10 @@
                 found.append(upstream_id)
         return tuple(found)
 
-    async def _query(self, vm: str, request: PlaceRequest) -> PlaceReply | None:
+    async def _query(self, vm: str, request: PlacementRequest) -> PlacementReply | None:
         """Return a router's reply, or None if it does not answer in time."""
         # A router whose reply is late or lost may still have placed the run.
-        unplaced = [RunNews(request.run_id, "", RunStage.UNPLACED)]
+        unplaced = [RunUpdate(request.run_id, "", RunStage.UNPLACED)]
         try:
             async with asyncio.timeout(QUERY_TIMEOUT_SECONDS + self._meter.delay()):
                 reply = await self._peers.ask(vm, request)
@@ -171,7 +176,7 @@
             raise
         except TimeoutError:
             self._news_sender.enqueue(vm, unplaced)
-            self._members.note_silence(vm, self._clock())
+            self._members.record_failure(vm, self._clock())
             log_event("scheduling router too slow", peer=vm, request_id=request.run_id)
             return None
         merge_backpressure(self._directory, reply.backpressure, self._clock())
--- a/lynxchute/scheduling/backpressure_news.py
+++ b/lynxchute/scheduling/backpressure_news.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Iterable
 
-from lynxchute.fleet.backpressure_messages import BackpressureNews
+from lynxchute.fleet.backpressure_messages import BackpressureReport
 from lynxchute.telemetry import log_event
 from lynxchute.upstreams.directory import Directory
 
@@ -17,12 +17,12 @@
 
 def known_backpressure(
     directory: Directory, service: str, now: float
-) -> tuple[BackpressureNews, ...]:
+) -> tuple[BackpressureReport, ...]:
     """Return reports on the throttled upstreams of a service."""
     reports = []
     for entry in directory.throttled(service, now)[:MAX_REPORTS]:
         reports.append(
-            BackpressureNews(
+            BackpressureReport(
                 upstream=entry.upstream.id,
                 process=entry.upstream.process,
                 limit=entry.backpressure.limit,
@@ -34,7 +34,7 @@
 
 
 def merge_backpressure(
-    directory: Directory, reports: Iterable[BackpressureNews], now: float
+    directory: Directory, reports: Iterable[BackpressureReport], now: float
 ) -> None:
     """Merge the reports of another router on upstream processes known here."""
     clock_ms = directory.clock_ms(now)
--- a/lynxchute/scheduling/board.py
+++ b/lynxchute/scheduling/board.py
@@ -310,7 +310,7 @@
             return True
         if 0 < candidate.slots <= len(state.runs_by_id):
             return False
-        needed = state.occupied_tokens + request.generation.most_tokens
+        needed = state.occupied_tokens + request.generation.max_total_tokens
         return needed <= state.capacity
 
     def _evaluate(
@@ -362,7 +362,7 @@
             expected_ms=expected_ms,
             expected_wait_ms=state.backlog_ms(now),
             placed_at=now,
-            tokens=generation.most_tokens - cached,
+            tokens=generation.max_total_tokens - cached,
             max_pause_ms=request.aims.pause_ms,
             answer_tokens=request.answer_tokens,
             weight=request.weight,
@@ -386,6 +386,6 @@
     cost = REMOTE_COST_MS if candidate.is_far else 0.0
     if len(state.runs_by_id) >= state.slots:
         cost += full_cost_ms
-    if state.occupied_tokens + request.generation.most_tokens > state.capacity:
+    if state.occupied_tokens + request.generation.max_total_tokens > state.capacity:
         cost += full_cost_ms
     return cost
--- a/lynxchute/scheduling/caller_weights.py
+++ b/lynxchute/scheduling/caller_weights.py
@@ -26,7 +26,7 @@
 
     def weight_of(self, request: PendingRequest) -> float:
         """Return the weight of a request; 1 for a request of average size."""
-        size = float(max(request.generation.most_tokens, 1))
+        size = float(max(request.generation.max_total_tokens, 1))
         if not self._mean:
             self._mean = size
         self._mean += SAMPLE_WEIGHT * (size - self._mean)
--- a/lynxchute/scheduling/cold_watch.py
+++ b/lynxchute/scheduling/cold_watch.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from lynxchute.application import Loop, Tasks
+from lynxchute.application import PeriodicTask, Tasks
 from lynxchute.upstreams.cold_admission import ColdLimits
 from lynxchute.upstreams.directory import Directory
 from lynxchute.upstreams.engines import EngineClient, EngineUnavailable
@@ -53,7 +53,7 @@
         clock: Callable[[], float],
     ) -> None:
         self.tasks = Tasks()
-        self.loop = Loop(
+        self.loop = PeriodicTask(
             "cold", self._step, POLL_INTERVAL_SECONDS, self._is_store_silent
         )
         self._directory = directory
--- a/lynxchute/scheduling/news.py
+++ b/lynxchute/scheduling/news.py
@@ -6,7 +6,7 @@
 
 from lynxchute.fleet.client import Peers, PeerUnreachable
 from lynxchute.fleet.members import Members
-from lynxchute.fleet.messages import RunNews, RunNewsRequest
+from lynxchute.fleet.messages import RunUpdate, RunUpdateRequest
 from lynxchute.telemetry import log_event
 
 # Seconds for which news is collected before it is sent in one message.
@@ -29,10 +29,10 @@
     def __init__(self, members: Members, peers: Peers) -> None:
         self._members = members
         self._peers = peers
-        self._queue_by_vm: dict[str, list[RunNews]] = {}
+        self._queue_by_vm: dict[str, list[RunUpdate]] = {}
         self._has_news = asyncio.Event()
 
-    def enqueue(self, vm: str, news: list[RunNews]) -> None:
+    def enqueue(self, vm: str, news: list[RunUpdate]) -> None:
         """Queue news for a router."""
         self._queue_by_vm.setdefault(vm, []).extend(news)
         self._has_news.set()
@@ -67,9 +67,9 @@
                 self._requeue(vm, news)
         await asyncio.gather(*sends)
 
-    async def _send(self, vm: str, news: list[RunNews]) -> None:
+    async def _send(self, vm: str, news: list[RunUpdate]) -> None:
         try:
-            await self._peers.ask(vm, RunNewsRequest(tuple(news)))
+            await self._peers.ask(vm, RunUpdateRequest(tuple(news)))
         except PeerUnreachable as error:
             log_event(
                 "run updates not delivered, will retry",
@@ -79,7 +79,7 @@
             )
             self._requeue(vm, news)
 
-    def _requeue(self, vm: str, news: list[RunNews]) -> None:
+    def _requeue(self, vm: str, news: list[RunUpdate]) -> None:
         """Queue undelivered news again, up to a limit."""
         newer = self._queue_by_vm.get(vm, [])
         self._queue_by_vm[vm] = [*news, *newer][-MAX_QUEUED_NEWS:]
--- a/lynxchute/scheduling/place_requests.py
+++ b/lynxchute/scheduling/place_requests.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from lynxchute.fleet.messages import PlaceRequest
+from lynxchute.fleet.messages import PlacementRequest
 from lynxchute.scheduling.newcomer import PendingRequest
-from lynxchute.upstreams.aims import Aims
+from lynxchute.upstreams.aims import LatencyTargets
 from lynxchute.upstreams.generation import Generation, PromptPart
 
 
@@ -13,7 +13,7 @@
     return f"schedule {service}"
 
 
-def pending_request(request: PlaceRequest) -> PendingRequest:
+def pending_request(request: PlacementRequest) -> PendingRequest:
     """Return the request that a placement query asks to place."""
     generation = Generation(
         # All engines of a service have the model that the route names.
@@ -23,5 +23,5 @@
         parts=tuple(PromptPart(*part) for part in request.parts),
         expected_output_tokens=request.expected_output_tokens,
     )
-    aims = Aims(request.first_event_ms, request.pause_ms)
+    aims = LatencyTargets(request.first_event_ms, request.pause_ms)
     return PendingRequest(request.run_id, generation, aims, request.router)
--- a/lynxchute/scheduling/placing.py
+++ b/lynxchute/scheduling/placing.py
@@ -7,7 +7,7 @@
 import attrs
 
 from lynxchute.config import EngineTraits
-from lynxchute.fleet.messages import PlaceReply, PlaceRequest
+from lynxchute.fleet.messages import PlacementReply, PlacementRequest
 from lynxchute.overload.claim import Claim, InvalidClaim
 from lynxchute.rendezvous import ranked
 from lynxchute.scheduling.backpressure_news import (
@@ -31,7 +31,7 @@
 class _SearchResult:
     """The reply of a search for an engine, and whether all engines were full."""
 
-    reply: PlaceReply
+    reply: PlacementReply
     is_full: bool = False
 
 
@@ -76,7 +76,7 @@
         self._cold_limiter = cold
         self._clock = clock
 
-    async def handle_request(self, request: PlaceRequest) -> PlaceReply:
+    async def handle_request(self, request: PlacementRequest) -> PlacementReply:
         """Handle a placement query of another router."""
         merge_backpressure(self._directory, request.backpressure, self._clock())
         key = pending_request(request).generation.affinity_key(request.run_id)
@@ -87,8 +87,8 @@
         return self.decide_for_peer(request, entries)
 
     def decide_for_peer(
-        self, request: PlaceRequest, entries: Sequence[Entry]
-    ) -> PlaceReply:
+        self, request: PlacementRequest, entries: Sequence[Entry]
+    ) -> PlacementReply:
         """Decide a query of another router; reject it if its claim is invalid."""
         if request.claim is not None and self.admission_queue is not None:
             try:
@@ -100,7 +100,9 @@
             return reply
         return attrs.evolve(reply, is_refused=bool(entries) and not reply.upstream)
 
-    def decide(self, request: PlaceRequest, entries: Sequence[Entry]) -> PlaceReply:
+    def decide(
+        self, request: PlacementRequest, entries: Sequence[Entry]
+    ) -> PlacementReply:
         """Choose one of the entries, or queue the request until its turn."""
         if request.claim is None or self.admission_queue is None:
             return self.place(request, entries)
@@ -108,7 +110,9 @@
             request, entries, request.claim, self.admission_queue
         )
 
-    def place(self, request: PlaceRequest, entries: Iterable[Entry]) -> PlaceReply:
+    def place(
+        self, request: PlacementRequest, entries: Iterable[Entry]
+    ) -> PlacementReply:
         """Choose one of the entries; the reply names no upstream if none is allowed."""
         return self._search(request, entries, skips_full=False).reply
 
@@ -133,11 +137,11 @@
 
     def _place_in_turn(
         self,
-        request: PlaceRequest,
+        request: PlacementRequest,
         entries: Sequence[Entry],
         claim: Claim,
         queue: AdmissionQueue,
-    ) -> PlaceReply:
+    ) -> PlacementReply:
         """Place a request unless engines are full or other requests come first."""
         now = self._clock()
         slots = sum(entry.upstream.slots for entry in entries)
@@ -154,12 +158,12 @@
             queue.discard(request.run_id)
         return found.reply
 
-    def _free_slots(self, request: PlaceRequest, entries: Sequence[Entry]) -> int:
+    def _free_slots(self, request: PlacementRequest, entries: Sequence[Entry]) -> int:
         candidates = self.candidates(entries, request.data_centre)
         return self.board.free_slots(pending_request(request), candidates)
 
     def _search(
-        self, request: PlaceRequest, entries: Iterable[Entry], *, skips_full: bool
+        self, request: PlacementRequest, entries: Iterable[Entry], *, skips_full: bool
     ) -> _SearchResult:
         now = self._clock()
         pending = pending_request(request)
@@ -188,7 +192,7 @@
             # routers without one.
             if place.upstream_id not in request.own_turns:
                 is_admitted = self._gate.rates.admit(entry, now)
-        reply = PlaceReply(
+        reply = PlacementReply(
             place.upstream_id,
             place.fetch_from,
             place.expected_ms,
@@ -199,7 +203,7 @@
         return _SearchResult(reply, place.is_full)
 
     def _within_rate(
-        self, request: PlaceRequest, entries: Iterable[Entry]
+        self, request: PlacementRequest, entries: Iterable[Entry]
     ) -> Iterable[Entry]:
         """Return the engines whose rate limit, if any, allows one more request."""
         now, rates = self._clock(), self._gate.rates
--- a/lynxchute/scheduling/rate_permits.py
+++ b/lynxchute/scheduling/rate_permits.py
@@ -67,7 +67,7 @@
 
     def serve(self, server: PeerServer) -> None:
         """Register the handler for permit queries of other routers."""
-        server.answers_by_class[PermitRequest] = self._handle_request
+        server.handlers_by_class[PermitRequest] = self._handle_request
 
     async def ask(self, entry: Entry) -> float:
         """Request a permit for one request.
@@ -99,7 +99,7 @@
 
     async def _request_permit(self, entry: Entry) -> PermitReply:
         service = entry.upstream.service
-        vm = self._members.first_for(scheduling_key(service))
+        vm = self._members.owner_of(scheduling_key(service))
         if vm == self._members.own.vm:
             return self._decide(entry)
         backpressure = known_backpressure(self._directory, service, self._clock())
--- a/lynxchute/scheduling/scheduler.py
+++ b/lynxchute/scheduling/scheduler.py
@@ -8,17 +8,17 @@
 
 import attrs
 
-from lynxchute.application import Background, Tasks
+from lynxchute.application import BackgroundTask, Tasks
 from lynxchute.config import EngineTraits
 from lynxchute.fleet.client import Peers
 from lynxchute.fleet.members import Members
-from lynxchute.fleet.message import Done
+from lynxchute.fleet.message import Ack
 from lynxchute.fleet.messages import (
-    PlaceReply,
-    PlaceRequest,
-    RunNews,
-    RunNewsRequest,
+    PlacementReply,
+    PlacementRequest,
     RunStage,
+    RunUpdate,
+    RunUpdateRequest,
 )
 from lynxchute.fleet.server import PeerServer
 from lynxchute.http import LinkMeter
@@ -31,7 +31,7 @@
 from lynxchute.scheduling.placing import EnginePlacing
 from lynxchute.scheduling.turns import AdmissionQueue
 from lynxchute.telemetry import log_event
-from lynxchute.upstreams.aims import NO_AIMS, Aims
+from lynxchute.upstreams.aims import NO_TARGETS, LatencyTargets
 from lynxchute.upstreams.cold_admission import PERMIT_SECONDS
 from lynxchute.upstreams.directory import Directory
 from lynxchute.upstreams.engines import EngineClient, EngineUnavailable
@@ -51,7 +51,7 @@
 LOCAL_RETRY_MS = 50.0
 
 
-class Scheduler(Background, Placement):
+class Scheduler(BackgroundTask, Placement):
     """Place generations by the load of the whole fleet.
 
     For each service, rendezvous hashing selects one of the reachable routers as its
@@ -161,7 +161,7 @@
             for upstream_id in self.board.track_new(candidates):
                 entry = self._directory.entries_by_id[upstream_id]
                 # The query counts as a request to the engine and can be sent later.
-                if self._gate.may_be_asked(entry, self._clock()):
+                if self._gate.may_query(entry, self._clock()):
                     self._tasks.spawn(self._load_cache(entry.upstream))
 
     def discard_upstream(self, upstream: Upstream) -> None:
@@ -181,15 +181,15 @@
 
     def serve(self, server: PeerServer) -> None:
         """Register the handlers for messages of other routers."""
-        server.answers_by_class[PlaceRequest] = self._handle_place_request
-        server.answers_by_class[RunNewsRequest] = self._handle_run_news
+        server.handlers_by_class[PlacementRequest] = self._handle_place_request
+        server.handlers_by_class[RunUpdateRequest] = self._handle_run_news
 
     async def choose(
         self,
         run_id: str,
         generation: Generation | None,
         candidates: Sequence[Entry],
-        aims: Aims = NO_AIMS,
+        aims: LatencyTargets = NO_TARGETS,
     ) -> Choice | None:
         """Return the chosen candidate, or None if none may receive the request."""
         assert generation is not None
@@ -222,8 +222,8 @@
         )
 
     async def _decide(
-        self, request: PlaceRequest, candidates: Sequence[Entry]
-    ) -> tuple[str, PlaceReply]:
+        self, request: PlacementRequest, candidates: Sequence[Entry]
+    ) -> tuple[str, PlacementReply]:
         """Return the VM that decides on a request, and its reply."""
         vm, reply = await self._placement_client.query(
             request, has_waited=request.run_id in self._scheduler_by_run
@@ -243,8 +243,8 @@
         return own, self.placing.decide(request, candidates)
 
     def _place_locally(
-        self, request: PlaceRequest, candidates: Sequence[Entry]
-    ) -> PlaceReply:
+        self, request: PlacementRequest, candidates: Sequence[Entry]
+    ) -> PlacementReply:
         """Place a request by the engines' reports and this router's open requests."""
         now = self._clock()
         sampled = sample_candidates(candidates, self._random)
@@ -255,7 +255,7 @@
                 engines=len(candidates),
                 open_here=sum(entry.open_requests for entry in candidates),
             )
-            return PlaceReply("", retry_ms=LOCAL_RETRY_MS)
+            return PlacementReply("", retry_ms=LOCAL_RETRY_MS)
         reply = self.placing.place(request, least_loaded(sampled, now))
         if not reply.upstream:
             # All sampled engines are cold or throttled.
@@ -286,7 +286,7 @@
         self, run_id: str, upstream_id: str, stage: RunStage, took_ms: float = 0.0
     ) -> None:
         vm = self._scheduler_by_run.get(run_id, self._members.own.vm)
-        news = RunNews(run_id, upstream_id, stage, took_ms)
+        news = RunUpdate(run_id, upstream_id, stage, took_ms)
         if vm == self._members.own.vm:
             self._apply_news(news)
             return
@@ -297,18 +297,18 @@
         return self._scheduling_vm(service) == self._members.own.vm
 
     def _scheduling_vm(self, service: str) -> str:
-        return self._members.first_for(scheduling_key(service))
+        return self._members.owner_of(scheduling_key(service))
 
-    async def _handle_run_news(self, request: RunNewsRequest) -> Done:
+    async def _handle_run_news(self, request: RunUpdateRequest) -> Ack:
         for news in request.news:
             self._apply_news(news)
-        return Done()
+        return Ack()
 
-    async def _handle_place_request(self, request: PlaceRequest) -> PlaceReply:
+    async def _handle_place_request(self, request: PlacementRequest) -> PlacementReply:
         self._placement_client.last_queried_at = self._clock()
         return await self.placing.handle_request(request)
 
-    def _apply_news(self, news: RunNews) -> None:
+    def _apply_news(self, news: RunUpdate) -> None:
         queue = self.placing.admission_queue
         if news.stage is RunStage.UNPLACED:
             self.board.discard_run(news.run_id)
--- a/lynxchute/scheduling/turns.py
+++ b/lynxchute/scheduling/turns.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-from lynxchute.fleet.messages import PlaceReply, PlaceRequest
+from lynxchute.fleet.messages import PlacementReply, PlacementRequest
 from lynxchute.overload.claim import Claim, InvalidClaim
 from lynxchute.overload.drain import DrainRate
 from lynxchute.overload.fair_shares import EqualDivision
@@ -90,7 +90,7 @@
         for service in set(self._queue_by_service) - set(live_services):
             del self._queue_by_service[service]
 
-    def check(self, request: PlaceRequest, claim: Claim) -> None:
+    def check(self, request: PlacementRequest, claim: Claim) -> None:
         """Check a claim for valid values and a known router.
 
         Raises
@@ -119,8 +119,8 @@
         return not len(service_queue.queue)
 
     def enqueue(
-        self, request: PlaceRequest, claim: Claim, slots: int, now: float
-    ) -> PlaceReply:
+        self, request: PlacementRequest, claim: Claim, slots: int, now: float
+    ) -> PlacementReply:
         """Queue a request, or check the place of one that is queued already.
 
         Parameters
@@ -145,15 +145,17 @@
         if retry_after is not None:
             service_queue.poll_due_by_run.pop(run_id, None)
             self._record_refusal(claim, retry_after, now)
-            return PlaceReply("", retry_ms=max(retry_after * 1000.0, 1.0))
+            return PlacementReply("", retry_ms=max(retry_after * 1000.0, 1.0))
         ahead = service_queue.queue.position_of(run_id, now)
         expected = service_queue.queue.expected_wait(run_id, now)
         poll_after = min(max(expected * POLL_SHARE, MIN_POLL_SECONDS), MAX_POLL_SECONDS)
         service_queue.poll_due_by_run[run_id] = now + poll_after + GRACE_SECONDS
         self._update_waiting_metric()
-        return PlaceReply("", wait_ms=poll_after * 1000.0, ahead=ahead)
+        return PlacementReply("", wait_ms=poll_after * 1000.0, ahead=ahead)
 
-    def record_placement(self, request: PlaceRequest, claim: Claim, now: float) -> None:
+    def record_placement(
+        self, request: PlacementRequest, claim: Claim, now: float
+    ) -> None:
         """Record that a request has been placed."""
         service_queue = self._queue_by_service.get(request.service)
         if service_queue is not None and request.run_id in service_queue.queue:
@@ -208,14 +210,18 @@
             self._queue_by_service[service] = service_queue
         return service_queue
 
-    def _make_ticket(self, request: PlaceRequest, claim: Claim, now: float) -> Ticket:
+    def _make_ticket(
+        self, request: PlacementRequest, claim: Claim, now: float
+    ) -> Ticket:
         is_timely_retry = self._record_attempt(request, claim, now)
         cost = request_cost(request)
         return claim.ticket(
             request.run_id, request.router, cost, now, is_timely_retry=is_timely_retry
         )
 
-    def _record_attempt(self, request: PlaceRequest, claim: Claim, now: float) -> bool:
+    def _record_attempt(
+        self, request: PlacementRequest, claim: Claim, now: float
+    ) -> bool:
         """Charge an attempt to its account; return whether it is a timely retry.
 
         A retry after the requested delay is not charged again, since the refused
@@ -263,12 +269,12 @@
         self._metrics.waiting.set(waiting)
 
 
-def request_cost(request: PlaceRequest) -> float:
+def request_cost(request: PlacementRequest) -> float:
     """Return the cost of a request for its engine, in equivalent prompt tokens.
 
     Examples
     --------
-    >>> request_cost(PlaceRequest("r", "pool", "a", (), 1000, 60, (), "x"))
+    >>> request_cost(PlacementRequest("r", "pool", "a", (), 1000, 60, (), "x"))
     1600.0
     """
     answer = request.expected_output_tokens
@@ -277,7 +283,7 @@
     return request.prompt_tokens + ANSWER_TOKEN_WEIGHT * answer
 
 
-def reject_claim(request: PlaceRequest, error: InvalidClaim) -> PlaceReply:
+def reject_claim(request: PlacementRequest, error: InvalidClaim) -> PlacementReply:
     """Log an invalid claim; return a reply that makes its router place locally."""
     log_event(
         "placement claim rejected",
@@ -285,4 +291,4 @@
         router=request.router,
         reason=str(error),
     )
-    return PlaceReply("")
+    return PlacementReply("")
--- a/lynxchute/settings.py
+++ b/lynxchute/settings.py
@@ -10,7 +10,7 @@
 from lynxchute._structure import Finding, load_document, option
 from lynxchute.address import Address
 from lynxchute.config.document import FleetDocument, check_document
-from lynxchute.edge.settings import USUAL_LINK_MBPS, Bounds, EdgeSettings
+from lynxchute.edge.settings import DEFAULT_LINK_MBPS, DeploymentBounds, EdgeSettings
 
 
 @attrs.frozen
@@ -36,7 +36,7 @@
 
     memory_mb: float = option(default=256.0, low=32.0, doc="Memory, in MB.")
     link_mbps: float = option(
-        default=USUAL_LINK_MBPS, low=0.1, doc="What its link carries, in Mbit/s."
+        default=DEFAULT_LINK_MBPS, low=0.1, doc="What its link carries, in Mbit/s."
     )
     cores: float = option(default=1.0, low=0.01, doc="Processors, in cores.")
 
@@ -93,7 +93,7 @@
             memory_mb=machine.memory_mb,
             link_mbps=machine.link_mbps,
             cores=machine.cores,
-            bounds=Bounds(
+            bounds=DeploymentBounds(
                 stop=self.stop,
                 retry_share=self.retries.share,
                 retry_extra=self.retries.extra,
--- a/lynxchute/spending/balance.py
+++ b/lynxchute/spending/balance.py
@@ -7,11 +7,11 @@
 
 import attrs
 
-from lynxchute.application import Loop
+from lynxchute.application import PeriodicTask
 from lynxchute.clock import steady_seconds
 from lynxchute.fleet.client import Peers, PeerUnreachable
 from lynxchute.fleet.members import Member, Members
-from lynxchute.fleet.messages import GiveRequest
+from lynxchute.fleet.messages import TransferRequest
 from lynxchute.spending.keeper import LedgerSync
 from lynxchute.spending.lenders import Lenders
 from lynxchute.spending.standing import LocalReserve
@@ -72,7 +72,7 @@
         local_reserve: LocalReserve | None = None,
     ) -> None:
         self._local_reserve = local_reserve
-        self.loop = Loop("balance", self._step, STEP_SECONDS)
+        self.loop = PeriodicTask("balance", self._step, STEP_SECONDS)
         self._ledger_sync = ledger_sync
         self._ledger = ledger_sync.ledger
         self._lenders = lenders
@@ -157,7 +157,7 @@
             return
         try:
             await self._peers.ask(
-                recipient.vm, GiveRequest(gift.gift_id, gift.account, gift.tokens)
+                recipient.vm, TransferRequest(gift.gift_id, gift.account, gift.tokens)
             )
         except PeerUnreachable:
             # Safe to retry with the same process: the transfer is idempotent there.
--- a/lynxchute/spending/final_use.py
+++ b/lynxchute/spending/final_use.py
@@ -8,10 +8,10 @@
 from lynxchute.budgets import Ledger
 from lynxchute.fleet.client import Peers, PeerUnreachable
 from lynxchute.fleet.members import Members
-from lynxchute.fleet.message import Done, Message
+from lynxchute.fleet.message import Ack, Message
 from lynxchute.fleet.messages import (
-    FinalUse,
     FinalUseReply,
+    FinalUseReport,
     FinalUseRequest,
 )
 from lynxchute.fleet.server import PeerServer
@@ -53,12 +53,12 @@
         self._ledger = ledger
         self._members = members
         self._peers = peers
-        self._final_use_by_vm: dict[str, FinalUse] = {}
+        self._final_use_by_vm: dict[str, FinalUseReport] = {}
 
     def serve(self, server: PeerServer) -> None:
         """Register the handlers of final-use messages."""
-        server.answers_by_class[FinalUse] = self._handle_final_use
-        server.answers_by_class[FinalUseRequest] = self._handle_final_use_request
+        server.handlers_by_class[FinalUseReport] = self._handle_final_use
+        server.handlers_by_class[FinalUseRequest] = self._handle_final_use_request
 
     async def announce(self) -> None:
         """Close the ledger and send an upper bound of its use to all other routers.
@@ -68,7 +68,7 @@
         ledger = self._ledger
         ledger.is_closing = True
         used = {name: s.own_use for name, s in ledger.shares_by_account.items()}
-        final = FinalUse(ledger.vm, ledger.incarnation, used)
+        final = FinalUseReport(ledger.vm, ledger.incarnation, used)
         replies = await self._broadcast(final, self._other_vms())
         log_event(
             "final use sent to other routers", told=len(replies), accounts=len(used)
@@ -132,9 +132,9 @@
         replies = await asyncio.gather(*(ask(vm) for vm in vms))
         return [reply for reply in replies if reply is not None]
 
-    async def _handle_final_use(self, message: FinalUse) -> Done:
+    async def _handle_final_use(self, message: FinalUseReport) -> Ack:
         self._final_use_by_vm[message.vm] = message
-        return Done()
+        return Ack()
 
     async def _handle_final_use_request(
         self, message: FinalUseRequest
--- a/lynxchute/spending/keeper.py
+++ b/lynxchute/spending/keeper.py
@@ -6,7 +6,7 @@
 import random
 from collections.abc import Awaitable, Callable
 
-from lynxchute.application import Background
+from lynxchute.application import BackgroundTask
 from lynxchute.budgets import Ledger
 from lynxchute.budgets.plan import Plan
 from lynxchute.budgets.rows import HOLDERS_TABLE, TOTALS_TABLE
@@ -35,7 +35,7 @@
 UNDERGRANTED_POLL_SECONDS = 2.0
 
 
-class LedgerSync(Background):
+class LedgerSync(BackgroundTask):
     """Write the ledger's planned changes to the store, one write at a time.
 
     Parameters
--- a/lynxchute/spending/lenders.py
+++ b/lynxchute/spending/lenders.py
@@ -10,7 +10,7 @@
 from lynxchute.clock import steady_seconds
 from lynxchute.fleet.client import Peers, PeerUnreachable
 from lynxchute.fleet.members import Members
-from lynxchute.fleet.messages import LendReply, LendRequest, VoidLoan
+from lynxchute.fleet.messages import CancelledLoan, LendReply, LendRequest
 from lynxchute.spending.keeper import LedgerSync
 from lynxchute.spending.settlements import SettlementSender
 from lynxchute.telemetry import log_event
@@ -159,7 +159,7 @@
             secrets.token_hex(8), account, needed, wanted, by_store, kept_by
         )
         # Without a reply, the lender may still have made the loan.
-        void_loan = VoidLoan(loan.loan_id, account)
+        void_loan = CancelledLoan(loan.loan_id, account)
         try:
             reply = await self._peers.ask(vm, loan)
         except PeerUnreachable:
@@ -202,7 +202,7 @@
                 continue
             near_by = member.data_centre == own.data_centre
             (near if near_by else far).append(vm)
-        homes = self._members.homes_elsewhere(account)
+        homes = self._members.remote_homes(account)
         return [
             *dict.fromkeys([*near, *far, *homes, *self._reserve_borrowers(account)])
         ]
--- a/lynxchute/spending/reservations.py
+++ b/lynxchute/spending/reservations.py
@@ -12,9 +12,8 @@
 from lynxchute.config import ClientAccount
 from lynxchute.fleet.client import Peers, PeerUnreachable
 from lynxchute.fleet.members import Members
-from lynxchute.fleet.message import Done
+from lynxchute.fleet.message import Ack
 from lynxchute.fleet.messages import (
-    GiveRequest,
     LendReply,
     LendRequest,
     PingRequest,
@@ -23,6 +22,7 @@
     ReserveRequest,
     Settlement,
     SettleRequest,
+    TransferRequest,
 )
 from lynxchute.fleet.server import PeerServer
 from lynxchute.relay.budgets import (
@@ -122,11 +122,11 @@
 
     def serve(self, server: PeerServer) -> None:
         """Register the handlers of budget messages from other routers."""
-        server.answers_by_class[ReserveRequest] = self._handle_reserve
-        server.answers_by_class[SettleRequest] = self._handle_settle
-        server.answers_by_class[LendRequest] = self._handle_lend
-        server.answers_by_class[GiveRequest] = self._handle_give
-        server.answers_by_class[PingRequest] = self._handle_ping
+        server.handlers_by_class[ReserveRequest] = self._handle_reserve
+        server.handlers_by_class[SettleRequest] = self._handle_settle
+        server.handlers_by_class[LendRequest] = self._handle_lend
+        server.handlers_by_class[TransferRequest] = self._handle_give
+        server.handlers_by_class[PingRequest] = self._handle_ping
 
     async def reserve(
         self, request_id: str, account: ClientAccount, tokens: int
@@ -293,14 +293,14 @@
     async def _handle_reserve(self, request: ReserveRequest) -> ReserveReply:
         return await self.reserve_locally(request)
 
-    async def _handle_settle(self, request: SettleRequest) -> Done:
+    async def _handle_settle(self, request: SettleRequest) -> Ack:
         for settlement in request.settlements:
             self._ledger.settle(settlement.reservation_id, settlement.used)
         for loan in request.void_loans:
             tokens = self._ledger.void_loan(loan.loan_id, loan.account)
             log_event("loan voided", account=loan.account, tokens=tokens)
         self._ledger_sync.record_use()
-        return Done()
+        return Ack()
 
     async def _handle_lend(self, request: LendRequest) -> LendReply:
         account = request.account
@@ -330,12 +330,12 @@
         self._ledger_sync.record_use()
         return LendReply(lent, released, self._ledger.unused(account))
 
-    async def _handle_give(self, request: GiveRequest) -> Done:
+    async def _handle_give(self, request: TransferRequest) -> Ack:
         self._ledger.transfer_in(request.gift_id, request.account, request.tokens)
-        return Done()
+        return Ack()
 
-    async def _handle_ping(self, request: PingRequest) -> Done:
-        return Done()
+    async def _handle_ping(self, request: PingRequest) -> Ack:
+        return Ack()
 
     def _log_reserved(
         self, request_id: str, request: ReserveRequest, holder: str, how: str
--- a/lynxchute/spending/settlements.py
+++ b/lynxchute/spending/settlements.py
@@ -6,11 +6,11 @@
 
 import attrs
 
-from lynxchute.application import Background
+from lynxchute.application import BackgroundTask
 from lynxchute.budgets import Ledger
 from lynxchute.fleet.client import Peers, PeerUnreachable
 from lynxchute.fleet.members import Members
-from lynxchute.fleet.messages import Settlement, SettleRequest, VoidLoan
+from lynxchute.fleet.messages import CancelledLoan, Settlement, SettleRequest
 from lynxchute.telemetry import log_event
 
 # Seconds for which settlements are collected into one batch.
@@ -27,7 +27,7 @@
     """Messages waiting for one router, and since when it has been unreachable."""
 
     settlements: list[Settlement] = attrs.Factory(list)
-    void_loans: list[VoidLoan] = attrs.Factory(list)
+    void_loans: list[CancelledLoan] = attrs.Factory(list)
     unreachable_since: float | None = None
 
     @property
@@ -36,7 +36,7 @@
         return not self.settlements and not self.void_loans
 
 
-class SettlementSender(Background):
+class SettlementSender(BackgroundTask):
     """Collect settlements and voided loans and send them in batches.
 
     Parameters
@@ -64,7 +64,7 @@
         outbox.settlements.append(settlement)
         self._has_messages.set()
 
-    def queue_void(self, lender: str, loan: VoidLoan) -> None:
+    def queue_void(self, lender: str, loan: CancelledLoan) -> None:
         """Queue the cancellation of a loan whose reply did not arrive."""
         outbox = self._outbox_by_vm.setdefault(lender, _Outbox())
         outbox.void_loans.append(loan)
--- a/lynxchute/spending/standing.py
+++ b/lynxchute/spending/standing.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from lynxchute.application import Loop
+from lynxchute.application import PeriodicTask
 from lynxchute.budgets.demand import DemandEstimate
 from lynxchute.budgets.standing import LocalReservePolicy, LocalReserveView
 from lynxchute.clock import steady_seconds
@@ -57,7 +57,7 @@
     def __init__(
         self, ledger_sync: LedgerSync, lenders: Lenders, members: Members
     ) -> None:
-        self.loop = Loop("standing", self._step, STEP_SECONDS)
+        self.loop = PeriodicTask("standing", self._step, STEP_SECONDS)
         self._ledger = ledger_sync.ledger
         self._ledger_sync = ledger_sync
         self._lenders = lenders
--- a/lynxchute/standins/callers.py
+++ b/lynxchute/standins/callers.py
@@ -12,7 +12,7 @@
 
 from lynxchute.callers import names
 from lynxchute.config.from_document import CHAT_PATH
-from lynxchute.http import ExchangeFailed, HttpClient, Timeouts
+from lynxchute.http import ExchangeError, HttpClient, Timeouts
 from lynxchute.relay.refusal import RunStatus
 from lynxchute.standins.counts import paid_by_account, served_by_account
 from lynxchute.standins.deployment import MODEL, Deployment, caller_key
@@ -146,7 +146,7 @@
                 "POST", target, headers=headers, body=json.dumps(value).encode()
             )
             body = await response.body()
-        except ExchangeFailed:
+        except ExchangeError:
             return None
         finally:
             client.close()
--- a/lynxchute/standins/counts.py
+++ b/lynxchute/standins/counts.py
@@ -38,6 +38,6 @@
     """Return what the routers count as used, by account."""
     counted = dict.fromkeys(deployment.shape.budgets, 0)
     for router in deployment.routers_by_vm.values():
-        for account, share in router.keeper.ledger.shares_by_account.items():
+        for account, share in router.ledger_sync.ledger.shares_by_account.items():
             counted[account] += share.own_use
     return counted
--- a/lynxchute/standins/daemon.py
+++ b/lynxchute/standins/daemon.py
@@ -14,7 +14,7 @@
 
 from lynxchute._structure import Finding, load_document, option
 from lynxchute.address import Address
-from lynxchute.application import end_on_signals
+from lynxchute.application import install_stop_handlers
 from lynxchute.event_loop import run as run_loop
 from lynxchute.http import (
     BadRequest,
@@ -168,7 +168,7 @@
 async def serve(settings: StandinSettings) -> None:
     """Run the stand-ins until told to stop."""
     ended = asyncio.Event()
-    end_on_signals(ended.set, lambda: os._exit(EXIT_KILLED))
+    install_stop_handlers(ended.set, lambda: os._exit(EXIT_KILLED))
     standins = Standins(settings)
     await standins.start()
     log_event("started", pid=os.getpid())
--- a/lynxchute/standins/deployment.py
+++ b/lynxchute/standins/deployment.py
@@ -215,7 +215,7 @@
         expected = len(self.routers_by_vm)
         return (
             router.is_ready()
-            and router.keeper.ledger.is_open
+            and router.ledger_sync.ledger.is_open
             and router.members.count >= expected
         )
 
@@ -225,7 +225,7 @@
         for vm, router in self.routers_by_vm.items():
             if self._vms[vm] != data_centre:
                 continue
-            for account, share in router.keeper.ledger.shares_by_account.items():
+            for account, share in router.ledger_sync.ledger.shares_by_account.items():
                 if share.terms.granted:
                     held.add(account)
         return held >= set(self.shape.budgets)
--- a/lynxchute/store/clock.py
+++ b/lynxchute/store/clock.py
@@ -26,14 +26,14 @@
     # Steady clocks of two computers differ by some 50 ppm; this is 20 times it.
     DRIFT = 0.001
 
-    last_told_ms: int = 0
+    last_reported_ms: int = 0
     _offset_ms: float | None = None
     _observed_at: float = 0.0
     _first_told_ms: int | None = None
     _first_asked_at: float = 0.0
 
     @property
-    def known(self) -> bool:
+    def is_known(self) -> bool:
         """Return whether the store has ever told its time."""
         return self._offset_ms is not None
 
@@ -51,7 +51,7 @@
         asked_at
             The same, before the question was sent.
         """
-        self.last_told_ms = max(self.last_told_ms, told_ms)
+        self.last_reported_ms = max(self.last_reported_ms, told_ms)
         if self._first_told_ms is None:
             self._first_told_ms = told_ms
             self._first_asked_at = now if asked_at is None else asked_at
--- a/lynxchute/store/counted.py
+++ b/lynxchute/store/counted.py
@@ -26,7 +26,7 @@
 }
 
 
-class CountedStore(Store):
+class InstrumentedStore(Store):
     """Pass calls on to a store, and count how they end.
 
     Parameters
--- a/lynxchute/store/feed.py
+++ b/lynxchute/store/feed.py
@@ -8,7 +8,7 @@
 import attrs
 from absl import logging
 
-from lynxchute.application import Background
+from lynxchute.application import BackgroundTask
 from lynxchute.clock import steady_seconds
 from lynxchute.store.rows import Changes, Row
 from lynxchute.store.store import HistoryLost, Store, StoreUnavailable
@@ -40,7 +40,7 @@
     retry: float = 0.2
 
 
-class TableFeed(Background):
+class TableFeed(BackgroundTask):
     """Copy a table of the store and follow its changes.
 
     Versions of a row only grow here, whatever order answers come in.
@@ -85,7 +85,7 @@
         *,
         times: FeedTimes,
         on_row: Callable[[Row], None],
-        on_page: Callable[[], None] = lambda: None,
+        on_batch: Callable[[], None] = lambda: None,
         clock: Callable[[], float] = steady_seconds,
     ) -> None:
         super().__init__()
@@ -93,25 +93,25 @@
         self.rows_by_key: dict[str, Row] = {}
         self.version = 0
         self.heard_at: float | None = None
-        self.lost_at: float | None = None
-        self.regained_at = 0.0
+        self.unavailable_since: float | None = None
+        self.recovered_at = 0.0
         self.confirmed_at = float("-inf")
         self.listed_at = float("-inf")
         self.synced = asyncio.Event()
         self._store = store
         self._times = times
         self._on_row = on_row
-        self._on_page = on_page
+        self._on_page = on_batch
         self._clock = clock
         self._listed = False
         self._confirming: asyncio.Task[bool] | None = None
 
-    def silent_for(self, now: float) -> float:
+    def seconds_since_answer(self, now: float) -> float:
         """Return the seconds since the store last answered this feed."""
         return float("inf") if self.heard_at is None else now - self.heard_at
 
-    async def confirm(
-        self, *, within: float, list_within: float, patience: float
+    async def ensure_current(
+        self, *, within: float, max_list_age: float, patience: float
     ) -> bool:
         """Return whether the table is known as it stood a moment ago.
 
@@ -129,19 +129,19 @@
             Seconds that asking may take.
         """
         if self._confirming is None or self._confirming.done():
-            asking = self._confirm(within, list_within, patience)
+            asking = self._confirm(within, max_list_age, patience)
             self._confirming = asyncio.create_task(asking)
         # All who wait share one question: one after the other they would wait for
         # each other's time to run out while the store is away.
         return await asyncio.shield(self._confirming)
 
     async def _confirm(
-        self, within: float, list_within: float, patience: float
+        self, within: float, max_list_age: float, patience: float
     ) -> bool:
         now = self._clock()
         try:
             async with asyncio.timeout(patience):
-                if self.listed_at <= now - list_within:
+                if self.listed_at <= now - max_list_age:
                     await self._list()
                 while self.confirmed_at <= now - within:
                     await self._ask(0.0)
@@ -151,13 +151,13 @@
             return False
         except (StoreUnavailable, TimeoutError) as error:
             logging.info(
-                "the table could not be confirmed",
+                "could not verify that the table is current",
                 extra={"fields": {"table": self.table, "reason": repr(error)}},
             )
             return False
         return True
 
-    def take(self, rows: tuple[Row, ...]) -> None:
+    def apply_rows(self, rows: tuple[Row, ...]) -> None:
         """Take rows that the store had, however they came here."""
         changed = []
         for row in rows:
@@ -187,21 +187,24 @@
                 await asyncio.sleep(self._times.retry)
             except HistoryLost:
                 logging.info(
-                    "the store forgot changes; the table is listed again",
+                    "change history lost; listing the table again",
                     extra={"fields": {"table": self.table, "version": self.version}},
                 )
                 self._listed = False
             except Exception:
-                logging.exception("the feed of table %s failed once", self.table)
+                logging.exception("feed of table %s failed; retrying", self.table)
                 await asyncio.sleep(self._times.retry)
 
     async def _step(self) -> None:
-        if self.lost_at is not None and self._clock() - self.lost_at > MISSED_SECONDS:
+        if (
+            self.unavailable_since is not None
+            and self._clock() - self.unavailable_since > MISSED_SECONDS
+        ):
             self._listed = False
         if not self._listed:
             await self._list()
         # After a silence, hear at once that the store is back.
-        wait = self._times.wait if self.lost_at is None else 0.0
+        wait = self._times.wait if self.unavailable_since is None else 0.0
         changes = await self._ask(wait)
         if self._times.pause and changes.rows:
             await asyncio.sleep(self._times.pause)
@@ -216,7 +219,7 @@
         # After a quiet spell the history is gone, and the table is listed.
         for row in changes.rows:
             self.version = max(self.version, row.version)
-        self.take(changes.rows)
+        self.apply_rows(changes.rows)
         if not changes.rows:
             self.confirmed_at = max(self.confirmed_at, asked_at)
         return changes
@@ -232,7 +235,7 @@
         self._listed = True
         self.listed_at = asked_at
         self.confirmed_at = max(self.confirmed_at, asked_at)
-        self.take(snapshot.rows)
+        self.apply_rows(snapshot.rows)
         self.synced.set()
 
     def _drop_missing(self, rows: tuple[Row, ...], version: int) -> None:
@@ -259,29 +262,31 @@
             try:
                 self._on_row(row)
             except Exception:
-                logging.exception("row %s of %s was not taken", row.id.key, self.table)
+                logging.exception(
+                    "row %s of table %s could not be applied", row.id.key, self.table
+                )
         try:
             self._on_page()
         except Exception:
-            logging.exception("a page of table %s was not taken whole", self.table)
+            logging.exception("batch callback of table %s failed", self.table)
 
     def _note_heard(self) -> None:
         now = self._clock()
         self.heard_at = now
-        if self.lost_at is None:
+        if self.unavailable_since is None:
             return
-        silent = round(now - self.lost_at, 3)
-        self.lost_at = None
-        self.regained_at = now
+        silent = round(now - self.unavailable_since, 3)
+        self.unavailable_since = None
+        self.recovered_at = now
         logging.info(
             "the store answers again",
             extra={"fields": {"table": self.table, "silent_s": silent}},
         )
 
     def _note_lost(self, error: Exception) -> None:
-        if self.lost_at is not None:
+        if self.unavailable_since is not None:
             return
-        self.lost_at = self._clock()
+        self.unavailable_since = self._clock()
         logging.warning(
             "the store does not answer",
             extra={"fields": {"table": self.table, "reason": str(error)}},
--- a/lynxchute/store/row_value.py
+++ b/lynxchute/store/row_value.py
@@ -9,7 +9,7 @@
 import attrs
 
 
-class ValueUnreadable(ValueError):
+class RowValueError(ValueError):
     """Report a row whose value is not of the shape that its table has."""
 
 
@@ -44,23 +44,23 @@
         try:
             fields = json.loads(value)
         except (ValueError, RecursionError) as error:
-            raise ValueUnreadable(f"no JSON: {error!r}") from error
+            raise RowValueError(f"no JSON: {error!r}") from error
         if not isinstance(fields, dict):
-            raise ValueUnreadable("no JSON object")
+            raise RowValueError("no JSON object")
         return cls(fields)
 
     def text(self, name: str) -> str:
         """Return a text that is not empty."""
         value = self.fields.get(name)
         if not isinstance(value, str) or not value:
-            raise ValueUnreadable(f"{name!r} is no text")
+            raise RowValueError(f"{name!r} is no text")
         return value
 
     def flag(self, name: str, *, default: bool) -> bool:
         """Return a truth value."""
         value = self.fields.get(name, default)
         if not isinstance(value, bool):
-            raise ValueUnreadable(f"{name!r} is neither true nor false")
+            raise RowValueError(f"{name!r} is neither true nor false")
         return value
 
     def count(self, name: str, *, default: Any = _REQUIRED, least: int = 0) -> Any:
@@ -68,33 +68,33 @@
         value = self.fields.get(name)
         if value is None and default is not _REQUIRED:
             return default
-        return whole(value, name, least=least)
+        return whole_number(value, name, least=least)
 
     def number(self, name: str) -> float:
         """Return a finite number that is not negative."""
         value = self.fields.get(name)
         if isinstance(value, bool) or not isinstance(value, int | float):
-            raise ValueUnreadable(f"{name!r} is no number")
+            raise RowValueError(f"{name!r} is no number")
         try:
             found = float(value)
         except OverflowError as error:
-            raise ValueUnreadable(f"{name!r} is too large") from error
+            raise RowValueError(f"{name!r} is too large") from error
         if not math.isfinite(found) or found < 0:
-            raise ValueUnreadable(f"{name!r} is {value}")
+            raise RowValueError(f"{name!r} is {value}")
         return found
 
     def mapping(self, name: str) -> dict[str, Any]:
         """Return an object within the object."""
         value = self.fields.get(name)
         if not isinstance(value, dict):
-            raise ValueUnreadable(f"{name!r} is no object")
+            raise RowValueError(f"{name!r} is no object")
         return value
 
 
-def whole(value: Any, name: str, *, least: int = 0) -> int:
+def whole_number(value: Any, name: str, *, least: int = 0) -> int:
     """Return a value that must be a whole number, neither text nor truth value."""
     if isinstance(value, bool) or not isinstance(value, int):
-        raise ValueUnreadable(f"{name!r} is no whole number")
+        raise RowValueError(f"{name!r} is no whole number")
     if value < least:
-        raise ValueUnreadable(f"{name!r} is {value}")
+        raise RowValueError(f"{name!r} is {value}")
     return value
--- a/lynxchute/store/store.py
+++ b/lynxchute/store/store.py
@@ -21,9 +21,9 @@
         Whether the store gave no sign of itself; else only the answer was lost.
     """
 
-    def __init__(self, reason: str, *, is_silent: bool = False) -> None:
+    def __init__(self, reason: str, *, is_unresponsive: bool = False) -> None:
         super().__init__(reason)
-        self.is_silent = is_silent
+        self.is_unresponsive = is_unresponsive
 
 
 class HistoryLost(Exception):
--- a/lynxchute/upstreams/aims.py
+++ b/lynxchute/upstreams/aims.py
@@ -10,7 +10,7 @@
 
 
 @attrs.frozen
-class Aims:
+class LatencyTargets:
     """Latency targets that a response must meet to be on time for its caller.
 
     Attributes
@@ -29,4 +29,4 @@
     claim: Claim | None = None
 
 
-NO_AIMS = Aims()
+NO_TARGETS = LatencyTargets()
--- a/lynxchute/upstreams/backpressure_watch.py
+++ b/lynxchute/upstreams/backpressure_watch.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from lynxchute.application import Loop, Tasks
+from lynxchute.application import PeriodicTask, Tasks
 from lynxchute.telemetry import log_event
 from lynxchute.upstreams.directory import Directory
 from lynxchute.upstreams.engines import EngineClient, EngineUnavailable
@@ -53,7 +53,9 @@
         clock: Callable[[], float],
     ) -> None:
         self.tasks = Tasks()
-        self.loop = Loop("backpressure", self._step, STEP_SECONDS, self._is_watching)
+        self.loop = PeriodicTask(
+            "backpressure", self._step, STEP_SECONDS, self._is_watching
+        )
         self._directory = directory
         self._engines = engines
         self._rates = rates
--- a/lynxchute/upstreams/engines.py
+++ b/lynxchute/upstreams/engines.py
@@ -22,9 +22,9 @@
         Whether nothing arrived at all, not even a refused connection.
     """
 
-    def __init__(self, reason: str, *, is_silence: bool = False) -> None:
+    def __init__(self, reason: str, *, is_timeout: bool = False) -> None:
         super().__init__(reason)
-        self.is_silence = is_silence
+        self.is_timeout = is_timeout
 
 
 @attrs.frozen
--- a/lynxchute/upstreams/entry.py
+++ b/lynxchute/upstreams/entry.py
@@ -52,7 +52,7 @@
     """
 
     handle: AbortHandle
-    may_move: Callable[[], bool]
+    may_resend: Callable[[], bool]
     content: str = ""
     progress: Progress = Progress.UNANSWERED
     answering_since: float | None = None
@@ -69,7 +69,7 @@
             return 0.0
         return max(now - self.sent_at, 0.0) / self.typical_seconds
 
-    def note_answering(self, now: float) -> None:
+    def record_answering(self, now: float) -> None:
         """Record that a part of the answer has arrived."""
         self.progress = Progress.ANSWERING
         if self.answering_since is None:
--- a/lynxchute/upstreams/expected_finish.py
+++ b/lynxchute/upstreams/expected_finish.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from lynxchute.upstreams.aims import NO_AIMS, Aims
+from lynxchute.upstreams.aims import NO_TARGETS, LatencyTargets
 from lynxchute.upstreams.entry import Entry
 from lynxchute.upstreams.generation import Generation
 from lynxchute.upstreams.learned_speed import MAX_SLOWNESS
@@ -156,7 +156,7 @@
         run_id: str,
         generation: Generation | None,
         candidates: Sequence[Entry],
-        aims: Aims = NO_AIMS,
+        aims: LatencyTargets = NO_TARGETS,
     ) -> Choice | None:
         """Return an upstream drawn by weight among those that accept the request."""
         now = self._clock()
--- a/lynxchute/upstreams/generation.py
+++ b/lynxchute/upstreams/generation.py
@@ -36,7 +36,7 @@
     expected_output_tokens: int | None = None
 
     @property
-    def most_tokens(self) -> int:
+    def max_total_tokens(self) -> int:
         """Return the most tokens that prompt and answer can use together."""
         return self.prompt_tokens + self.max_output_tokens
 
--- a/lynxchute/upstreams/http_engines.py
+++ b/lynxchute/upstreams/http_engines.py
@@ -5,7 +5,7 @@
 from abc import abstractmethod
 from typing import Any, ClassVar
 
-from lynxchute.http import ClientPool, ExchangeFailed, Timeouts
+from lynxchute.http import ClientPool, ExchangeError, Timeouts
 from lynxchute.upstreams.engines import EngineClient, EngineUnavailable
 from lynxchute.upstreams.generation import PromptPart
 from lynxchute.upstreams.upstream import Upstream
@@ -47,7 +47,7 @@
             if status != 200:
                 raise EngineUnavailable(f"{upstream.id} answered {status}")
             return self._listed(answer)
-        except ExchangeFailed as error:
+        except ExchangeError as error:
             raise no_answer(upstream, error) from error
         except (KeyError, TypeError, ValueError, IndexError) as error:
             raise EngineUnavailable(
@@ -55,6 +55,6 @@
             ) from error
 
 
-def no_answer(upstream: Upstream, error: ExchangeFailed) -> EngineUnavailable:
+def no_answer(upstream: Upstream, error: ExchangeError) -> EngineUnavailable:
     """Return the error to raise when an exchange with an upstream has failed."""
-    return EngineUnavailable(f"{upstream.id}: {error}", is_silence=error.is_silence)
+    return EngineUnavailable(f"{upstream.id}: {error}", is_timeout=error.is_timeout)
--- a/lynxchute/upstreams/load_report.py
+++ b/lynxchute/upstreams/load_report.py
@@ -5,7 +5,7 @@
 import json
 from typing import Any
 
-from lynxchute.http import ClientPool, ExchangeFailed, Timeouts
+from lynxchute.http import ClientPool, ExchangeError, Timeouts
 from lynxchute.upstreams.engines import Probe
 from lynxchute.upstreams.generation import PromptPart
 from lynxchute.upstreams.http_engines import HttpEngineClient, no_answer
@@ -41,7 +41,7 @@
         try:
             response = await client.request("GET", LOAD_PATH, timeouts=PROBE_TIMEOUTS)
             body = await response.body()
-        except ExchangeFailed as error:
+        except ExchangeError as error:
             raise no_answer(upstream, error) from error
         return Probe(
             cold_seconds=_cold_seconds(body),
--- a/lynxchute/upstreams/placement.py
+++ b/lynxchute/upstreams/placement.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from lynxchute.upstreams.aims import NO_AIMS, Aims
+from lynxchute.upstreams.aims import NO_TARGETS, LatencyTargets
 from lynxchute.upstreams.entry import Entry
 from lynxchute.upstreams.generation import Generation
 from lynxchute.upstreams.permits import Permits
@@ -55,7 +55,7 @@
         run_id: str,
         generation: Generation | None,
         candidates: Sequence[Entry],
-        aims: Aims = NO_AIMS,
+        aims: LatencyTargets = NO_TARGETS,
     ) -> Choice | None:
         """Return one of the candidates, of which there is at least one.
 
@@ -127,7 +127,7 @@
         run_id: str,
         generation: Generation | None,
         candidates: Sequence[Entry],
-        aims: Aims = NO_AIMS,
+        aims: LatencyTargets = NO_TARGETS,
     ) -> Choice | None:
         """Return the upstream with the fewest open requests, near ones first."""
         self._rotation += 1
--- a/lynxchute/upstreams/rate_limits.py
+++ b/lynxchute/upstreams/rate_limits.py
@@ -98,7 +98,7 @@
         turn = self._own_turn(entry, now)
         return turn is not None and self._usage(entry, now).has_turn_left(turn)
 
-    def take_turn(self, entry: Entry, now: float) -> bool:
+    def use_turn(self, entry: Entry, now: float) -> bool:
         """Use this router's turn for one request; return whether that was possible."""
         turn = self._own_turn(entry, now)
         usage = self._usage(entry, now)
--- a/lynxchute/upstreams/send_gate.py
+++ b/lynxchute/upstreams/send_gate.py
@@ -72,7 +72,7 @@
         """Return whether an upstream is cold and therefore limited."""
         return self._limits_of(entry.upstream.service).is_active(entry.cold_until, now)
 
-    def may_be_asked(self, entry: Entry, now: float) -> bool:
+    def may_query(self, entry: Entry, now: float) -> bool:
         """Return whether the router may send a query of its own to an upstream.
 
         Such queries are not urgent. Probes are not subject to this check.
@@ -112,4 +112,4 @@
             return WithheldReason.COLD
         if now < admitted_until or not self.rates.is_limited(entry, now):
             return None
-        return None if self.rates.take_turn(entry, now) else WithheldReason.LIMITED
+        return None if self.rates.use_turn(entry, now) else WithheldReason.LIMITED
--- a/lynxchute/upstreams/silence.py
+++ b/lynxchute/upstreams/silence.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from lynxchute.application import Loop, Tasks
+from lynxchute.application import PeriodicTask, Tasks
 from lynxchute.reachability import Reachability
 from lynxchute.telemetry import log_event
 from lynxchute.upstreams.directory import Directory
@@ -56,7 +56,9 @@
         clock: Callable[[], float],
     ) -> None:
         self.tasks = Tasks()
-        self.loop = Loop("silence", self._step, STEP_SECONDS, self._may_need_probe)
+        self.loop = PeriodicTask(
+            "silence", self._step, STEP_SECONDS, self._may_need_probe
+        )
         self._directory = directory
         self._engines = engines
         self._reachability = reachability
@@ -65,21 +67,21 @@
 
     def _may_need_probe(self) -> bool:
         """Return whether an upstream may have to be probed."""
-        if self._reachability.is_any_cut:
+        if self._reachability.is_any_unreachable:
             return True
         return any(e.open_sends for e in self._directory.entries_by_id.values())
 
     async def _step(self) -> None:
         now = self._clock()
-        is_any_cut = self._reachability.is_any_cut
+        is_any_unreachable = self._reachability.is_any_unreachable
         for entry in self._directory.entries_by_id.values():
             # Most upstreams have no open sends. Skipping them reduces a step over 3,000
             # upstreams from 0.9 ms to 0.1 ms.
-            if not entry.open_sends and not is_any_cut:
+            if not entry.open_sends and not is_any_unreachable:
                 continue
             if self._is_silent(entry, now, SILENT_SECONDS):
                 self._start_probe(entry, now)
-            elif self._reachability.is_cut(entry.upstream.data_centre):
+            elif self._reachability.is_unreachable(entry.upstream.data_centre):
                 self._probe_unreachable(entry, now)
 
     def _is_silent(self, entry: Entry, now: float, seconds: float) -> bool:
@@ -88,7 +90,7 @@
             return False
         if now - entry.probed_at < REPROBE_SECONDS:
             return False
-        return any(send.may_move() for send in entry.open_sends)
+        return any(send.may_resend() for send in entry.open_sends)
 
     def _probe_unreachable(self, entry: Entry, now: float) -> None:
         """Probe a data centre's upstreams in turn until it is reachable again."""
@@ -114,7 +116,7 @@
         except EngineUnavailable as error:
             if entry.heard_at >= asked_at:
                 return
-            if error.is_silence:
+            if error.is_timeout:
                 self._probe_others(entry)
             self._cancel_sends(entry, str(error))
             return
@@ -122,9 +124,9 @@
         handle_probe(self._directory, entry, probe, self._clock())
 
     def _record_reachable(self, data_centre: str) -> None:
-        if not self._reachability.is_cut(data_centre):
+        if not self._reachability.is_unreachable(data_centre):
             return
-        self._reachability.note_heard(data_centre)
+        self._reachability.record_response(data_centre)
         for entry in self._directory.entries_by_id.values():
             if entry.upstream.data_centre == data_centre:
                 entry.health.resume()
@@ -132,7 +134,7 @@
     def _probe_others(self, silent: Entry) -> None:
         """Probe the other upstreams of a data centre earlier than usual."""
         data_centre, now = silent.upstream.data_centre, self._clock()
-        self._reachability.note_silent(
+        self._reachability.record_timeout(
             data_centre, silent.upstream.id, now, is_upstream=True
         )
         for entry in self._directory.entries_by_id.values():
@@ -143,7 +145,7 @@
 
     def _cancel_sends(self, entry: Entry, reason: str) -> None:
         entry.health.record(SendOutcome.UNREACHED, self._clock())
-        moving = [send for send in entry.open_sends if send.may_move()]
+        moving = [send for send in entry.open_sends if send.may_resend()]
         if not moving:
             return
         log_event(
--- a/tests/backpressure_mutants.py
+++ b/tests/backpressure_mutants.py
@@ -59,7 +59,7 @@
 
 
 def skip_the_turn_check_before_sending():
-    return mock.patch.object(RateLimits, "take_turn", lambda self, entry, now: True)
+    return mock.patch.object(RateLimits, "use_turn", lambda self, entry, now: True)
 
 
 def let_a_later_backoff_shorten_a_longer_one():
--- a/tests/link_play.py
+++ b/tests/link_play.py
@@ -133,11 +133,11 @@
 
     def _handle_received(self, request, index):
         vm = self.vms[index]
-        vm.meter.note_received(BODY)
-        if vm.load.is_too_slow(OBJECTIVE):
+        vm.meter.record_received(BODY)
+        if vm.load.misses_objective(OBJECTIVE):
             self._fail(request, index, "refused")
             return
-        vm.meter.note_sent(BODY)
+        vm.meter.record_sent(BODY)
         vm.send_free_at = max(vm.send_free_at, self.now) + BODY / BYTES_PER_S
         done = vm.send_free_at + SERVICE_SECONDS
         self._schedule(done, lambda: self._handle_answered(request, index))
--- a/tests/platform_support.py
+++ b/tests/platform_support.py
@@ -8,8 +8,8 @@
 
 from lynxchute.address import Address
 from lynxchute.edge.application import EdgeApplication
-from lynxchute.edge.settings import Bounds, EdgeSettings, Features
-from lynxchute.http import ExchangeFailed, HttpClient, Timeouts
+from lynxchute.edge.settings import DeploymentBounds, EdgeSettings, Features
+from lynxchute.http import ExchangeError, HttpClient, Timeouts
 from lynxchute.platform.daemon import make_platform
 from lynxchute.standins.platform_store import PlatformStoreStandin
 from lynxchute.standins.platform_upstream import PlatformUpstreamStandin
@@ -153,7 +153,7 @@
             store=f"127.0.0.1:{self.store_ports[vm]}",
             memory_mb=self.memory_mb,
             store_spans_parts=True,
-            bounds=Bounds(stop=4.0),
+            bounds=DeploymentBounds(stop=4.0),
             features=self.features,
         )
         router = EdgeApplication(settings, make_platform(settings.store))
@@ -167,7 +167,7 @@
 
     def is_settled(self, vm):
         router = self.routers[vm]
-        ledger = router.keeper.ledger
+        ledger = router.ledger_sync.ledger
         return (
             router.is_ready()
             and ledger.is_open
@@ -242,7 +242,7 @@
         return await self.send("POST", path, b"prompt", tokens=tokens, **more)
 
     async def fails(self, *arguments, **more):
-        with contextlib.suppress(ExchangeFailed):
+        with contextlib.suppress(ExchangeError):
             await self.send(*arguments, **more)
             return False
         return True
--- a/tests/router_process.py
+++ b/tests/router_process.py
@@ -8,7 +8,7 @@
 
 import yaml
 
-from lynxchute.http import ExchangeFailed, HttpClient
+from lynxchute.http import ExchangeError, HttpClient
 from tests.platform_support import DATA_CENTRES, free_port
 
 READY_WITHIN = 20.0
@@ -104,7 +104,7 @@
         client = HttpClient(f"127.0.0.1:{self.ports['ready']}")
         try:
             status, _ = await client.get_json("/lynxchute/readyz")
-        except ExchangeFailed:
+        except ExchangeError:
             return False
         return status == 200
 
--- a/tests/soak/deadly.py
+++ b/tests/soak/deadly.py
@@ -3,7 +3,7 @@
 import asyncio
 import random
 
-from lynxchute.http import ExchangeFailed
+from lynxchute.http import ExchangeError
 from tests.platform_support import HOST
 from tests.soak.fleet import AMPLE
 
@@ -86,7 +86,7 @@
                     "POST", f"/{self._kind}/x", headers=headers, body=BODY
                 )
                 await response.body()
-        except (ExchangeFailed, TimeoutError):
+        except (ExchangeError, TimeoutError):
             # Its router or upstream is gone.
             pass
         after = sum(upstream.standin.crashes for upstream in self._fleet.upstreams)
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from lynxchute.http import ExchangeFailed
+from lynxchute.http import ExchangeError
 from tests.platform_support import HOST
 from tests.soak.backpressure import BackpressureSetter
 from tests.soak.deadly import DeadlyCaller
@@ -151,7 +151,7 @@
     try:
         response = await client.request("GET", f"/v{version}/x", headers=headers)
         await response.body()
-    except ExchangeFailed:
+    except ExchangeError:
         return 0
     return response.status
 
--- a/tests/soak/traffic.py
+++ b/tests/soak/traffic.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from lynxchute.http import ExchangeFailed, HttpClient, Timeouts
+from lynxchute.http import ExchangeError, HttpClient, Timeouts
 from tests.platform_support import HOST
 from tests.soak.fleet import AMPLE, SCARCE
 
@@ -125,7 +125,7 @@
             # The soak is over.
             record.left = True
             raise
-        except ExchangeFailed as error:
+        except ExchangeError as error:
             record.was_sent = error.sent
             if not record.body:
                 record.status = 0
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -7,7 +7,7 @@
 from lynxchute.budgets import DemandPolicy, Ledger
 from lynxchute.fleet.client import Peers, PeerUnreachable
 from lynxchute.fleet.members import Member, Members
-from lynxchute.fleet.messages import Done
+from lynxchute.fleet.messages import Ack
 from lynxchute.spending.balance import Gift, Rebalancer
 from tests.support import AsyncTestCase
 
@@ -24,7 +24,7 @@
         if self.lost:
             self.lost -= 1
             raise PeerUnreachable(vm)
-        return Done()
+        return Ack()
 
 
 @attrs.define
@@ -42,7 +42,7 @@
         account = next(
             name
             for name in (f"account-{random.Random(n).random()}" for n in range(99))
-            if Members.in_order(self.both(), name, ["a-1", "a-2"])[0] == "a-2"
+            if Members.preference_order(self.both(), name, ["a-1", "a-2"])[0] == "a-2"
         )
         self.members.put(Member("a-2", "a", "run-2", "x:2"))
         self.peers = LossyPeers(lost)
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -243,7 +243,7 @@
             status, _, _ = await caller.send("POST", chat, "x" * 2_000_000)
             self.assertEqual(413, status)
             for router in deployment.routers_by_vm.values():
-                self.assertEqual({}, router.keeper.ledger.reservations_by_id)
+                self.assertEqual({}, router.ledger_sync.ledger.reservations_by_id)
                 self.assertEqual(0, router.relay.open_requests)
 
         with_deployment(self, scenario)
--- a/tests/test_cold_upstreams.py
+++ b/tests/test_cold_upstreams.py
@@ -259,7 +259,7 @@
             await self.configure_cold_limit(deployment)
             await asyncio.sleep(TAKE_OVER_SECONDS)
             members = deployment.routers["a-1"].members
-            first = members.in_order("schedule pool", list(members.by_vm))[0]
+            first = members.preference_order("schedule pool", list(members.by_vm))[0]
             (other,) = set(deployment.routers) - {first}
             await deployment.routers.pop(first).kill()
             await self.grow_cold(deployment, deployment.engines, 3.0)
--- a/tests/test_containment.py
+++ b/tests/test_containment.py
@@ -10,8 +10,8 @@
 )
 from lynxchute.fleet.client import Peers, PeerUnreachable
 from lynxchute.fleet.members import Member, Members
-from lynxchute.fleet.message import Done, from_json, to_json
-from lynxchute.fleet.quarantine_messages import QuarantineNews, RunEvidence
+from lynxchute.fleet.message import Ack, from_json, to_json
+from lynxchute.fleet.quarantine_messages import CrashEvidence, QuarantineUpdate
 from lynxchute.fleet.registry import FEED_TIMES
 from lynxchute.http import AbortHandle
 from lynxchute.platform.store import ANSWER_TIMEOUT
@@ -44,7 +44,7 @@
         self.messages.append((vm, from_json(to_json(message), type(message))))
         if vm in self.unreachable:
             raise PeerUnreachable(vm)
-        return Done()
+        return Ack()
 
 
 class FakeStore:
@@ -117,7 +117,7 @@
 
         self.run_async(work())
         vm, message = self.fleet.peers.messages[-1]
-        self.assertEqual(("vm-7", QuarantineNews((ITEM,))), (vm, message))
+        self.assertEqual(("vm-7", QuarantineUpdate((ITEM,))), (vm, message))
         self.assertEqual(ROUTERS, len(self.fleet.peers.messages))
 
     def test_released_requests_are_not_sent(self):
@@ -171,7 +171,7 @@
         messages = [message for _, message in self.fleet.peers.messages]
         if not messages:
             return containment.judge.attribution.has_pending_crashes()
-        self.assertEqual([RunEvidence], [type(message) for message in messages])
+        self.assertEqual([CrashEvidence], [type(message) for message in messages])
         return messages[0].broken
 
     def test_all_runs_of_a_crash_are_sent_together(self):
@@ -192,11 +192,11 @@
     def test_runs_past_the_crash_window_are_not_reported(self):
         def work(containment):
             long_run = self.open_send()
-            long_run.note_answering(self.fleet.now)
+            long_run.record_answering(self.fleet.now)
             self.fleet.now += CRASH_WINDOW_SECONDS
             containment.record_broken(ENGINE, long_run)
             young = self.open_send("young")
-            young.note_answering(self.fleet.now)
+            young.record_answering(self.fleet.now)
             containment.record_broken(ENGINE, young)
 
         expected = (BrokenRun("young", "i-1", Progress.ANSWERING),)
@@ -232,7 +232,7 @@
             self.fleet.members.remove(second)
             await containment._send_evidence()
             _, message = self.fleet.peers.messages[-1]
-            self.assertEqual(RunEvidence((), ("q",)), message)
+            self.assertEqual(CrashEvidence((), ("q",)), message)
 
         self.run_async(work())
 
@@ -243,7 +243,7 @@
             self.fleet.now += 1.0
             containment.record_end(self.open_send(), is_whole=True)
             item = QuarantineEntry("q", since_ms, since_ms + 600_000)
-            await containment._handle_news_message(QuarantineNews((item,)))
+            await containment._handle_news_message(QuarantineUpdate((item,)))
             self.assertIsNone(containment.quarantine_seconds_left("q"))
             await containment._send_evidence()
             _, message = self.fleet.peers.messages[-1]
@@ -256,7 +256,7 @@
             containment = self.containment()
             until_ms = containment.judge.now_ms() + 5_000
             await containment._handle_news_message(
-                QuarantineNews((QuarantineEntry("q", 0, until_ms),))
+                QuarantineUpdate((QuarantineEntry("q", 0, until_ms),))
             )
             seconds_left = containment.quarantine_seconds_left("q")
             self.assertTrue(4.9 < seconds_left <= 5.0, seconds_left)
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -134,14 +134,12 @@
             text = deployment.router.file.read_text()
             deployment.router.file.write_text(text.replace("grace_s: 6", "grace_s: 5"))
             process.send_signal(signal.SIGHUP)
-            await until(lambda: deployment.router.events("settings read again"))
+            await until(lambda: deployment.router.events("settings reloaded"))
             deployment.router.file.write_text(text.replace("grace_s: 6", "grace_s: 44"))
-            await until(
-                lambda: len(deployment.router.events("settings read again")) == 2
-            )
+            await until(lambda: len(deployment.router.events("settings reloaded")) == 2)
             deployment.router.file.write_text("nonsense")
             process.send_signal(signal.SIGHUP)
-            await until(lambda: deployment.router.events("settings not taken"))
+            await until(lambda: deployment.router.events("settings rejected"))
             status, _, _ = await deployment.caller().send("GET", "/safe/x")
             self.assertEqual(200, status)
 
@@ -267,7 +265,7 @@
             await deployment.store.drop("servers", gone.id)
             entry = router.directory.entries_by_id[gone.id]
             await until(lambda: not entry.takes_work)
-            router.upstreams.feed.take((Row(row.id, row.value, row.version),))
+            router.upstreams.feed.apply_rows((Row(row.id, row.value, row.version),))
             self.assertFalse(entry.takes_work)
 
         self.with_platform(scenario)
@@ -284,15 +282,15 @@
         order = members.homes("kanda")
         self.assertEqual({"a-1", "a-2", "a-3"}, set(order))
         silent = next(vm for vm in order if vm != "a-1")
-        members.note_silence(silent, 10.0)
+        members.record_failure(silent, 10.0)
         self.assertNotIn(silent, members.homes("kanda"))
-        self.assertEqual([], members.to_try_again(10.1))
-        self.assertEqual([silent], members.to_try_again(11.0))
-        members.note_answer(silent)
+        self.assertEqual([], members.retries_due(10.1))
+        self.assertEqual([silent], members.retries_due(11.0))
+        members.record_success(silent)
         self.assertEqual(order, members.homes("kanda"))
         members.put(self.member(silent, is_leaving=True))
         self.assertNotIn(silent, members.homes("kanda"))
-        members.leave()
+        members.mark_leaving()
         self.assertNotIn("a-1", members.homes("kanda"))
 
     def test_weak_routers_serve_others_last(self):
@@ -316,7 +314,7 @@
     def test_a_new_run_of_a_silent_router_is_asked_at_once(self):
         members = Members(self.member("a-1"))
         members.put(self.member("a-2"))
-        members.note_silence("a-2", 10.0)
+        members.record_failure("a-2", 10.0)
         again = Member("a-2", "a", "another-run", "127.0.0.1:1")
         members.put(again)
         self.assertTrue(members.is_reachable("a-2"))
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -197,7 +197,7 @@
     def test_a_row_that_a_listener_cannot_take_costs_no_other_row(self):
         taken, pages = [], []
 
-        def take(item):
+        def apply_rows(item):
             if item.id.key == "bad":
                 raise ValueError("cannot be taken")
             taken.append(item.id.key)
@@ -206,10 +206,10 @@
             None,
             "t",
             times=FeedTimes(),
-            on_row=take,
-            on_page=lambda: pages.append(len(taken)),
+            on_row=apply_rows,
+            on_batch=lambda: pages.append(len(taken)),
         )
-        feed.take((row(b"", "a"), row(b"", "bad"), row(b"", "b")))
+        feed.apply_rows((row(b"", "a"), row(b"", "bad"), row(b"", "b")))
         self.assertEqual((["a", "b"], [2]), (taken, pages))
 
 
@@ -222,8 +222,8 @@
             make_platform("127.0.0.1:1"), self.directory, ClientPool(), bound=2.0
         )
 
-    def take(self, *rows):
-        self.watcher.feed.take(rows)
+    def apply_rows(self, *rows):
+        self.watcher.feed.apply_rows(rows)
 
     def abort(self):
         self.aborted.append(True)
@@ -231,16 +231,16 @@
     def test_good_entries_behind_a_bad_one_are_known(self):
         bad = entry()[:-1] + b', "slots": 1e999}'
         deep = b"[" * 100_000
-        self.take(row(bad, "i-0"), row(deep, "i-1"), row(entry(), "i-2"))
+        self.apply_rows(row(bad, "i-0"), row(deep, "i-1"), row(entry(), "i-2"))
         self.assertEqual(["i-2"], list(self.directory.entries_by_id))
 
     def test_an_entry_overwritten_by_what_cannot_be_read_takes_no_work(self):
         for version, value in enumerate((b"\xff", b"{}", entry(address=5)), 2):
-            self.take(row(entry(), version=version * 2))
+            self.apply_rows(row(entry(), version=version * 2))
             found = self.directory.entries_by_id["i-1"]
             found.open_sends.add(OpenSend(self, lambda: True))
             self.assertTrue(found.takes_work)
-            self.take(row(value, version=version * 2 + 1))
+            self.apply_rows(row(value, version=version * 2 + 1))
             self.assertFalse(found.takes_work)
         self.assertEqual([], self.aborted)
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -5,7 +5,7 @@
 import json
 
 from lynxchute.budgets.rows import HOLDERS_TABLE, TOTALS_TABLE, HolderRow, Totals
-from lynxchute.http import ExchangeFailed, HttpClient
+from lynxchute.http import ExchangeError, HttpClient
 from lynxchute.standins.counts import counted_by_account, served_by_account
 from lynxchute.standins.platform_store import Outage
 from lynxchute.standins.text import answer_tokens
@@ -95,7 +95,7 @@
             _, answer = await deployment.operate("kyu-b-1", statement)
             self.assertIn(answer["state"], ("not_done", "unknown"))
             deployment.set_cut("kyu-b", False)
-            far = deployment.routers_by_vm["kyu-b-1"].keeper.ledger
+            far = deployment.routers_by_vm["kyu-b-1"].ledger_sync.ledger
             await until(lambda: far.prepaid_by_account[ACCOUNT] == 100_070)
             _, answer = await deployment.operate("kyu-b-1", statement)
             self.assertEqual("done", answer["state"])
@@ -160,10 +160,10 @@
             caller = Caller(deployment, "kyu-a-1")
             await deployment.start_router("kyu-a-1")
             await deployment.wait_until_ready()
-            old.keeper.request_write()
-            await until(lambda: old.keeper.ledger.fenced)
+            old.ledger_sync.request_write()
+            await until(lambda: old.ledger_sync.ledger.fenced)
             ran = len(runs(deployment))
-            self.assertEqual(0, old.keeper.ledger.available(ACCOUNT, 10**15))
+            self.assertEqual(0, old.ledger_sync.ledger.available(ACCOUNT, 10**15))
             await old.kill()
             self.assertEqual(ran, len(runs(deployment)))
             caller.client.close()
@@ -247,7 +247,7 @@
         "POST", CHAT, headers=caller.headers, body=body
     )
     pieces = []
-    with contextlib.suppress(ExchangeFailed):
+    with contextlib.suppress(ExchangeError):
         async for piece in response.chunks():
             pieces.append(piece)
     return b"".join(pieces)
@@ -350,7 +350,7 @@
             gift = {"gift_id": "g", "account": ACCOUNT, "tokens": 10**6}
             status, _ = await client.post_json("/fleet/give", gift)
             self.assertEqual(401, status)
-            share = router.keeper.ledger.share(ACCOUNT)
+            share = router.ledger_sync.ledger.share(ACCOUNT)
             self.assertEqual(0, share.borrowed)
             client.close()
 
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -9,7 +9,7 @@
 
 from lynxchute.http import (
     BadRequest,
-    ExchangeFailed,
+    ExchangeError,
     HttpClient,
     HttpServer,
     ServerLimits,
@@ -45,7 +45,7 @@
             if self.handler is not None:
                 await self.handler(request, respond)
                 return
-            await respond.whole(200, request.body, "text/plain")
+            await respond.send_whole(200, request.body, "text/plain")
         except asyncio.CancelledError:
             self.cancelled += 1
             raise
@@ -163,8 +163,8 @@
                 self.assertIn(b"problem:overloaded", found)
                 self.assertIn(b"Retry-After", found)
                 first[2].write(b"x" * 500)
-                whole = await first[1].readuntil(b"\r\n\r\n")
-                self.assertIn(b" 200 ", whole)
+                send_whole = await first[1].readuntil(b"\r\n\r\n")
+                self.assertIn(b" 200 ", send_whole)
                 first[2].close()
                 await until(lambda: server.server.buffered_bytes == 0)
 
@@ -223,10 +223,10 @@
             ended = []
 
             async def stays(request, respond):
-                respond.outlives_caller = True
+                respond.survives_disconnect = True
                 await asyncio.sleep(0.1)
                 ended.append(request.target)
-                await respond.whole(200, b"", "text/plain")
+                await respond.send_whole(200, b"", "text/plain")
 
             async with Server(stays) as server:
                 request = b"GET /stays HTTP/1.1\r\nHost: a\r\n\r\n"
@@ -247,7 +247,7 @@
             async with Server(breaks) as server:
                 client = HttpClient(f"127.0.0.1:{server.server.port}")
                 response = await client.request("GET", "/")
-                with self.assertRaises(ExchangeFailed):
+                with self.assertRaises(ExchangeError):
                     await response.body()
 
         self.run_async(work())
@@ -291,7 +291,7 @@
                 try:
                     response = await client.request("GET", f"/{turn}", **more)
                     found.append(await response.body())
-                except ExchangeFailed as error:
+                except ExchangeError as error:
                     found.append(error.sent)
             server.close()
             return found, client.opened
@@ -314,7 +314,7 @@
 
         strange = answer(b"strange", b"X-Id: other")
         own = answer(b"own", b"X-Id: own")
-        found, opened = self.exchange(strange + own, own, is_answer=is_own)
+        found, opened = self.exchange(strange + own, own, matches_request=is_own)
         self.assertEqual(([b"own", b"own"], 1), (found, opened))
 
     def test_what_is_not_http_may_have_run(self):
@@ -351,7 +351,7 @@
             self.assertEqual(b"half", await response.body())
             end = "reset"
             response = await client.request("GET", "/")
-            with self.assertRaises(ExchangeFailed):
+            with self.assertRaises(ExchangeError):
                 await response.body()
             server.close()
 
@@ -363,7 +363,7 @@
             server, address = await peer_that(cut)
             response = await HttpClient(address).request("GET", "/")
             self.assertEqual(b"half", await response.read())
-            with self.assertRaises(ExchangeFailed):
+            with self.assertRaises(ExchangeError):
                 await response.read()
             server.close()
 
@@ -372,14 +372,14 @@
     def test_pieces_are_framed_as_the_caller_can_read_them(self):
         async def work():
             async def handler(request, respond):
-                respond.begin(200, [("Content-Type", "text/plain")], b"one")
+                respond.start_with_body(200, [("Content-Type", "text/plain")], b"one")
                 for piece in (b"two", b"", b"x" * 300):
                     respond.write(piece)
                 await respond.finish()
 
-            whole = b"onetwo" + b"x" * 300
+            send_whole = b"onetwo" + b"x" * 300
             chunks = b"3\r\none\r\n3\r\ntwo\r\n12c\r\n%s\r\n0\r\n\r\n" % (b"x" * 300)
-            bodies = ((b"1.1", chunks), (b"1.0", whole))
+            bodies = ((b"1.1", chunks), (b"1.0", send_whole))
             async with Server(handler) as server:
                 for version, expected in bodies:
                     line = b"GET / HTTP/%s\r\n" % version
@@ -397,7 +397,7 @@
             errors = []
 
             async def handler(request, respond):
-                respond.begin(200, [], b"one")
+                respond.start_with_body(200, [], b"one")
                 respond.write(b"two")
                 await respond.finish()
                 try:
@@ -424,14 +424,14 @@
                 taken.append(piece)
                 return len(taken) != 2
 
-            self.assertFalse(await response.read_each(take))
+            self.assertFalse(await response.deliver_body(take))
             self.assertEqual([b"one", b"two"], taken)
             # What comes meanwhile waits for the next call.
             await asyncio.sleep(0.1)
             self.assertEqual([b"one", b"two"], taken)
-            self.assertTrue(await response.read_each(take))
+            self.assertTrue(await response.deliver_body(take))
             self.assertEqual(b"onetwothreefour", b"".join(taken))
-            self.assertTrue(await response.read_each(take))
+            self.assertTrue(await response.deliver_body(take))
             server.close()
 
         self.run_async(work())
@@ -451,7 +451,7 @@
                 client = HttpClient(address)
                 response = await client.request("GET", "/")
                 with self.assertRaises(ValueError):
-                    await response.read_each(take)
+                    await response.deliver_body(take)
                 self.assertEqual(number, len(taken))
                 # The rest of the answer is nobody else's.
                 opened = client.opened
@@ -468,8 +468,8 @@
                 taken = []
                 server, address = await peer_that(cut + rest)
                 response = await HttpClient(address).request("GET", "/")
-                with self.assertRaises(ExchangeFailed):
-                    await response.read_each(
+                with self.assertRaises(ExchangeError):
+                    await response.deliver_body(
                         lambda piece, taken=taken: taken.append(piece) or True
                     )
                 self.assertEqual([b"one"], taken)
@@ -488,7 +488,7 @@
                 reading.cancel()
                 return True
 
-            reading = asyncio.create_task(response.read_each(take))
+            reading = asyncio.create_task(response.deliver_body(take))
             await asyncio.sleep(0.2)
             self.assertTrue(reading.cancelled())
             self.assertEqual([b"one"], taken)
@@ -501,7 +501,7 @@
             server, address = await peer_that()
             server.close()
             await server.wait_closed()
-            with self.assertRaises(ExchangeFailed) as caught:
+            with self.assertRaises(ExchangeError) as caught:
                 await HttpClient(address).request("GET", "/")
             self.assertFalse(caught.exception.sent)
 
@@ -516,7 +516,7 @@
                 await response.body()
             self.assertEqual(1, client.opened)
             await asyncio.sleep(0.06)
-            response = await client.request("GET", "/", fresh_within=0.05)
+            response = await client.request("GET", "/", max_idle=0.05)
             await response.body()
             self.assertEqual(2, client.opened)
             client.close()
@@ -585,7 +585,7 @@
             answers = await asyncio.gather(*(client.request("GET", "/") for _ in "abc"))
             for answer in answers:
                 await answer.body()
-            with self.assertRaises(ExchangeFailed):
+            with self.assertRaises(ExchangeError):
                 await client.request("GET", "/")
             response = await client.request("GET", "/")
             self.assertEqual(200, response.status)
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -174,7 +174,7 @@
             clock.observe(told_ms=told, now=now + travel, asked_at=now)
             now += travel
             self.assertLessEqual(clock.earliest_ms(now), now * 1000 + true_offset)
-        if clock.known:
+        if clock.is_known:
             self.assertGreaterEqual(
                 clock.latest_ms(99.0) + 1, int(99.0 * 1000 + true_offset)
             )
