--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lynxchute.http import ExchangeFailed, HttpServer, LinkMeter
+from lynxchute.http import ExchangeError, HttpServer, LinkMeter
 from lynxchute.http.client import HttpClient, Timeouts
 from lynxchute.http.link_meter import MAX_DELAY
 from lynxchute.relay.load import SHED_SECONDS, TARGET_USE, RouterLoad
@@ -33,7 +33,7 @@
         self.meter = LinkMeter(8.0, self.clock)
 
     def test_sent_bytes_queue_behind_earlier_ones(self):
-        self.meter.note_sent(100_000)
+        self.meter.record_sent(100_000)
         self.assertAlmostEqual(0.108, self.meter.delay(), places=3)
         self.clock.now += 0.1
         self.assertAlmostEqual(0.008, self.meter.delay(), places=3)
@@ -43,18 +43,18 @@
     def test_received_bytes_add_delay_once_the_link_is_nearly_full(self):
         for _ in range(100):
             self.clock.now += 0.01
-            self.meter.note_received(5_000)
+            self.meter.record_received(5_000)
         self.assertLess(self.meter.delay(), 0.01)
         for _ in range(200):
             self.clock.now += 0.01
-            self.meter.note_received(9_600)
+            self.meter.record_received(9_600)
         self.assertGreater(self.meter.delay(), 0.1)
 
     def test_use_is_the_recent_use_of_the_busier_direction(self):
         for _ in range(100):
             self.clock.now += 0.01
-            self.meter.note_sent(5_000)
-            self.meter.note_received(2_000)
+            self.meter.record_sent(5_000)
+            self.meter.record_received(2_000)
         self.assertAlmostEqual(0.54, self.meter.use(), delta=0.1)
         self.clock.now += 2.0
         self.assertLess(self.meter.use(), 0.02)
@@ -64,8 +64,8 @@
         clock = Clock()
         meter = LinkMeter(5.0, clock)
         for size, pause in sends:
-            meter.note_sent(size)
-            meter.note_received(size)
+            meter.record_sent(size)
+            meter.record_received(size)
             self.assertLessEqual(meter.delay(), 2 * MAX_DELAY)
             clock.now += pause
         clock.now += 10_000.0
@@ -77,16 +77,16 @@
         clock = Clock()
         meter = LinkMeter(8.0, clock)
         load = RouterLoad(meter, clock)
-        self.assertFalse(load.is_too_slow(0.8))
-        meter.note_sent(100_000)
-        self.assertFalse(load.is_too_slow(0.8))
-        self.assertTrue(load.is_too_slow(0.2))
+        self.assertFalse(load.misses_objective(0.8))
+        meter.record_sent(100_000)
+        self.assertFalse(load.misses_objective(0.8))
+        self.assertTrue(load.misses_objective(0.2))
         self.assertFalse(load.is_shedding)
-        meter.note_sent(100_000)
-        self.assertFalse(load.is_too_slow(0.8))
+        meter.record_sent(100_000)
+        self.assertFalse(load.misses_objective(0.8))
         self.assertTrue(load.is_shedding)
         clock.now += SHED_SECONDS - 0.1
-        self.assertFalse(load.is_too_slow(0.2))
+        self.assertFalse(load.misses_objective(0.2))
         self.assertTrue(load.is_shedding)
         clock.now += 0.2
         self.assertFalse(load.is_shedding)
@@ -97,8 +97,8 @@
         load = RouterLoad(meter, clock, random.Random(1))
         for _ in range(200):
             clock.now += 0.01
-            meter.note_sent(10_000)
-            load.is_too_slow(10.0)
+            meter.record_sent(10_000)
+            load.misses_objective(10.0)
         self.assertTrue(load.is_shedding)
         ended = sum(load.ends_connection() for _ in range(1_000))
         self.assertAlmostEqual(1_000 * (1 - TARGET_USE / meter.use()), ended, delta=50)
@@ -114,7 +114,7 @@
             caller = PlatformCaller(deployment)
             self.assertEqual(200, (await caller.stream())[0])
             # As much as half a second of a fast link.
-            router.load._meter.note_sent(70_000_000)
+            router.load._meter.record_sent(70_000_000)
             status, headers, body = await caller.stream()
             self.assertEqual(503, status)
             self.assertIn(b'"run": "not_run"', body)
@@ -143,7 +143,7 @@
                 timeouts=Timeouts(connect=0.0, first_byte=0.0),
                 meter=meter,
             )
-            meter.note_sent(400_000)
+            meter.record_sent(400_000)
             status, _ = await client.get_json("/")
             self.assertEqual(200, status)
             client.close()
@@ -167,7 +167,7 @@
                 # The request is admitted while the link is free; the link is full when
                 # it is sent.
                 router.clients.meter = LinkMeter(8.0, lambda: 0.0)
-                router.clients.meter.note_sent(400_000)
+                router.clients.meter.record_sent(400_000)
                 status, headers, body = await caller.send(
                     "GET", "/safe/x", deadline_ms=deadline_ms
                 )
@@ -197,12 +197,12 @@
             # Two seconds of an 8 Mbit/s link; the meter counts at most one second.
             meter = LinkMeter(8.0)
             router.load._meter = meter
-            meter.note_sent(600_000)
+            meter.record_sent(600_000)
             await until(lambda: not router.callers.is_accepting)
             # A router that reports ready must accept connections.
             self.assertFalse(router.is_ready())
             new_caller = PlatformCaller(deployment)
-            with self.assertRaises(ExchangeFailed) as caught:
+            with self.assertRaises(ExchangeError) as caught:
                 await new_caller.send("GET", "/safe/x")
             self.assertFalse(caught.exception.sent)
             # An open connection still gets a response, even if that is a refusal.
--- a/tests/test_loops.py
+++ b/tests/test_loops.py
@@ -3,7 +3,7 @@
 import asyncio
 import random
 
-from lynxchute.application import Loop, _next_tick
+from lynxchute.application import PeriodicTask, _next_tick
 from tests.support import AsyncTestCase
 
 INTERVAL = 0.01
@@ -41,7 +41,9 @@
                 raise ValueError("this step")
 
         async def work():
-            loop = Loop("tested", step, INTERVAL, more.get("is_due", lambda: True))
+            loop = PeriodicTask(
+                "tested", step, INTERVAL, more.get("is_due", lambda: True)
+            )
             await loop.start()
             try:
                 await scenario(loop, steps)
--- a/tests/test_neighbourhood.py
+++ b/tests/test_neighbourhood.py
@@ -12,7 +12,7 @@
 import testtools
 
 from lynxchute.fleet.members import Member, Members
-from lynxchute.fleet.messages import PlaceRequest
+from lynxchute.fleet.messages import PlacementRequest
 from lynxchute.http import LinkMeter
 from lynxchute.scheduling.cold_placements import ColdPlacementLimiter
 from lynxchute.scheduling.scheduler import Scheduler
@@ -123,7 +123,7 @@
             for number in range(1_500):
                 part = f"p{rng.randrange(500)}"
                 parts = ((part, 3_000), (f"own{number}", 500))
-                request = PlaceRequest(
+                request = PlacementRequest(
                     f"r{number}", "pool", "a", (), 3_500, 60, parts, "run"
                 )
                 reply = await scheduler._handle_place_request(request)
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -256,7 +256,7 @@
         async def scenario(deployment):
             port = await deployment.store.open_port()
             client = StoreClient(lambda: users_platform(f"127.0.0.1:{port}"))
-            ledgers = [r.keeper.ledger for r in deployment.routers.values()]
+            ledgers = [r.ledger_sync.ledger for r in deployment.routers.values()]
             await until(lambda: all(x.shares_by_account for x in ledgers))
             await until(
                 lambda: all(s.terms.granted for x in ledgers
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -304,21 +304,21 @@
     def test_it_lists_again_what_it_missed(self):
         async def scenario(standin, feed, faults):
             faults.outage = Outage.BUSY
-            await until(lambda: feed.lost_at is not None)
+            await until(lambda: feed.unavailable_since is not None)
             await standin.drop("own", "first")
             await standin.put("own", "second", b"2")
             standin.forget_history()
             faults.outage = Outage.NONE
             await until(lambda: [r.id.key for r in feed.live_rows()] == ["second"])
-            self.assertIsNone(feed.lost_at)
+            self.assertIsNone(feed.unavailable_since)
 
         self.with_feed(scenario)
 
     def test_whoever_was_away_lists_the_table_and_replays_nothing(self):
         async def scenario(standin, feed, faults):
             faults.outage = Outage.BUSY
-            await until(lambda: feed.lost_at is not None)
-            feed.lost_at -= MISSED_SECONDS
+            await until(lambda: feed.unavailable_since is not None)
+            feed.unavailable_since -= MISSED_SECONDS
             for number in range(40):
                 await standin.put("own", "first", b"%d" % number)
             taken = []
@@ -338,21 +338,25 @@
             await standin.put("own", "second", b"2")
             await until(lambda: len(feed.live_rows()) == 2)
             self.assertEqual(float("-inf"), feed.confirmed_at)
-            self.assertTrue(await self.confirm(feed, within=0.05, patience=1.0))
+            self.assertTrue(await self.ensure_current(feed, within=0.05, patience=1.0))
             self.assertGreater(feed.confirmed_at, 0.0)
 
         self.with_feed(scenario)
 
-    def confirm(self, feed, within=0.0, list_within=9.0, patience=0.05):
-        return feed.confirm(within=within, list_within=list_within, patience=patience)
+    def ensure_current(self, feed, within=0.0, max_list_age=9.0, patience=0.05):
+        return feed.ensure_current(
+            within=within, max_list_age=max_list_age, patience=patience
+        )
 
     def test_only_a_list_proves_what_watchers_do_not_hear(self):
         async def scenario(standin, feed, faults):
             faults.hides_changes = True
             await standin.put("own", "second", b"2")
-            self.assertTrue(await self.confirm(feed, within=1.0, patience=1.0))
+            self.assertTrue(await self.ensure_current(feed, within=1.0, patience=1.0))
             self.assertEqual(1, len(feed.live_rows()))
-            found = await self.confirm(feed, within=1.0, list_within=0.0, patience=1.0)
+            found = await self.ensure_current(
+                feed, within=1.0, max_list_age=0.0, patience=1.0
+            )
             self.assertTrue(found)
             self.assertEqual(2, len(feed.live_rows()))
 
@@ -362,9 +366,9 @@
         async def scenario(standin, feed, faults):
             faults.outage = Outage.SILENT
             feed.confirmed_at = float("-inf")
-            self.assertFalse(await self.confirm(feed, within=9.0))
+            self.assertFalse(await self.ensure_current(feed, within=9.0))
             feed.confirmed_at = feed._clock()
-            self.assertTrue(await self.confirm(feed, within=9.0))
+            self.assertTrue(await self.ensure_current(feed, within=9.0))
 
         self.with_feed(scenario)
 
@@ -384,7 +388,7 @@
         async def scenario(standin, feed, faults):
             version = await standin.put("own", "first", b"new")
             await until(lambda: feed.rows_by_key["first"].version == version)
-            feed.take((Row(RowId("own", "first"), b"old", version - 1),))
+            feed.apply_rows((Row(RowId("own", "first"), b"old", version - 1),))
             self.assertEqual(b"new", feed.rows_by_key["first"].value)
 
         self.with_feed(scenario)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -17,9 +17,9 @@
 
 from lynxchute.config.role import Role
 from lynxchute.containment.judge import JUDGE_KEY, QUARANTINE_ROW_ID
-from lynxchute.edge.state import state_of
+from lynxchute.edge.state import router_state
 from lynxchute.fleet.client import PeerUnreachable
-from lynxchute.http import ExchangeFailed
+from lynxchute.http import ExchangeError
 from lynxchute.operators.runner import StatementRunner
 from lynxchute.platform.daemon import make_platform
 from lynxchute.quarantine import QuarantineRecord
@@ -208,7 +208,7 @@
         async def scenario(deployment):
             for vm in VMS:
                 deployment.faults(vm).outage = Outage.SILENT
-            judge = deployment.routers["a-1"].members.first_for(JUDGE_KEY)
+            judge = deployment.routers["a-1"].members.owner_of(JUDGE_KEY)
             left = next(vm for vm in VMS if vm != judge)
             started = [vm for vm in VMS if vm != left]
             # The remaining router has seen none of the crashes itself.
@@ -235,7 +235,7 @@
         async def scenario(deployment):
             for vm in VMS:
                 deployment.faults(vm).outage = Outage.SILENT
-            judge = deployment.routers["a-1"].members.first_for(JUDGE_KEY)
+            judge = deployment.routers["a-1"].members.owner_of(JUDGE_KEY)
             # Only the judge has seen the crashes.
             await crash_until_known(deployment, [judge], known_at=VMS)
             await deployment.routers.pop(judge).kill()
@@ -252,7 +252,7 @@
         async def scenario(deployment):
             await repeat(deployment, 1, ["b-1"])
             await asyncio.sleep(PROPAGATION_SECONDS / 2)
-            judge = deployment.routers["a-1"].members.first_for(JUDGE_KEY)
+            judge = deployment.routers["a-1"].members.owner_of(JUDGE_KEY)
             await deployment.routers.pop(judge).kill()
             left = [vm for vm in VMS if vm != judge]
             await crash_until_known(
@@ -266,12 +266,12 @@
 
     def test_an_unreachable_router_is_notified_again(self):
         async def scenario(deployment):
-            judge = deployment.routers["a-1"].members.first_for(JUDGE_KEY)
+            judge = deployment.routers["a-1"].members.owner_of(JUDGE_KEY)
             unreachable = next(vm for vm in VMS if vm != judge)
             others = [vm for vm in VMS if vm != unreachable]
             # Neither the row in the store nor messages reach this router.
             router = deployment.routers[unreachable]
-            router.registry.takers_by_key.clear()
+            router.registry.handlers_by_key.clear()
             broadcast = deployment.routers[judge].containment.judge._broadcast
             peers, asked = broadcast._peers, []
             broadcast._peers = UnreachablePeers(peers, unreachable, asked)
@@ -401,7 +401,7 @@
             used = used_tokens(deployment)
             await statuses_of(deployment, VMS)
             self.assertEqual(used, used_tokens(deployment))
-            return state_of(router)["quarantine"]
+            return router_state(router)["quarantine"]
 
         (entry,) = self.run_scenario(scenario)
         self.assertGreater(entry["left"], 0)
@@ -461,7 +461,7 @@
 def used_tokens(deployment):
     used = 0
     for router in deployment.routers.values():
-        share = router.keeper.ledger.shares_by_account.get(ACCOUNT)
+        share = router.ledger_sync.ledger.shares_by_account.get(ACCOUNT)
         used += share.own_use + share.reserved if share is not None else 0
     return used
 
@@ -485,7 +485,7 @@
 async def serve_repeatedly(deployment, vm):
     caller = PlatformCaller(deployment, vm)
     while True:
-        with contextlib.suppress(ExchangeFailed):
+        with contextlib.suppress(ExchangeError):
             await caller.send("GET", "/safe/popular")
         await asyncio.sleep(0.03)
 
@@ -497,7 +497,7 @@
 async def ask_until_served(caller, body):
     """Retry as a caller does whose stream may break off; return its events."""
     for _ in range(12):
-        with contextlib.suppress(ExchangeFailed):
+        with contextlib.suppress(ExchangeError):
             status, _, answer = await ask(caller, body)
             if status == 200 and len(ids_of(answer)) == 30:
                 return ids_of(answer)
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -5,7 +5,7 @@
 import testtools
 
 from lynxchute.fleet.members import Member, Members
-from lynxchute.reachability import EVIDENCE_SECONDS, Reachability
+from lynxchute.reachability import TIMEOUT_WINDOW_SECONDS, Reachability
 from lynxchute.upstreams.directory import Directory
 from lynxchute.upstreams.engines import EngineClient, EngineUnavailable, Probe
 from lynxchute.upstreams.entry import OpenSend
@@ -22,48 +22,48 @@
 
     def silent(self, *names, now=10.0, place="b"):
         for name in names:
-            self.reach.note_silent(place, name, now, is_upstream=name[0] == "u")
+            self.reach.record_timeout(place, name, now, is_upstream=name[0] == "u")
 
     def test_one_silent_upstream_does_not_cut_a_data_centre(self):
         self.silent("u1", "u1")
-        self.assertFalse(self.reach.is_cut("b"))
+        self.assertFalse(self.reach.is_unreachable("b"))
 
     def test_silent_routers_alone_do_not_cut_a_data_centre(self):
         self.silent("r1", "r2", "r3")
-        self.assertFalse(self.reach.is_cut("b"))
+        self.assertFalse(self.reach.is_unreachable("b"))
         self.silent("u1")
-        self.assertTrue(self.reach.is_cut("b"))
+        self.assertTrue(self.reach.is_unreachable("b"))
 
     def test_any_answer_resets_the_evidence(self):
         self.silent("u1")
-        self.reach.note_heard("b")
+        self.reach.record_response("b")
         self.silent("u2")
-        self.assertFalse(self.reach.is_cut("b"))
+        self.assertFalse(self.reach.is_unreachable("b"))
 
     def test_evidence_expires_but_a_cut_lasts_until_an_answer(self):
         self.silent("u1", now=10.0)
-        self.silent("u2", now=10.1 + EVIDENCE_SECONDS)
-        self.assertFalse(self.reach.is_cut("b"))
-        self.silent("u1", now=10.2 + EVIDENCE_SECONDS)
+        self.silent("u2", now=10.1 + TIMEOUT_WINDOW_SECONDS)
+        self.assertFalse(self.reach.is_unreachable("b"))
+        self.silent("u1", now=10.2 + TIMEOUT_WINDOW_SECONDS)
         self.silent("u1", now=60.0)
-        self.assertTrue(self.reach.is_cut("b"))
-        self.reach.note_heard("b")
-        self.assertFalse(self.reach.is_cut("b"))
+        self.assertTrue(self.reach.is_unreachable("b"))
+        self.reach.record_response("b")
+        self.assertFalse(self.reach.is_unreachable("b"))
 
     def test_the_own_data_centre_is_never_cut(self):
         self.silent("u1", "u2", place="a")
-        self.assertFalse(self.reach.is_cut("a"))
+        self.assertFalse(self.reach.is_unreachable("a"))
 
     def test_routers_of_a_cut_data_centre_are_not_asked(self):
         members = Members(Member("a-1", "a", "1", "x:1"), self.reach)
         for vm in ("b-1", "b-2", "c-1"):
             members.put(Member(vm, vm[0], "1", "x:1"))
-        members.note_silence("b-1", 10.0)
-        self.assertEqual(["b-2", "c-1"], members.homes_elsewhere("account"))
+        members.record_failure("b-1", 10.0)
+        self.assertEqual(["b-2", "c-1"], members.remote_homes("account"))
         self.silent("u1")
-        self.assertEqual(["c-1"], members.homes_elsewhere("account"))
-        members.note_answer("b-1")
-        self.assertEqual(2, len(members.homes_elsewhere("account")))
+        self.assertEqual(["c-1"], members.remote_homes("account"))
+        members.record_success("b-1")
+        self.assertEqual(2, len(members.remote_homes("account")))
 
 
 class FakeEngineClient(EngineClient):
@@ -74,7 +74,7 @@
     async def probe(self, upstream):
         self.probed.append(upstream.id)
         if upstream.data_centre in self.cut:
-            raise EngineUnavailable(upstream.id, is_silence=True)
+            raise EngineUnavailable(upstream.id, is_timeout=True)
         return Probe()
 
     async def cached_parts(self, upstream):
@@ -125,14 +125,14 @@
             await self.step()
             self.assertEqual(["b1", "b2"], self.engines.probed)
             self.assertEqual({"b1", "b2"}, set(self.aborted))
-            self.assertTrue(self.reach.is_cut("b"))
+            self.assertTrue(self.reach.is_unreachable("b"))
 
         self.run_async(work())
 
     def test_a_cut_data_centre_is_probed_until_it_answers_and_then_used_at_once(self):
         async def work():
             for name in ("b1", "b2"):
-                self.reach.note_silent("b", name, self.now, is_upstream=True)
+                self.reach.record_timeout("b", name, self.now, is_upstream=True)
                 self.entry(name).health.record(SendOutcome.UNREACHED, self.now)
             for _ in range(10):
                 self.now += 0.1
@@ -141,7 +141,7 @@
             self.engines.cut = set()
             self.now += 0.6
             await self.step()
-            self.assertFalse(self.reach.is_cut("b"))
+            self.assertFalse(self.reach.is_unreachable("b"))
             self.assertFalse(self.entry("b1").health.is_paused(self.now))
             probed = len(self.engines.probed)
             self.now += 2.0
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -498,7 +498,7 @@
 async def _used(deployment):
     total = 0
     for router in deployment.routers.values():
-        ledger = router.keeper.ledger
+        ledger = router.ledger_sync.ledger
         await settled(ledger)
         for share in ledger.shares_by_account.values():
             total += share.settled - share.borrowed
--- a/tests/test_relayed_fuzz.py
+++ b/tests/test_relayed_fuzz.py
@@ -88,10 +88,10 @@
         if self.way is Way.REFUSED:
             raise StoreUnavailable("refused")
         if self.way is Way.LOST:
-            raise OutcomeUnknown("lost", is_silent=True)
+            raise OutcomeUnknown("lost", is_unresponsive=True)
         outcome = self._truth.write(write)
         if self.way is Way.ANSWER_LOST:
-            raise OutcomeUnknown("answer lost", is_silent=True)
+            raise OutcomeUnknown("answer lost", is_unresponsive=True)
         return outcome
 
     async def scan(self, table, *, part=""):
--- a/tests/test_relayed_store.py
+++ b/tests/test_relayed_store.py
@@ -75,13 +75,13 @@
         server = Collector()
         self.stores_by_vm[vm].serve(server)
         question = from_json(to_json(message), type(message))
-        reply = await server.answers_by_class[type(message)](question)
+        reply = await server.handlers_by_class[type(message)](question)
         return from_json(to_json(reply), type(message).REPLY)
 
 
 class Collector:
     def __init__(self):
-        self.answers_by_class = {}
+        self.handlers_by_class = {}
 
 
 class RelayedStoreTest(AsyncTestCase):
@@ -118,7 +118,7 @@
             self.assertEqual(Snapshot((Row(ID, b"\x00\xff", 3),), 9), snapshot)
             changes = await store.changes("t", after=3, wait=1.0)
             self.assertEqual(Changes((Row(ID, b"", 4, deleted=True),), 11), changes)
-            self.assertEqual(5_000, direct["a-1"].clock.last_told_ms)
+            self.assertEqual(5_000, direct["a-1"].clock.last_reported_ms)
 
         self.with_stores(scenario)
 
@@ -137,7 +137,7 @@
 
     def test_a_write_of_unknown_outcome_is_not_repeated(self):
         async def scenario(stores, direct, peers):
-            direct["a-1"].failure = OutcomeUnknown("no answer", is_silent=True)
+            direct["a-1"].failure = OutcomeUnknown("no answer", is_unresponsive=True)
             with self.assertRaises(OutcomeUnknown):
                 await stores["a-1"].write(WRITE)
             self.assertEqual([], peers.asked)
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -7,7 +7,7 @@
 
 from lynxchute.scheduling.board import Candidate, EngineBoard
 from lynxchute.scheduling.newcomer import PendingRequest
-from lynxchute.upstreams.aims import NO_AIMS
+from lynxchute.upstreams.aims import NO_TARGETS
 from lynxchute.upstreams.directory import Directory
 from lynxchute.upstreams.entry import OpenSend
 from lynxchute.upstreams.generation import Generation, PromptPart
@@ -45,8 +45,8 @@
         self.aborted += 1
 
     def open_sends(self):
-        for may_move in (True, False):
-            self.entry.open_sends.add(OpenSend(self, lambda may=may_move: may))
+        for may_resend in (True, False):
+            self.entry.open_sends.add(OpenSend(self, lambda may=may_resend: may))
             self.entry.open_requests += 1
 
     def test_restart_resets_the_entry_and_aborts_sends(self):
@@ -124,7 +124,7 @@
         candidate = Candidate("i-1", 64, 400_000, False)
         generation = Generation("m", 500, 60, (PromptPart("aa", 400),))
         board.place(
-            PendingRequest("r1.0", generation, NO_AIMS, "run"), [candidate], 1.0
+            PendingRequest("r1.0", generation, NO_TARGETS, "run"), [candidate], 1.0
         )
         board.discard_upstream("i-1")
         board.track_new([candidate])
--- a/tests/test_router_load.py
+++ b/tests/test_router_load.py
@@ -11,8 +11,8 @@
 from hypothesis import strategies as st
 
 from lynxchute.edge.settings import Features
-from lynxchute.edge.state import state_of
-from lynxchute.http import ExchangeFailed
+from lynxchute.edge.state import router_state
+from lynxchute.http import ExchangeError
 from lynxchute.overload import (
     LINK_LIMITS,
     MEMORY_LIMITS,
@@ -309,7 +309,7 @@
         clock = Clock()
         processor = ProcessorMeter(clock)
         meter = OwnDelayMeter(8.0, processor, clock)
-        meter.note_sent(100_000)
+        meter.record_sent(100_000)
         self.assertEqual(meter.link_delay(), meter.delay())
         for _ in range(50):
             clock.now += 0.1
@@ -423,7 +423,7 @@
         async def scenario(deployment):
             router = deployment.routers["a-1"]
             self.assertEqual([], asyncio.get_running_loop().sleep_observers)
-            self.assertEqual(["link"], list(state_of(router)["load"]))
+            self.assertEqual(["link"], list(router_state(router)["load"]))
             self.assertIs(RouterLoad, type(router.load))
 
         self.with_platform(scenario, routers=("a-1",))
@@ -432,7 +432,7 @@
         async def scenario(deployment):
             router = deployment.routers["a-1"]
             self.assertEqual(1, len(asyncio.get_running_loop().sleep_observers))
-            load = state_of(router)["load"]
+            load = router_state(router)["load"]
             self.assertEqual({"processor", "link", "memory"}, set(load))
             self.assertGreater(load["processor"]["use"], 0.0)
 
@@ -535,11 +535,11 @@
             await until(lambda: not router.is_ready())
             most = 1.5 * PROCESSOR_LIMITS.full_delay
             await until(lambda: router.load.loads()["processor"].delay > most)
-            load = state_of(router)["load"]["processor"]
+            load = router_state(router)["load"]["processor"]
             self.assertGreater(load["use"], PROCESSOR_LIMITS.min_use)
             stranger = PlatformCaller(deployment)
             arrived = sum(len(app.arrivals) for app in deployment.apps)
-            with self.assertRaises(ExchangeFailed):
+            with self.assertRaises(ExchangeError):
                 await stranger.send("GET", "/safe/x")
             self.assertEqual(arrived, sum(len(a.arrivals) for a in deployment.apps))
             self.assertGreater(
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -9,10 +9,10 @@
 from lynxchute.fleet.client import Peers, PeerUnreachable
 from lynxchute.fleet.members import Member, Members
 from lynxchute.fleet.messages import (
-    PlaceRequest,
-    RunNews,
-    RunNewsRequest,
+    PlacementRequest,
     RunStage,
+    RunUpdate,
+    RunUpdateRequest,
 )
 from lynxchute.http import LinkMeter
 from lynxchute.scheduling.board import Candidate, EngineBoard
@@ -119,7 +119,7 @@
         self.is_up = True
 
     async def ask(self, vm, message):
-        if isinstance(message, PlaceRequest):
+        if isinstance(message, PlacementRequest):
             await asyncio.Event().wait()
         if not self.is_up:
             self.undelivered += 1
@@ -129,7 +129,7 @@
     def news(self):
         found = []
         for _, message in self.messages:
-            if isinstance(message, RunNewsRequest):
+            if isinstance(message, RunUpdateRequest):
                 found.extend(message.news)
         return found
 
@@ -187,7 +187,7 @@
             await scheduler.start()
             choice = await self.choose(scheduler)
             self.assertEqual("e1", choice.entry.upstream.id)
-            self.members.note_answer(self.other)
+            self.members.record_success(self.other)
             await until(self.peers.news)
             await scheduler.stop()
 
@@ -202,7 +202,7 @@
             await scheduler.start()
             self.peers.is_up = False
             await self.choose(scheduler)
-            self.members.note_answer(self.other)
+            self.members.record_success(self.other)
             await until(lambda: self.peers.undelivered)
             self.peers.is_up = True
             await until(self.peers.news)
@@ -216,7 +216,7 @@
             self.directory.put(Upstream("e2", "pool", "127.0.0.1:2", "a", slots=64))
             scheduler = self.scheduler()
             for passed_over, expected in ((("e1",), "e2"), (("e2",), "e1")):
-                request = PlaceRequest(
+                request = PlacementRequest(
                     "r1", "pool", "a", passed_over, PROMPT, 60, (("own", 10),), "x"
                 )
                 reply = await scheduler._handle_place_request(request)
@@ -230,14 +230,14 @@
     def test_scheduling_router_discards_unplaced_and_orphaned_runs(self):
         async def scenario():
             scheduler = self.scheduler()
-            request = PlaceRequest(
+            request = PlacementRequest(
                 "r1", "pool", "a", (), PROMPT, 60, (("own", 10),), "run-of-a-3"
             )
             await scheduler._handle_place_request(request)
             engine = scheduler.board.engines_by_id["e1"]
             self.assertEqual({"r1"}, set(engine.runs_by_id))
-            news = RunNews("r1", "", RunStage.UNPLACED)
-            await scheduler._handle_run_news(RunNewsRequest((news,)))
+            news = RunUpdate("r1", "", RunStage.UNPLACED)
+            await scheduler._handle_run_news(RunUpdateRequest((news,)))
             self.assertEqual({}, engine.runs_by_id)
             await scheduler._handle_place_request(request)
             # The router that sent the request is not a member.
@@ -252,7 +252,7 @@
 
     def placed(self):
         scheduler = self.scheduler()
-        request = PlaceRequest(
+        request = PlacementRequest(
             "r1",
             "pool",
             "a",
@@ -268,20 +268,20 @@
         return scheduler, scheduler.board.engines_by_id["e1"]
 
     def tell(self, scheduler, *news):
-        run_loop(scheduler._handle_run_news(RunNewsRequest(news)))
+        run_loop(scheduler._handle_run_news(RunUpdateRequest(news)))
 
     def test_reported_latency_is_used_instead_of_news_arrival_time(self):
         scheduler, engine = self.placed()
         before = engine.reading.tokens_per_ms
         self.now += 5.0
-        self.tell(scheduler, RunNews("r1", "e1", RunStage.BEGUN, took_ms=90.0))
+        self.tell(scheduler, RunUpdate("r1", "e1", RunStage.BEGUN, took_ms=90.0))
         self.assertGreater(engine.reading.tokens_per_ms, before)
 
     def test_paused_stream_has_no_weight(self):
         scheduler, engine = self.placed()
-        self.tell(scheduler, RunNews("r1", "e1", RunStage.BEGUN, took_ms=90.0))
+        self.tell(scheduler, RunUpdate("r1", "e1", RunStage.BEGUN, took_ms=90.0))
         self.assertEqual([300.0], list(engine.weight_by_limit()))
-        self.tell(scheduler, RunNews("r1", "e1", RunStage.PAUSED))
+        self.tell(scheduler, RunUpdate("r1", "e1", RunStage.PAUSED))
         self.assertEqual({}, engine.weight_by_limit())
 
 
--- a/tests/test_spending.py
+++ b/tests/test_spending.py
@@ -83,8 +83,8 @@
             reservation = await reserve(other, 500, "r1")
             self.assertEqual(["r1"], open_requests(home))
             reservation.settle(200)
-            await until(lambda: not home.keeper.ledger.reservations_by_id)
-            self.assertEqual(200, home.keeper.ledger.share(ACCOUNT).settled)
+            await until(lambda: not home.ledger_sync.ledger.reservations_by_id)
+            self.assertEqual(200, home.ledger_sync.ledger.share(ACCOUNT).settled)
 
         self.with_platform(scenario, routers=ROUTERS)
 
@@ -99,7 +99,7 @@
                     taken += 50_000
                     reservation.settle(50_000)
                     for other in deployment.routers.values():
-                        await settled(other.keeper.ledger)
+                        await settled(other.ledger_sync.ledger)
                 except BudgetExhausted as error:
                     refused = error
                     break
@@ -130,14 +130,14 @@
                     await reserve(router, 400, f"{router.settings.vm}.{number}")
                 await asyncio.sleep(0.1)
             for vm in {home_of(deployment, dc).settings.vm for dc in "ab"}:
-                self.assertFalse(deployment.routers[vm].keeper.store_answers)
+                self.assertFalse(deployment.routers[vm].ledger_sync.store_answers)
 
         self.with_platform(scenario, routers=ROUTERS)
 
     def test_in_an_outage_a_request_waits_for_the_limit_line_to_grow(self):
         async def scenario(deployment):
             router = deployment.routers["a-1"]
-            keeper, ledger = router.keeper, router.keeper.ledger
+            keeper, ledger = router.ledger_sync, router.ledger_sync.ledger
             own_share = ledger.share(ACCOUNT)
             await until(lambda: own_share.terms.granted > 300_000)
             cut_off_all(deployment)
@@ -159,33 +159,35 @@
     def test_a_home_that_is_cut_off_borrows_from_the_others(self):
         async def scenario(deployment):
             home, lender = home_of(deployment, "a"), home_of(deployment, "b")
-            await until(lambda: lender.keeper.ledger.unused(ACCOUNT) > 300_000)
-            own_share = home.keeper.ledger.share(ACCOUNT)
+            await until(lambda: lender.ledger_sync.ledger.unused(ACCOUNT) > 300_000)
+            own_share = home.ledger_sync.ledger.share(ACCOUNT)
             # The whole grant is in use.
             own_share.settled = own_share.terms.granted
-            home.keeper.record_use()
-            now_ms = home.keeper.now_ms
+            home.ledger_sync.record_use()
+            now_ms = home.ledger_sync.now_ms
             await until(lambda: own_share.available(now_ms()) >= 0)
             cut_off_all(deployment)
             await reserve(home, 3_000, "r1")
             self.assertGreaterEqual(own_share.borrowed, 3_000)
-            self.assertGreaterEqual(lender.keeper.ledger.share(ACCOUNT).settled, 3_000)
+            self.assertGreaterEqual(
+                lender.ledger_sync.ledger.share(ACCOUNT).settled, 3_000
+            )
 
         self.with_platform(scenario, routers=ROUTERS)
 
     def test_tokens_not_returned_to_an_unreachable_store_can_be_lent(self):
         async def scenario(deployment):
             home, lender = home_of(deployment, "a"), home_of(deployment, "b")
-            await until(lambda: lender.keeper.ledger.unused(ACCOUNT) > 300_000)
-            own_share = home.keeper.ledger.share(ACCOUNT)
+            await until(lambda: lender.ledger_sync.ledger.unused(ACCOUNT) > 300_000)
+            own_share = home.ledger_sync.ledger.share(ACCOUNT)
             own_share.settled = own_share.terms.granted
             # As after spending it: no limit line is below the use.
-            home.keeper.request_write()
+            home.ledger_sync.request_write()
             await until(lambda: own_share.terms.line.base >= own_share.settled)
             cut_off_all(deployment, Outage.SILENT)
             # No router knows yet that the store is unreachable, so the lender tries
             # to return tokens there each time it is asked.
-            keeper = lender.keeper
+            keeper = lender.ledger_sync
             asks = [keeper.release(ACCOUNT, 60_000, 60_000) for _ in range(5)]
             self.assertEqual([0] * 5, await asyncio.gather(*asks))
             self.assertEqual(0, keeper.ledger.share(ACCOUNT).releasing)
@@ -199,11 +201,11 @@
     def test_a_retry_after_a_refusal_in_an_outage_is_served(self):
         async def scenario(deployment):
             home = home_of(deployment, "a")
-            own_share = home.keeper.ledger.share(ACCOUNT)
+            own_share = home.ledger_sync.ledger.share(ACCOUNT)
             await until(lambda: own_share.terms.granted > 300_000)
             # The grant here is used up; the other data centre holds the rest.
             own_share.settled = own_share.terms.granted
-            home.keeper.request_write()
+            home.ledger_sync.request_write()
             await until(lambda: own_share.terms.line.base >= own_share.settled)
             cut_off_all(deployment)
             (far,) = [r for vm, r in deployment.routers.items() if vm[0] == "b"]
@@ -227,8 +229,8 @@
     def test_a_lender_raises_its_limit_line_for_a_request(self):
         async def scenario(deployment):
             lender = home_of(deployment, "b")
-            await until(lambda: lender.keeper.ledger.unused(ACCOUNT) > 300_000)
-            lender.keeper._grant_backoff.until = float("inf")
+            await until(lambda: lender.ledger_sync.ledger.unused(ACCOUNT) > 300_000)
+            lender.ledger_sync._grant_backoff.until = float("inf")
             loan = LendRequest("l1", ACCOUNT, 200_000, 200_000, True)
             reply = await lender.relay._budgets._handle_lend(loan)
             self.assertEqual((200_000, 0), (reply.lent, reply.released))
@@ -244,7 +246,7 @@
             cut_off_all(deployment)
             with self.assertRaises(BudgetUnreachable):
                 await reserve(other, 990_000, "r1")
-            demand = other.keeper.ledger.share(ACCOUNT).demand
+            demand = other.ledger_sync.ledger.share(ACCOUNT).demand
             self.assertEqual(0.0, demand.rate(steady_seconds()))
 
         self.with_platform(scenario, routers=ROUTERS)
@@ -253,18 +255,18 @@
         async def scenario(deployment):
             home, other = home_of(deployment, "a"), home_of(deployment, "b")
             await until(lambda: other.settings.vm in granted(deployment))
-            home.keeper.request_refresh()
-            home.keeper.request_write()
-            known = home.keeper.ledger.totals_by_account
+            home.ledger_sync.request_refresh()
+            home.ledger_sync.request_write()
+            known = home.ledger_sync.ledger.totals_by_account
             await until(
                 lambda: other.settings.vm in known[ACCOUNT].totals.granted_by_vm
             )
             now = steady_seconds()
             for router in others(deployment, home):
-                home.members.note_silence(router.settings.vm, now)
-            own_share = home.keeper.ledger.share(ACCOUNT)
+                home.members.record_failure(router.settings.vm, now)
+            own_share = home.ledger_sync.ledger.share(ACCOUNT)
             own_share.settled = own_share.terms.granted
-            needed = home.keeper.ledger.free(ACCOUNT) + 100
+            needed = home.ledger_sync.ledger.free(ACCOUNT) + 100
             with self.assertRaises(BudgetUnreachable):
                 await reserve(home, needed, "r1")
             # More than the budget holds in total, whatever the silent routers hold.
@@ -293,7 +295,7 @@
             ]
             budgets = home.relay._budgets
             server = home.peer_server
-            answers = {**server.answers_by_class}
+            answers = {**server.handlers_by_class}
 
             async def reserve_and_hang(request):
                 await budgets.reserve_locally(request)
@@ -301,20 +303,22 @@
 
             for cls in answers:
                 if cls.NAME == "reserve":
-                    server.answers_by_class[cls] = reserve_and_hang
+                    server.handlers_by_class[cls] = reserve_and_hang
             await reserve(other, 3_000, "r1")
             self.assertEqual(["r1"], open_requests(other))
-            await until(lambda: not home.keeper.ledger.reservations_by_id, timeout=5)
+            await until(
+                lambda: not home.ledger_sync.ledger.reservations_by_id, timeout=5
+            )
 
         self.with_platform(scenario, routers=ROUTERS)
 
     def test_a_loan_whose_answer_is_lost_is_voided(self):
         async def scenario(deployment):
             home, lender = home_of(deployment, "a"), home_of(deployment, "b")
-            await until(lambda: lender.keeper.ledger.unused(ACCOUNT) > 300_000)
-            ledger = lender.keeper.ledger
+            await until(lambda: lender.ledger_sync.ledger.unused(ACCOUNT) > 300_000)
+            ledger = lender.ledger_sync.ledger
             settled = ledger.share(ACCOUNT).settled
-            answers = lender.peer_server.answers_by_class
+            answers = lender.peer_server.handlers_by_class
             lend = answers[LendRequest]
             lent = []
 
@@ -325,20 +329,20 @@
                 return reply
 
             answers[LendRequest] = lend_and_hang
-            lender.keeper._grant_backoff.until = float("inf")
+            lender.ledger_sync._grant_backoff.until = float("inf")
             budgets = home.relay._budgets
             gathered = await budgets.lenders.gather(
                 ACCOUNT, 10**6, steady_seconds() + 0.1
             )
             self.assertEqual(0, gathered.obtained)
             # The borrower may also be cancelled before the reply arrives.
-            home.members.note_answer(lender.members.own.vm)
+            home.members.record_success(lender.members.own.vm)
             asking = asyncio.create_task(budgets.lenders.fill(ACCOUNT, 1_000))
             await until(lambda: len(lent) == 2)
             asking.cancel()
             self.assertGreater(sum(lent), 0)
             await until(lambda: ledger.share(ACCOUNT).settled == settled, timeout=5)
-            self.assertEqual(0, home.keeper.ledger.share(ACCOUNT).borrowed)
+            self.assertEqual(0, home.ledger_sync.ledger.share(ACCOUNT).borrowed)
 
         self.with_platform(scenario, routers=ROUTERS)
 
@@ -348,11 +352,11 @@
             for number in range(5):
                 await reserve(router, 10_000, f"r{number}")
             await asyncio.sleep(0.7)
-            spent = router.keeper.ledger.share(ACCOUNT).used
+            spent = router.ledger_sync.ledger.share(ACCOUNT).used
             await router.kill()
             restarted = await deployment.start_router("a-1")
-            await until(lambda: restarted.keeper.ledger.is_open)
-            ledger = restarted.keeper.ledger
+            await until(lambda: restarted.ledger_sync.ledger.is_open)
+            ledger = restarted.ledger_sync.ledger
             self.assertGreaterEqual(ledger.share(ACCOUNT).settled, spent)
             await until(lambda: ledger.unused(ACCOUNT) > 100_000)
             await reserve(restarted, 10_000, "r9")
@@ -363,7 +367,7 @@
         async def scenario(deployment):
             router = deployment.routers["a-1"]
             await reserve(router, 10_000, "r1")
-            await router.keeper.close(asyncio.get_running_loop().time() + 2)
+            await router.ledger_sync.close(asyncio.get_running_loop().time() + 2)
             self.assertEqual({"a-1": 10_000}, granted(deployment))
 
         self.with_platform(scenario, routers=("a-1",))
@@ -377,15 +381,17 @@
             cut_off_all(deployment)
             await asyncio.sleep(0.1)
             now = asyncio.get_running_loop().time()
-            self.assertFalse(await home.keeper.close(now + 0.3))
-            await home.final_uses.announce()
+            self.assertFalse(await home.ledger_sync.close(now + 0.3))
+            await home.final_use_exchange.announce()
             await home.kill()
             # By then, the limit line allows the whole grant.
             await asyncio.sleep(5.0)
             cut_off_all(deployment, Outage.NONE)
             restarted = await deployment.start_router(vm)
-            await until(lambda: restarted.keeper.ledger.is_open)
-            self.assertEqual(10_000, restarted.keeper.ledger.share(ACCOUNT).settled)
+            await until(lambda: restarted.ledger_sync.ledger.is_open)
+            self.assertEqual(
+                10_000, restarted.ledger_sync.ledger.share(ACCOUNT).settled
+            )
             self.assertIsNot(router, restarted)
 
         self.with_platform(scenario, routers=ROUTERS)
@@ -399,7 +405,7 @@
             stop = asyncio.create_task(home.drain())
 
             def is_kept(router):
-                final = router.final_uses._final_use_by_vm.get(home.settings.vm)
+                final = router.final_use_exchange._final_use_by_vm.get(home.settings.vm)
                 return final is not None and final.used_by_account == {ACCOUNT: 10_000}
 
             await until(lambda: all(map(is_kept, others(deployment, home))), timeout=2)
@@ -527,5 +533,5 @@
 
 def open_requests(router):
     """Return the ids of requests for which a router holds reservations."""
-    reservations = router.keeper.ledger.reservations_by_id
+    reservations = router.ledger_sync.ledger.reservations_by_id
     return [reservation_id.partition(".")[0] for reservation_id in reservations]
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -162,9 +162,9 @@
     def test_an_isolated_router_serves_earlier_callers(self):
         async def scenario(deployment):
             _, other = await self.serve_requests(deployment)
-            ledger = other.keeper.ledger
+            ledger = other.ledger_sync.ledger
             await until(lambda: ledger.share(ACCOUNT).borrowed > 0)
-            at_hand = ledger.available(ACCOUNT, other.keeper.now_ms())
+            at_hand = ledger.available(ACCOUNT, other.ledger_sync.now_ms())
             self.isolate_routers(deployment)
             for number in range(at_hand // 500):
                 await reserve(other, 500, f"alone {number}")
@@ -175,8 +175,10 @@
     def test_nothing_is_sent_for_a_caller_that_has_closed(self):
         async def scenario(deployment):
             router = deployment.routers["a-1"]
-            ledger = router.keeper.ledger
-            await until(lambda: ledger.available(ACCOUNT, router.keeper.now_ms()) > 900)
+            ledger = router.ledger_sync.ledger
+            await until(
+                lambda: ledger.available(ACCOUNT, router.ledger_sync.now_ms()) > 900
+            )
             head = PlatformCaller(deployment).headers("left", tokens=(100, 60))
             lines = "".join(f"{name}: {value}\r\n" for name, value in head)
             request = f"POST /stream/x HTTP/1.1\r\n{lines}Content-Length: 1\r\n\r\nx"
@@ -197,18 +199,18 @@
             self.isolate_routers(deployment)
             with self.assertRaises(BudgetUnreachable):
                 await reserve(other, 500, "alone")
-            self.assertEqual(0, other.keeper.ledger.share(ACCOUNT).borrowed)
+            self.assertEqual(0, other.ledger_sync.ledger.share(ACCOUNT).borrowed)
 
         self.with_platform(scenario, routers=ROUTERS)
 
     def test_unused_reserves_return_to_the_home(self):
         async def scenario(deployment):
             home, other = await self.serve_requests(deployment)
-            ledger = other.keeper.ledger
+            ledger = other.ledger_sync.ledger
             await until(lambda: ledger.share(ACCOUNT).borrowed > 0)
-            now_ms = other.keeper.now_ms
+            now_ms = other.ledger_sync.now_ms
             await until(lambda: not ledger.available(ACCOUNT, now_ms()), timeout=40)
-            total = home.keeper.ledger.share(ACCOUNT).own_use
+            total = home.ledger_sync.ledger.share(ACCOUNT).own_use
             self.assertEqual(12 * 500, total)
 
         self.with_platform(scenario, routers=ROUTERS, features=self.FEATURES)
@@ -223,7 +225,10 @@
             ask = LendRequest("l1", ACCOUNT, 0, 900, by_store=False, kept_by=vm)
             await until(
                 lambda: (
-                    home.keeper.ledger.available(ACCOUNT, home.keeper.now_ms()) > 900
+                    home.ledger_sync.ledger.available(
+                        ACCOUNT, home.ledger_sync.now_ms()
+                    )
+                    > 900
                 )
             )
             reply = await other.peers.ask(home.settings.vm, ask)
--- a/tests/test_stated_backoff.py
+++ b/tests/test_stated_backoff.py
@@ -17,7 +17,7 @@
 
 import testtools
 
-from lynxchute.http import ExchangeFailed
+from lynxchute.http import ExchangeError
 from lynxchute.standins.upstream_run import Fault
 from lynxchute.upstreams.backpressure import Backpressure
 from lynxchute.upstreams.statement import NOTHING_STATED, Statement
@@ -132,7 +132,7 @@
                     entry, statement, asked_at=now, now=now
                 )
             await busy.stop()
-            with contextlib.suppress(ExchangeFailed):
+            with contextlib.suppress(ExchangeError):
                 await stream_
             self.assertEqual([], idle.arrivals)
 
--- a/tests/test_stated_leaving.py
+++ b/tests/test_stated_leaving.py
@@ -17,7 +17,7 @@
 import attrs
 import testtools
 
-from lynxchute.http import ExchangeFailed
+from lynxchute.http import ExchangeError
 from lynxchute.scheduling.backpressure_news import (
     known_backpressure,
     merge_backpressure,
@@ -147,7 +147,7 @@
                     gate = router.relay._sender._gate
                     self.patch(gate, "withheld_reason", lambda entry, **more: None)
             await busy.stop()
-            with contextlib.suppress(ExchangeFailed):
+            with contextlib.suppress(ExchangeError):
                 await stream_
             return idle.arrivals
 
@@ -180,7 +180,7 @@
             await deployment.start_router("b-2")
             router = deployment.routers["b-2"]
             async with asyncio.timeout(10):
-                while not router.is_ready() or not router.keeper.ledger.is_open:
+                while not router.is_ready() or not router.ledger_sync.ledger.is_open:
                     await asyncio.sleep(0.02)
             before = len(leaving.arrivals)
             caller = PlatformCaller(deployment, "b-2")
--- a/tests/test_stated_limits.py
+++ b/tests/test_stated_limits.py
@@ -20,7 +20,7 @@
 from lynxchute.bench.limits import FLEETS, play
 from lynxchute.fleet.client import PeerUnreachable
 from lynxchute.fleet.members import Member, Members
-from lynxchute.http import ExchangeFailed, Headers
+from lynxchute.http import ExchangeError, Headers
 from lynxchute.platform.statements import STATEMENT_HEADERS
 from lynxchute.standins.arrivals import most_within
 from lynxchute.upstreams.backpressure import (
@@ -185,10 +185,10 @@
         for change in (lambda: None, lambda: members.put(leaving)):
             change()
             staying = [vm for vm, m in members.by_vm.items() if not m.is_leaving]
-            order = members.in_order("k", staying)
+            order = members.preference_order("k", staying)
             self.assertEqual(order.index("a"), members.own_rank("k"))
         self.assertEqual(sorted(ranks), ranks)
-        members.leave()
+        members.mark_leaving()
         self.assertIsNone(members.own_rank("k"))
 
 
@@ -295,7 +295,7 @@
                 )
             await until(lambda: busy.runs[0].events_sent > 3)
             await busy.stop()
-            with contextlib.suppress(ExchangeFailed):
+            with contextlib.suppress(ExchangeError):
                 await stream_
             self.assertEqual([], idle.arrivals)
 
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -105,7 +105,7 @@
 
     def test_what_is_known_of_the_stores_time_goes_on(self):
         async def scenario(deployment):
-            keeper = deployment.routers["a-1"].keeper
+            keeper = deployment.routers["a-1"].ledger_sync
             before_ms = keeper.now_ms()
             self.clocks.suspend()
             return keeper.now_ms() - before_ms
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -11,9 +11,9 @@
 from lynxchute.fleet.members import Members
 from lynxchute.fleet.message import from_json, to_json
 from lynxchute.fleet.messages import (
-    PlaceReply,
-    PlaceRequest,
-    RunNewsRequest,
+    PlacementReply,
+    PlacementRequest,
+    RunUpdateRequest,
 )
 from lynxchute.http import LinkMeter
 from lynxchute.overload.claim import AdmissionPending, AdmissionRefused, Claim
@@ -32,7 +32,7 @@
     AdmissionQueue,
 )
 from lynxchute.telemetry import Metrics
-from lynxchute.upstreams.aims import Aims
+from lynxchute.upstreams.aims import LatencyTargets
 from lynxchute.upstreams.cold_admission import (
     ColdLimits,
     FirstRegistered,
@@ -74,23 +74,23 @@
 
     async def ask(self, vm, message):
         fault = self.fault_by_vm.get(vm)
-        if isinstance(message, PlaceRequest):
+        if isinstance(message, PlacementRequest):
             self.asked.append((vm, message.run_id))
         if fault == "killed":
-            self.members.note_silence(vm, 0.0)
+            self.members.record_failure(vm, 0.0)
             raise PeerUnreachable(vm)
         if fault == "frozen":
             await asyncio.Event().wait()
         scheduler = self.fleet[vm]
         message = from_json(to_json(message), type(message))
-        if isinstance(message, RunNewsRequest):
+        if isinstance(message, RunUpdateRequest):
             return await scheduler._handle_run_news(message)
         reply = await scheduler._handle_place_request(message)
         if fault == "slow":
             await asyncio.sleep(10 * QUERY_TIMEOUT_SECONDS)
         if fault == "cut":
             await asyncio.Event().wait()
-        return from_json(to_json(reply), PlaceReply)
+        return from_json(to_json(reply), PlacementReply)
 
 
 class AdmissionTestCase(AsyncTestCase):
@@ -146,7 +146,7 @@
     async def choose(self, scheduler, run_id, **more):
         """Query once; return the choice, or the exception raised instead."""
         entries = list(scheduler._directory.entries_by_id.values())
-        aims = Aims(claim=claim(**more))
+        aims = LatencyTargets(claim=claim(**more))
         try:
             return await scheduler.choose(run_id, generation(), entries, aims)
         except (AdmissionPending, AdmissionRefused) as outcome:
@@ -235,7 +235,7 @@
         async def scenario():
             big = generation(tokens=399_000)
             entries = list(self.asker._directory.entries_by_id.values())
-            aims = Aims(claim=claim())
+            aims = LatencyTargets(claim=claim())
             choice = await self.asker.choose("big", big, entries, aims)
             self.assertIsNotNone(choice.entry)
             self.assertIsInstance(await self.choose(self.asker, "r1"), AdmissionPending)
@@ -246,7 +246,7 @@
         async def scenario():
             big = generation(tokens=900_000)
             entries = list(self.asker._directory.entries_by_id.values())
-            aims = Aims(claim=claim())
+            aims = LatencyTargets(claim=claim())
             choice = await self.asker.choose("big", big, entries, aims)
             self.assertIsNotNone(choice.entry)
 
@@ -326,7 +326,7 @@
 class InvalidClaimTest(AdmissionTestCase):
     def ask(self, bad, router=None, run_id="x"):
         router = router or member(self.order[1]).incarnation
-        request = PlaceRequest(
+        request = PlacementRequest(
             run_id, "pool", "a", (), 100, 10, (("p", 10),), router, claim=bad
         )
         return self.first.placing.handle_request(request)
@@ -347,14 +347,14 @@
             bad.append(attrs.evolve(good, account="a" * 10_000))
             for item in bad:
                 reply = await self.ask(item)
-                self.assertEqual(PlaceReply(""), reply, item)
+                self.assertEqual(PlacementReply(""), reply, item)
             for router in ("nobody", "run-of-a-1-before"):
                 reply = await self.ask(good, router)
                 # The router of the rejected claim places the request locally.
-                self.assertEqual(PlaceReply(""), reply)
+                self.assertEqual(PlacementReply(""), reply)
             other = member(self.order[2]).incarnation
             duplicate = await self.ask(good, other, "r1")
-            self.assertEqual(PlaceReply(""), duplicate)
+            self.assertEqual(PlacementReply(""), duplicate)
             self.assertEqual(1, self.waiting())
             self.assertEqual(0, (await self.choose(self.asker, "r1")).ahead)
 
@@ -383,7 +383,7 @@
             second = self.fleet[self.order[1]]
             third = self.fleet[self.order[2]]
             names = [s._members.own.vm for s in (second, third)]
-            ranked_vms = second._members.in_order("schedule pool", names)
+            ranked_vms = second._members.preference_order("schedule pool", names)
             successor = self.fleet[ranked_vms[0]]
             asker = self.fleet[ranked_vms[1]]
             for run_id in runs:
@@ -393,7 +393,11 @@
             entries = list(successor._directory.entries_by_id.values())
             for number in range(self.SLOTS):
                 request = asker._placement_client.build_request(
-                    f"other{number}", "pool", generation(), {"e0": entries[0]}, Aims()
+                    f"other{number}",
+                    "pool",
+                    generation(),
+                    {"e0": entries[0]},
+                    LatencyTargets(),
                 )
                 successor.placing.place(request, entries)
             self.fault_by_vm[self.order[0]] = fault
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -6,7 +6,7 @@
 from lynxchute.config.document import LimitDocument
 from lynxchute.http import (
     BadRequest,
-    ExchangeFailed,
+    ExchangeError,
     HttpClient,
     HttpServer,
     ServerLimits,
@@ -101,7 +101,7 @@
 def open_reservations(deployment):
     found = {}
     for router in deployment.routers_by_vm.values():
-        found.update(router.keeper.ledger.reservations_by_id)
+        found.update(router.ledger_sync.ledger.reservations_by_id)
     return found
 
 
@@ -109,7 +109,7 @@
     def test_only_an_unsent_request_is_reported_as_unsent(self):
         async def work():
             nowhere = HttpClient("127.0.0.1:1", timeouts=Timeouts(connect=0.5))
-            with self.assertRaises(ExchangeFailed) as caught:
+            with self.assertRaises(ExchangeError) as caught:
                 await nowhere.get_json("/")
             self.assertFalse(caught.exception.sent)
 
@@ -119,7 +119,7 @@
             server = HttpServer(silent)
             await server.start("127.0.0.1", 0)
             client = HttpClient(f"127.0.0.1:{server.port}")
-            with self.assertRaises(ExchangeFailed) as caught:
+            with self.assertRaises(ExchangeError) as caught:
                 await client.get_json("/")
             self.assertTrue(caught.exception.sent)
             await server.kill()
@@ -161,7 +161,7 @@
             limits = Timeouts(between_bytes=0.05)
             client = HttpClient(f"127.0.0.1:{server.port}", timeouts=limits)
             response = await client.request("GET", "/")
-            with self.assertRaises(ExchangeFailed):
+            with self.assertRaises(ExchangeError):
                 await response.body()
             await server.kill()
 
--- a/tests/turns_machine.py
+++ b/tests/turns_machine.py
@@ -13,7 +13,7 @@
     rule,
 )
 
-from lynxchute.fleet.messages import PlaceRequest
+from lynxchute.fleet.messages import PlacementRequest
 from lynxchute.overload.claim import Claim
 from lynxchute.scheduling.cold_placements import ColdPlacementLimiter
 from lynxchute.scheduling.placing import EnginePlacing
@@ -98,7 +98,7 @@
         self.count += 1
         run_id = f"r{self.count}"
         claim = Claim(account, rank, f"c{self.count}", 0.0, left, 1.0)
-        self.requests[run_id] = PlaceRequest(
+        self.requests[run_id] = PlacementRequest(
             run_id, SERVICE, "a", (), 100, 10, (), self.incarnation(router), claim=claim
         )
         self.deadline_by_run[run_id] = self.now + left
@@ -155,7 +155,7 @@
     def query_from_ended_process(self, router):
         """Deliver a late query of a router process that has ended."""
         claim = Claim("a", 3, "late", 0.0, 30.0, 1.0)
-        request = PlaceRequest(
+        request = PlacementRequest(
             "late", SERVICE, "a", (), 100, 10, (), f"run-{router}-old", claim=claim
         )
         reply = self.placing.decide_for_peer(request, self.entries)
