--- a/lynxchute/fleet/members.py
+++ b/lynxchute/fleet/members.py
@@ -99,8 +99,10 @@
 
     Examples
     --------
-    >>> relay_capacity(link_mbps=1000.0, cores=2.0), relay_capacity(link_mbps=5.0, cores=2.0)
-    (1.0, 0.05)
+    >>> relay_capacity(link_mbps=1000.0, cores=2.0)
+    1.0
+    >>> relay_capacity(link_mbps=5.0, cores=2.0)
+    0.05
     """
     return min(link_mbps / AMPLE_LINK_MBPS, cores / AMPLE_CORES, 1.0)
 
