--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -1,4 +1,4 @@
-"""A router as a whole: its process, its stop, its settings, its peers."""
+"""Whole routers: process, stop, settings reload, readiness, directory and members."""
 
 import asyncio
 import json
@@ -22,7 +22,7 @@
 
 
 class ProcessDeployment(PlatformDeployment):
-    """A router as a process, started from a settings file."""
+    """Deployment whose router is a separate process started from a settings file."""
 
     def __init__(self, path, **more):
         super().__init__(routers=(), **more)
@@ -67,7 +67,7 @@
 
         self.run_async(work())
 
-    def test_it_serves_logs_and_counts_from_its_settings_file(self):
+    def test_process_from_settings_file_serves_logs_and_counts(self):
         async def scenario(deployment):
             caller = deployment.caller()
             await until(lambda: deployment.router.events("grants changed"))
@@ -105,7 +105,7 @@
 
         self.with_process(scenario)
 
-    def test_a_stop_cuts_nothing_and_gives_the_budget_back(self):
+    def test_stop_finishes_streams_and_returns_unused_grants(self):
         async def scenario(deployment):
             for engine in deployment.engines:
                 engine.events, engine.event_delay = 40, 0.05
@@ -128,7 +128,7 @@
 
         self.with_process(scenario)
 
-    def test_settings_are_read_again_at_sighup_and_without_it(self):
+    def test_settings_are_reloaded_with_and_without_sighup(self):
         async def scenario(deployment):
             process = deployment.router.process
             text = deployment.router.file.read_text()
@@ -147,14 +147,15 @@
 
 
 class EarlyCallerTest(ProcessTest):
-    def test_a_caller_who_comes_while_a_router_starts_is_served(self):
+    def test_caller_that_connects_during_the_start_is_served(self):
         async def scenario(deployment):
             router = deployment.router
             await router.kill()
             starts = len(router.events("started"))
             await router.start()
             reader, writer = await self.connection(router.ports["front"])
-            # What serves callers is loaded only then, and logs it when it is.
+            # The HTTP server is imported only after the socket listens; "started" is
+            # logged after the import.
             self.assertEqual(starts, len(router.events("started")))
             writer.write(
                 b"GET /public/x HTTP/1.1\r\nHost: app.example\r\n"
@@ -173,19 +174,19 @@
                 try:
                     return await asyncio.open_connection("127.0.0.1", port)
                 except OSError:
-                    # Nobody listens there yet.
+                    # Nothing listens there yet.
                     await asyncio.sleep(0.002)
 
 
 class ArrivalTest(PlatformTestCase):
-    def test_a_caller_waits_for_the_first_configuration_a_moment_only(self):
+    def test_wait_for_the_first_configuration_has_a_timeout(self):
         async def scenario(deployment):
             deployment.store_ports["b-1"] = await deployment.store.open_port()
             deployment.faults("b-1").outage = Outage.BUSY
             await deployment.start_router("b-1")
             caller = PlatformCaller(deployment, "b-1")
             self.assertEqual(503, (await caller.send("GET", "/public/x"))[0])
-            # Whoever comes later does not wait: a few turns of the loop are enough.
+            # Later requests do not wait; a few loop iterations are enough.
             configurations = deployment.routers["b-1"].configurations
             wait_loaded = asyncio.create_task(configurations.wait_loaded())
             for _ in range(20):
@@ -196,7 +197,7 @@
 
 
 class ReadinessTest(PlatformTestCase):
-    def test_a_router_without_a_configuration_is_not_ready_and_says_so(self):
+    def test_router_without_configuration_is_not_ready_and_refuses(self):
         async def scenario(deployment):
             vm = "a-2"
             deployment.store_ports[vm] = await deployment.store.open_port()
@@ -212,7 +213,7 @@
 
         self.with_platform(scenario)
 
-    def test_other_paths_of_the_readiness_port_lead_nowhere(self):
+    def test_other_paths_of_the_readiness_port_return_404(self):
         async def scenario(deployment):
             address = deployment.settings["a-1"].readiness
             client = HttpClient(str(address))
@@ -248,7 +249,7 @@
             await until(lambda: not entry.takes_work)
             for port in deployment.store_ports.values():
                 deployment.store.faults_by_port[port].outage = Outage.SILENT
-            # Its entry lapses meanwhile, which says nothing of whether it is back.
+            # Its entry lapses meanwhile, which does not show that it has returned.
             router.directory.remove(leaving.id, 0.0, expires_at=float("inf"))
             caller = PlatformCaller(deployment)
             for _ in range(10):
@@ -257,7 +258,7 @@
 
         self.with_platform(scenario)
 
-    def test_a_stale_entry_does_not_bring_an_upstream_back(self):
+    def test_stale_row_does_not_restore_a_removed_upstream(self):
         async def scenario(deployment):
             router = deployment.routers["a-1"]
             gone = deployment.apps[0]
@@ -275,7 +276,7 @@
     def member(self, vm, **more):
         return Member(vm, vm[0], f"{vm}-run", "127.0.0.1:1", **more)
 
-    def test_homes_leave_out_who_leaves_or_is_silent(self):
+    def test_homes_exclude_leaving_and_unreachable_routers(self):
         members = Members(self.member("a-1"))
         for vm in ("a-2", "a-3", "b-1"):
             members.put(self.member(vm))
@@ -293,7 +294,7 @@
         members.mark_leaving()
         self.assertNotIn("a-1", members.homes("kanda"))
 
-    def test_weak_routers_serve_others_last(self):
+    def test_weak_routers_are_last_among_the_homes(self):
         members = Members(Member("a-1", "a", "r1", "x:1", strength=0.05))
         for number, strength in ((2, 1.0), (3, 0.6), (4, 0.4)):
             vm = f"a-{number}"
@@ -303,7 +304,7 @@
             self.assertEqual({"a-2", "a-3"}, set(homes[:2]))
             self.assertEqual({"a-1", "a-4"}, set(homes[2:]))
 
-    def test_a_fleet_of_equal_routers_spreads_what_it_serves(self):
+    def test_equal_routers_share_the_home_role(self):
         members = Members(Member("a-1", "a", "r1", "x:1", strength=0.3))
         for number in (2, 3, 4):
             vm = f"a-{number}"
@@ -311,7 +312,7 @@
         firsts = {members.homes(f"account {n}")[0] for n in range(40)}
         self.assertEqual({"a-1", "a-2", "a-3", "a-4"}, firsts)
 
-    def test_a_new_run_of_a_silent_router_is_asked_at_once(self):
+    def test_restarted_router_is_reachable_immediately(self):
         members = Members(self.member("a-1"))
         members.put(self.member("a-2"))
         members.record_failure("a-2", 10.0)
@@ -319,7 +320,7 @@
         members.put(again)
         self.assertTrue(members.is_reachable("a-2"))
 
-    def test_rows_that_are_no_routers_are_told_apart(self):
+    def test_invalid_member_rows_are_rejected(self):
         self.assertTrue(Member.decode(b"[]").is_error())
         self.assertTrue(Member.decode(b'{"vm": "x"}').is_error())
         own = self.member("a-1")
@@ -328,14 +329,15 @@
 
 
 class StopTest(PlatformTestCase):
-    """A router that can reach nobody ends by itself before it is killed.
+    """A router that can reach nobody exits before the platform kills it.
 
-    On a day of 22 VMs that were stopped in turn while they were cut off one was still
-    there at the end of its grace time: what it had to tell went to routers and a store
-    that gave no answer, each wait after the other, after its last request had ended.
+    Guards against final reports that outlast the stop deadline: after the last request
+    has ended, the router reports to routers and a store that do not answer, and each
+    timeout follows the previous one. One of 22 VMs, stopped in turn while they were
+    partitioned, was therefore still running at the end of its grace period.
     """
 
-    def test_what_cannot_be_told_holds_up_no_stop(self):
+    def test_unanswered_final_reports_do_not_delay_the_stop(self):
         async def scenario(deployment):
             router = deployment.routers["a-1"]
             self.assertEqual(200, (await PlatformCaller(deployment).stream())[0])
@@ -344,19 +346,19 @@
             stream = asyncio.create_task(PlatformCaller(deployment).stream())
             await until(lambda: router.relay.open_requests)
             deployment.faults("a-1").outage = Outage.SILENT
-            router.peers.ask = silent_peer
+            router.peers.ask = ask_silent_peer
             router.settlements.add("b-1", Settlement("r1", 10))
             router.balance._gifts.append(Gift("g1", "kanda", 10, router.members.own))
             began = asyncio.get_running_loop().time()
             await router.drain()
             took = asyncio.get_running_loop().time() - began
             self.assertLess(took, router.settings.bounds.stop)
-            # It could not end within the router's last seconds.
+            # The stream was longer than the router's stop deadline and may be broken.
             await asyncio.gather(stream, return_exceptions=True)
 
         self.with_platform(scenario)
 
 
-async def silent_peer(vm, message):
+async def ask_silent_peer(vm, message):
     await asyncio.sleep(0.7)
     raise PeerUnreachable(vm)
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -1,8 +1,9 @@
-"""Data centres that are evacuated get nothing new.
+"""Evacuated data centres receive no new requests.
 
-Routers knew of no such order: on a day of 22 VMs with a data centre evacuated twice,
-422 requests reached upstreams there later than the bound. Each way of sending is tried
-here with an order that comes between the choice of an upstream and the send.
+Guards against requests that are sent after an evacuation order: before routers followed
+such orders, 422 requests reached upstreams of an evacuated data centre after the bound,
+in a run with 22 VMs and two evacuations. Each way of sending is tested with an order
+that arrives between the choice of an upstream and the send.
 """
 
 import asyncio
@@ -35,12 +36,12 @@
     with_deployment,
 )
 
-# The promise is some seconds; the aim, where the store answers, is one.
-AIM_SECONDS = 1.0
+# Target while the store answers; the guaranteed bound is a few seconds.
+TARGET_SECONDS = 1.0
 
 
 class EvacuationsTest(testtools.TestCase):
-    def test_a_later_order_than_the_one_that_was_taken_back_stands(self):
+    def test_order_newer_than_a_revocation_stays_in_force(self):
         evacuations = Evacuations()
         evacuations.order("a", 1, 0.0)
         evacuations.revoke("a", 2)
@@ -49,47 +50,47 @@
         self.assertTrue(evacuations.is_evacuated("a"))
         self.assertFalse(evacuations.is_evacuated("b"))
 
-    def test_listeners_hear_of_changes_only(self):
-        evacuations, heard = Evacuations(), []
-        evacuations.listeners.append(heard.append)
+    def test_listeners_are_notified_only_of_changes(self):
+        evacuations, notified = Evacuations(), []
+        evacuations.listeners.append(notified.append)
         for version in (1, 2, 2):
             evacuations.order("a", version, 0.0)
         evacuations.revoke("b", 3)
         evacuations.revoke("a", 3)
-        self.assertEqual(["a", "a"], heard)
+        self.assertEqual(["a", "a"], notified)
 
     @given(
         st.lists(st.tuples(st.sampled_from("ab"), st.booleans()), max_size=12),
         st.randoms(use_true_random=False),
     )
-    def test_the_newest_word_counts_however_often_and_in_which_order_it_comes(
-        self, words, rng
+    def test_newest_version_counts_despite_reordering_and_duplicates(
+        self, changes, rng
     ):
-        told = [(version, *word) for version, word in enumerate(words, start=1)]
-        expected = {place: is_order for _, place, is_order in told}
-        heard = [*told, *rng.sample(told, len(told) // 2)]
-        rng.shuffle(heard)
+        orders = [(version, *change) for version, change in enumerate(changes, start=1)]
+        expected = {name: is_order for _, name, is_order in orders}
+        received = [*orders, *rng.sample(orders, len(orders) // 2)]
+        rng.shuffle(received)
         evacuations = Evacuations()
-        for version, place, is_order in heard:
+        for version, name, is_order in received:
             if is_order:
-                evacuations.order(place, version, 0.0)
+                evacuations.order(name, version, 0.0)
             else:
-                evacuations.revoke(place, version)
-        for place, is_order in expected.items():
-            self.assertEqual(is_order, evacuations.is_evacuated(place), heard)
+                evacuations.revoke(name, version)
+        for name, is_order in expected.items():
+            self.assertEqual(is_order, evacuations.is_evacuated(name), received)
 
 
-async def order(deployment, data_centre, value=b"{}"):
+async def order_evacuation(deployment, data_centre, value=b"{}"):
     return await deployment.store.put(
         OPERATOR_TABLE, EVACUATION_PREFIX + data_centre, value
     )
 
 
-async def revoke(deployment, data_centre):
+async def revoke_evacuation(deployment, data_centre):
     return await deployment.store.drop(OPERATOR_TABLE, EVACUATION_PREFIX + data_centre)
 
 
-async def heard(deployment, data_centre, expected=True):
+async def wait_for_evacuation_state(deployment, data_centre, expected=True):
     await until(
         lambda: all(
             router.evacuations.is_evacuated(data_centre) is expected
@@ -115,48 +116,48 @@
     return statuses
 
 
-def order_after_each_choice(router, data_centre):
-    """Have the order heard between the choice of an upstream and the send."""
+def order_evacuation_after_choice(router, data_centre):
+    """Apply an evacuation order between the choice of an upstream and the send."""
     chooser = router.relay._sender._chooser
     choose = chooser.choose
 
-    async def choose_and_hear(exchange):
+    async def choose_then_evacuate(exchange):
         choice = await choose(exchange)
         if choice.entry.upstream.data_centre == data_centre:
             router.evacuations.order(data_centre, 10**9, 0.0)
         return choice
 
-    chooser.choose = choose_and_hear
+    chooser.choose = choose_then_evacuate
 
 
 class EvacuationTest(PlatformTestCase):
-    def test_nothing_is_sent_there_until_it_is_taken_back(self):
+    def test_no_requests_until_the_order_is_revoked(self):
         async def scenario(deployment):
             caller = PlatformCaller(deployment)
-            await order(deployment, "a")
-            await asyncio.sleep(AIM_SECONDS)
+            await order_evacuation(deployment, "a")
+            await asyncio.sleep(TARGET_SECONDS)
             before = len(arrivals_in(deployment, "a"))
             self.assertEqual({200}, set(await send_all_kinds(caller)))
             self.assertEqual(before, len(arrivals_in(deployment, "a")))
-            await revoke(deployment, "a")
-            await heard(deployment, "a", False)
+            await revoke_evacuation(deployment, "a")
+            await wait_for_evacuation_state(deployment, "a", False)
             await send_all_kinds(caller)
             self.assertGreater(len(arrivals_in(deployment, "a")), before)
 
         self.with_platform(scenario)
 
-    def test_what_was_placed_before_the_order_is_not_sent_after_it(self):
+    def test_request_placed_before_the_order_is_not_sent_after_it(self):
         async def scenario(deployment):
-            order_after_each_choice(deployment.routers["a-1"], "a")
+            order_evacuation_after_choice(deployment.routers["a-1"], "a")
             caller = PlatformCaller(deployment)
             self.assertEqual({200}, set(await send_all_kinds(caller)))
             self.assertEqual([], arrivals_in(deployment, "a"))
 
         self.with_platform(scenario)
 
-    def test_another_try_does_not_go_there(self):
+    def test_retry_avoids_the_evacuated_data_centre(self):
         async def scenario(deployment):
-            order_after_each_choice(deployment.routers["a-1"], "a")
+            order_evacuation_after_choice(deployment.routers["a-1"], "a")
             deployment.routers["a-1"].evacuations.order("a", 1, 0.0)
             for app in deployment.apps:
                 app.faults.append(Fault.DECLINE)
@@ -166,38 +167,38 @@
 
         self.with_platform(scenario)
 
-    def test_a_stream_does_not_go_on_there(self):
+    def test_stream_does_not_resume_in_the_evacuated_data_centre(self):
         async def scenario(deployment):
             for engine in deployment.engines:
                 if engine.data_centre == "b":
                     engine.faults.append(Fault.CUT)
-            await order(deployment, "a")
-            await heard(deployment, "a")
+            await order_evacuation(deployment, "a")
+            await wait_for_evacuation_state(deployment, "a")
             caller = PlatformCaller(deployment)
             self.assertTrue(await caller.fails("POST", "/stream/x", tokens=(100, 60)))
             self.assertEqual([], arrivals_in(deployment, "a"))
 
         self.with_platform(scenario)
 
-    def test_what_runs_there_goes_on_to_its_end(self):
+    def test_open_requests_run_to_their_end(self):
         async def scenario(deployment):
             for engine in deployment.engines:
                 engine.events, engine.event_delay = 30, 0.02
             stream = asyncio.create_task(PlatformCaller(deployment).stream())
             await until(lambda: any(engine.runs for engine in deployment.engines))
             for data_centre in ("a", "b"):
-                await order(deployment, data_centre)
-                await heard(deployment, data_centre)
+                await order_evacuation(deployment, data_centre)
+                await wait_for_evacuation_state(deployment, data_centre)
             status, _, body = await stream
             self.assertEqual((200, list(range(1, 31))), (status, ids_of(body)))
 
         self.with_platform(scenario)
 
-    def test_where_all_are_evacuated_the_refusal_comes_at_once(self):
+    def test_request_is_refused_immediately_if_all_are_evacuated(self):
         async def scenario(deployment):
             for data_centre in ("a", "b"):
-                await order(deployment, data_centre)
-                await heard(deployment, data_centre)
+                await order_evacuation(deployment, data_centre)
+                await wait_for_evacuation_state(deployment, data_centre)
             caller = PlatformCaller(deployment)
             began = asyncio.get_running_loop().time()
             status, headers, body = await caller.stream()
@@ -206,14 +207,14 @@
             self.assertEqual((503, "not_run"), (status, problem["run"]))
             self.assertEqual("urn:lynxchute:problem:evacuated", problem["type"])
             self.assertGreater(float(headers["retry-after"]), 0)
-            # Under the fifth of the objective for which it would wait for an upstream.
+            # Shorter than the wait for an upstream, a fifth of the objective.
             self.assertLess(took, 0.08)
 
         self.with_platform(scenario)
 
-    def test_a_router_that_starts_in_the_middle_sends_nothing_there(self):
+    def test_router_started_during_an_evacuation_follows_it(self):
         async def scenario(deployment):
-            await order(deployment, "a")
+            await order_evacuation(deployment, "a")
             await deployment.routers.pop("a-1").kill()
             await deployment.start_router("a-1")
             caller = PlatformCaller(deployment)
@@ -223,47 +224,47 @@
 
         self.with_platform(scenario)
 
-    def test_a_router_that_the_store_turns_away_hears_through_another(self):
+    def test_router_refused_by_the_store_gets_orders_through_another(self):
         async def scenario(deployment):
             deployment.faults("a-1").outage = Outage.BUSY
             await asyncio.sleep(0.3)
-            await order(deployment, "a")
-            await heard(deployment, "a")
+            await order_evacuation(deployment, "a")
+            await wait_for_evacuation_state(deployment, "a")
 
         self.with_platform(scenario)
 
-    def test_orders_whose_history_is_lost_are_heard_by_a_list(self):
+    def test_orders_are_found_by_a_list_after_history_loss(self):
         async def scenario(deployment):
             for vm in deployment.routers:
                 deployment.faults(vm).hides_changes = True
-            await order(deployment, "a")
-            await revoke(deployment, "a")
-            await order(deployment, "b")
+            await order_evacuation(deployment, "a")
+            await revoke_evacuation(deployment, "a")
+            await order_evacuation(deployment, "b")
             deployment.store.forget_history()
             for vm in deployment.routers:
                 deployment.faults(vm).hides_changes = False
-            await heard(deployment, "b")
-            await heard(deployment, "a", False)
+            await wait_for_evacuation_state(deployment, "b")
+            await wait_for_evacuation_state(deployment, "a", False)
 
         self.with_platform(scenario)
 
-    def test_rows_that_cannot_be_read_count_and_harm_nothing_else(self):
+    def test_undecodable_orders_count_and_affect_no_other_rows(self):
         async def scenario(deployment):
-            await order(deployment, "nowhere", b'{"more": [1]}')
-            await order(deployment, "a", b"\xff\xfe")
-            await heard(deployment, "a")
+            await order_evacuation(deployment, "nowhere", b'{"more": [1]}')
+            await order_evacuation(deployment, "a", b"\xff\xfe")
+            await wait_for_evacuation_state(deployment, "a")
             caller = PlatformCaller(deployment)
             self.assertEqual({200}, set(await send_all_kinds(caller, times=2)))
             self.assertEqual([], arrivals_in(deployment, "a"))
 
         self.with_platform(scenario)
 
-    def test_prompts_kept_there_are_neither_fetched_nor_forgotten(self):
+    def test_cached_prompts_there_are_kept_but_not_fetched(self):
         async def scenario(deployment):
             router = deployment.routers["a-1"]
             await send_all_kinds(PlatformCaller(deployment))
-            await order(deployment, "a")
-            await heard(deployment, "a")
+            await order_evacuation(deployment, "a")
+            await wait_for_evacuation_state(deployment, "a")
             for vm in deployment.routers:
                 scheduler = deployment.routers[vm].relay._sender._generations
                 sources = scheduler.placing._fetch_sources("pool", "key")
@@ -277,24 +278,26 @@
 
 
 class OperatorsTest(AsyncTestCase):
-    """Operators evacuate a data centre and take it back in the product's own words."""
+    """Evacuation and its revocation through the operator language."""
 
-    def test_an_order_is_checked_heard_by_all_and_taken_back(self):
+    def test_order_is_validated_reaches_all_routers_and_is_revoked(self):
         async def scenario(deployment):
-            async def say(statement):
+            async def run_statement(statement):
                 _, answer = await deployment.operate("kyu-a-1", statement)
                 return answer
 
-            answer = await say("evacuate data centre kyu-z")
+            answer = await run_statement("evacuate data centre kyu-z")
             self.assertEqual("not_done", answer["state"])
             self.assertIn("Did you mean 'kyu-", answer["detail"])
-            self.assertEqual("done", (await say("evacuate data centre kyu-a"))["state"])
-            await until(lambda: self.heard(deployment, "kyu-a"))
-            (row,) = (await say("show evacuations"))["rows"]
+            self.assertEqual(
+                "done", (await run_statement("evacuate data centre kyu-a"))["state"]
+            )
+            await until(lambda: self.is_evacuated_everywhere(deployment, "kyu-a"))
+            (row,) = (await run_statement("show evacuations"))["rows"]
             self.assertEqual("kyu-a", row["data_centre"])
             self.assertEqual((4, ""), (row["heard_by"], row["not_heard_by"]))
             self.assertLess(row["since_s"], 10)
-            answer = await say("evacuate data centre kyu-b")
+            answer = await run_statement("evacuate data centre kyu-b")
             self.assertIn("anyway", answer["detail"])
             caller = Caller(deployment, "kyu-a-1")
             for _ in range(4):
@@ -306,20 +309,20 @@
             ]
             self.assertEqual(4, len(engine_runs(deployment)))
             self.assertEqual([], [run for e in inside for run in e.records()])
-            answer = await say("take back data centre kyu-a")
+            answer = await run_statement("take back data centre kyu-a")
             self.assertEqual("done", answer["state"])
-            await until(lambda: not self.heard(deployment, "kyu-a"))
-            self.assertEqual([], (await say("show evacuations"))["rows"])
-            answer = await say("take back data centre kyu-a")
+            await until(lambda: not self.is_evacuated_everywhere(deployment, "kyu-a"))
+            self.assertEqual([], (await run_statement("show evacuations"))["rows"])
+            answer = await run_statement("take back data centre kyu-a")
             self.assertEqual("not_done", answer["state"])
 
         with_deployment(self, scenario)
 
-    def heard(self, deployment, data_centre):
+    def is_evacuated_everywhere(self, deployment, data_centre):
         routers = deployment.routers_by_vm.values()
         return all(r.evacuations.is_evacuated(data_centre) for r in routers)
 
-    def test_the_users_platform_takes_its_orders_from_its_own_operator_only(self):
+    def test_users_platform_accepts_no_evacuation_statements(self):
         async def scenario():
             deployment = PlatformDeployment()
             await deployment.start()
@@ -331,7 +334,7 @@
                 )
                 self.assertEqual("not_done", answer.state)
                 self.assertIn("write its row", answer.detail)
-                await order(deployment, "a")
+                await order_evacuation(deployment, "a")
                 answer = await runner.run(
                     "show evacuations", operator="x", role=Role.READ
                 )
@@ -342,7 +345,7 @@
 
         self.run_async(scenario())
 
-    def test_statements_are_printed_as_they_are_read(self):
+    def test_statements_round_trip_through_the_parser(self):
         for text in (
             "evacuate data centre a",
             "evacuate data centre a anyway",
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""Faults on routers with the product's own interface."""
+"""Crashes, partitions, store outages and broken upstreams; operator commands."""
 
 import asyncio
 import contextlib
@@ -24,26 +24,26 @@
 )
 
 
-def granted(deployment, account=ACCOUNT):
+def granted_tokens(deployment, account=ACCOUNT):
     value = deployment.store.value(TOTALS_TABLE, account)
     return Totals.decode(value).granted_by_vm if value else {}
 
 
-def holder(deployment, vm):
+def holder_row(deployment, vm):
     return HolderRow.decode(deployment.store.value(HOLDERS_TABLE, vm, vm))
 
 
 class FaultsTest(AsyncTestCase):
-    def test_a_caller_whose_router_died_gets_the_whole_answer_from_another(self):
+    def test_retry_after_a_router_crash_gets_the_whole_answer(self):
         async def scenario(deployment):
-            asked = question("a long answer, please", stream=True)
+            chat_request = question("a long answer, please", stream=True)
             first = Caller(deployment, "kyu-a-1")
-            broken = asyncio.create_task(first.ask(asked))
+            broken = asyncio.create_task(first.ask(chat_request))
             await until(lambda: engine_runs(deployment))
             await deployment.kill_router("kyu-a-1")
             await asyncio.gather(broken, return_exceptions=True)
-            status, _, body = await Caller(deployment, "kyu-a-2").ask(asked)
-            expected = "".join(answer_tokens(asked))
+            status, _, body = await Caller(deployment, "kyu-a-2").ask(chat_request)
+            expected = "".join(answer_tokens(chat_request))
             self.assertEqual((200, (expected, True)), (status, stream_text(body)))
             await until(
                 lambda: (
@@ -54,7 +54,7 @@
 
         with_deployment(self, scenario, token_delay=0.02)
 
-    def test_what_a_dead_router_used_is_known_to_its_next_run(self):
+    def test_restarted_router_counts_use_before_its_crash(self):
         async def scenario(deployment):
             for vm in list(deployment.routers_by_vm):
                 await Caller(deployment, vm).ask(question())
@@ -64,14 +64,14 @@
             await deployment.start_router("kyu-a-1")
             await deployment.wait_until_ready()
             after = counted_by_account(deployment)[ACCOUNT]
-            # The line may lie above use, never below it.
+            # The grant line may exceed actual use, but never be below it.
             self.assertGreaterEqual(after, used)
             self.assertLess(after, 10_000)
-            self.assertLessEqual(sum(granted(deployment).values()), 100_000)
+            self.assertLessEqual(sum(granted_tokens(deployment).values()), 100_000)
 
         with_deployment(self, scenario)
 
-    def test_a_call_whose_answer_is_lost_runs_once_and_is_not_called_not_run(self):
+    def test_lost_answer_is_reported_as_unknown_and_runs_once(self):
         async def scenario(deployment):
             for service in deployment.services_by_name.values():
                 service.faults.lose_answers = 1.0
@@ -83,11 +83,11 @@
 
         with_deployment(self, scenario)
 
-    def test_a_cut_off_data_centre_goes_on_and_learns_of_a_top_up_later(self):
+    def test_partitioned_data_centre_serves_and_gets_a_top_up_later(self):
         async def scenario(deployment):
             deployment.set_cut("kyu-b", True)
-            # In the first seconds a router may use little of its grant only.
-            await served(self, Caller(deployment, "kyu-b-1"), question())
+            # In its first seconds a router may use only a small part of its grant.
+            await ask_until_served(self, Caller(deployment, "kyu-b-1"), question())
             statement = f"top up {ACCOUNT} by 70 as bill-1"
             for vm in ("kyu-a-1", "kyu-a-2"):
                 _, answer = await deployment.operate(vm, statement)
@@ -95,11 +95,11 @@
             _, answer = await deployment.operate("kyu-b-1", statement)
             self.assertIn(answer["state"], ("not_done", "unknown"))
             deployment.set_cut("kyu-b", False)
-            far = deployment.routers_by_vm["kyu-b-1"].ledger_sync.ledger
-            await until(lambda: far.prepaid_by_account[ACCOUNT] == 100_070)
+            remote_ledger = deployment.routers_by_vm["kyu-b-1"].ledger_sync.ledger
+            await until(lambda: remote_ledger.prepaid_by_account[ACCOUNT] == 100_070)
             _, answer = await deployment.operate("kyu-b-1", statement)
             self.assertEqual("done", answer["state"])
-            self.assertEqual(100_070, far.prepaid_by_account[ACCOUNT])
+            self.assertEqual(100_070, remote_ledger.prepaid_by_account[ACCOUNT])
 
         with_deployment(self, scenario)
 
@@ -109,20 +109,20 @@
                 deployment.store_faults(vm).lost_share = 0.5
             caller = Caller(deployment, "kyu-a-1")
             for number in range(10):
-                await served(self, caller, question(f"number {number}"))
+                await ask_until_served(self, caller, question(f"number {number}"))
             await counts_match(deployment)
             self.assertEqual(10, len(engine_runs(deployment)))
-            self.assertLessEqual(sum(granted(deployment).values()), 100_000)
+            self.assertLessEqual(sum(granted_tokens(deployment).values()), 100_000)
 
         with_deployment(self, scenario)
 
-    def test_an_outage_of_the_store_delays_what_is_written_only(self):
+    def test_store_outage_delays_only_writes(self):
         async def scenario(deployment):
             caller = Caller(deployment, "kyu-a-1")
             await caller.ask(question("before"))
             for vm in deployment.routers_by_vm:
                 deployment.store_faults(vm).outage = Outage.BUSY
-            await served(self, caller, question("during"))
+            await ask_until_served(self, caller, question("during"))
             await counts_match(deployment)
             used = counted_by_account(deployment)[ACCOUNT]
             for vm in deployment.routers_by_vm:
@@ -131,7 +131,7 @@
             def written():
                 found = 0
                 for vm in deployment.routers_by_vm:
-                    terms = holder(deployment, vm).terms_by_account.get(ACCOUNT)
+                    terms = holder_row(deployment, vm).terms_by_account.get(ACCOUNT)
                     found += terms.line.base if terms else 0
                 return found
 
@@ -139,22 +139,22 @@
 
         with_deployment(self, scenario)
 
-    def test_a_graceful_stop_cuts_no_stream_and_gives_the_budget_back(self):
+    def test_graceful_stop_finishes_streams_and_returns_grants(self):
         async def scenario(deployment):
-            asked = question("a stream across the stop", stream=True)
+            chat_request = question("a stream across the stop", stream=True)
             caller = Caller(deployment, "kyu-a-1")
-            stream = asyncio.create_task(caller.ask(asked))
+            stream = asyncio.create_task(caller.ask(chat_request))
             await until(lambda: engine_runs(deployment))
             await deployment.stop_router("kyu-a-1")
             _, _, body = await stream
             self.assertTrue(stream_text(body)[1])
-            row = holder(deployment, "kyu-a-1")
+            row = holder_row(deployment, "kyu-a-1")
             for terms in row.terms_by_account.values():
                 self.assertEqual(terms.granted, terms.line.base)
 
         with_deployment(self, scenario, token_delay=0.02)
 
-    def test_a_router_whose_vm_has_another_process_starts_nothing_more(self):
+    def test_fenced_router_starts_no_requests(self):
         async def scenario(deployment):
             old = deployment.routers_by_vm["kyu-a-1"]
             caller = Caller(deployment, "kyu-a-1")
@@ -162,21 +162,21 @@
             await deployment.wait_until_ready()
             old.ledger_sync.request_write()
             await until(lambda: old.ledger_sync.ledger.fenced)
-            ran = len(runs(deployment))
+            runs_before = len(runs(deployment))
             self.assertEqual(0, old.ledger_sync.ledger.available(ACCOUNT, 10**15))
             await old.kill()
-            self.assertEqual(ran, len(runs(deployment)))
+            self.assertEqual(runs_before, len(runs(deployment)))
             caller.client.close()
 
         with_deployment(self, scenario)
 
-    def test_a_drained_upstream_gets_no_new_work(self):
+    def test_drained_upstream_gets_no_new_requests(self):
         async def scenario(deployment):
             _, answer = await deployment.operate(
                 "kyu-a-1", "drain upstream kyu-a-engine-1"
             )
             self.assertEqual("done", answer["state"])
-            await all_have(deployment, 2)
+            await wait_for_version(deployment, 2)
             for number in range(8):
                 for vm in ("kyu-a-1", "kyu-a-2"):
                     await Caller(deployment, vm).ask(question(f"{number}"))
@@ -185,7 +185,7 @@
 
         with_deployment(self, scenario)
 
-    def test_a_dead_engine_is_left_out(self):
+    def test_crashed_engine_is_not_used(self):
         async def scenario(deployment):
             await deployment.engines_by_name["kyu-a-engine-1"].server.kill()
             for number in range(8):
@@ -195,29 +195,31 @@
 
         with_deployment(self, scenario)
 
-    def test_a_broken_stream_goes_on_at_another_engine(self):
+    def test_broken_stream_resumes_at_another_engine(self):
         async def scenario(deployment):
-            asked = question(stream=True)
+            chat_request = question(stream=True)
             breaking = list(deployment.engines_by_name.values())[:3]
             for engine in breaking:
                 engine.faults.break_streams = True
             for number in range(6):
-                asked = question(f"number {number}", stream=True)
-                body = await read_partly(Caller(deployment, "kyu-a-1"), asked)
+                chat_request = question(f"number {number}", stream=True)
+                body = await read_until_broken(
+                    Caller(deployment, "kyu-a-1"), chat_request
+                )
                 text, whole = stream_text(body)
-                expected = "".join(answer_tokens(asked))
+                expected = "".join(answer_tokens(chat_request))
                 self.assertTrue(expected.startswith(text), body)
                 self.assertEqual(whole, text == expected)
             self.assertGreater(len(engine_runs(deployment)), 6)
 
         with_deployment(self, scenario)
 
-    def test_a_stream_that_breaks_for_good_ends_as_broken(self):
+    def test_stream_that_cannot_resume_ends_as_broken(self):
         async def scenario(deployment):
             for engine in deployment.engines_by_name.values():
                 engine.faults.break_streams = True
-            asked = question(stream=True)
-            body = await read_partly(Caller(deployment, "kyu-a-1"), asked)
+            chat_request = question(stream=True)
+            body = await read_until_broken(Caller(deployment, "kyu-a-1"), chat_request)
             self.assertFalse(stream_text(body)[1])
             await until(
                 lambda: (
@@ -229,20 +231,20 @@
         with_deployment(self, scenario, token_delay=0.02)
 
 
-async def served(case, caller, asked):
-    """Ask again after each refusal that says that nothing has run."""
+async def ask_until_served(case, caller, chat_request):
+    """Retry after each refusal with ``not_run`` until the request is served."""
     async with asyncio.timeout(10):
         while True:
-            status, headers, body = await caller.ask(asked)
+            status, headers, body = await caller.ask(chat_request)
             if status == 200:
                 return
             case.assertEqual((503, "not_run"), (status, json.loads(body)["run"]))
             await asyncio.sleep(float(headers["retry-after"]))
 
 
-async def read_partly(caller, asked):
-    """Return what came of an answer that may break off."""
-    body = json.dumps(asked).encode()
+async def read_until_broken(caller, chat_request):
+    """Return the received part of an answer that may break off."""
+    body = json.dumps(chat_request).encode()
     response = await caller.client.request(
         "POST", CHAT, headers=caller.headers, body=body
     )
@@ -253,19 +255,19 @@
     return b"".join(pieces)
 
 
-async def all_have(deployment, version):
-    def have():
+async def wait_for_version(deployment, version):
+    def is_known_everywhere():
         found = []
         for router in deployment.routers_by_vm.values():
             current = router.configurations.current
             found.append(current is not None and current.version >= version)
         return all(found)
 
-    await until(have)
+    await until(is_known_everywhere)
 
 
 class OperatorsTest(AsyncTestCase):
-    def test_conflicting_changes_are_serialised_and_both_told(self):
+    def test_conflicting_changes_are_serialised_and_both_confirmed(self):
         async def scenario(deployment):
             answers = await asyncio.gather(
                 deployment.operate("kyu-a-1", "drain upstream kyu-a-engine-1 as one"),
@@ -275,14 +277,14 @@
             details = " ".join(a["detail"] for _, a in answers)
             self.assertIn("Version 2", details)
             self.assertIn("Version 3", details)
-            await all_have(deployment, 3)
+            await wait_for_version(deployment, 3)
             for router in deployment.routers_by_vm.values():
                 upstreams = router.configurations.current.upstreams
                 self.assertEqual(2, sum(item.is_leaving for item in upstreams))
 
         with_deployment(self, scenario)
 
-    def test_a_repeated_order_is_done_once_and_its_id_names_no_other(self):
+    def test_repeated_order_runs_once_and_its_id_is_not_reusable(self):
         async def scenario(deployment):
             order = f"top up {ACCOUNT} by 5 as once"
             for vm in ("kyu-a-1", "kyu-b-1"):
@@ -298,7 +300,7 @@
 
         with_deployment(self, scenario)
 
-    def test_a_router_that_is_cut_off_changes_nothing_and_says_so(self):
+    def test_partitioned_router_changes_nothing_and_reports_it(self):
         async def scenario(deployment):
             deployment.set_cut("kyu-b", True)
             _, answer = await deployment.operate("kyu-b-1", "undrain vm kyu-a-1")
@@ -310,16 +312,16 @@
 
         with_deployment(self, scenario)
 
-    def test_a_router_without_the_store_learns_versions_through_others(self):
+    def test_router_without_the_store_gets_versions_through_others(self):
         async def scenario(deployment):
             for vm in ("kyu-b-1", "kyu-b-2"):
                 deployment.store_faults(vm).outage = Outage.RESET
             await deployment.operate("kyu-a-1", "drain upstream kyu-a-engine-1")
-            await all_have(deployment, 2)
+            await wait_for_version(deployment, 2)
 
         with_deployment(self, scenario)
 
-    def test_a_drained_vm_takes_no_new_connections(self):
+    def test_drained_vm_is_not_ready(self):
         async def scenario(deployment):
             await deployment.operate("kyu-a-2", "drain vm kyu-a-1")
             drained = deployment.routers_by_vm["kyu-a-1"]
@@ -343,7 +345,7 @@
 
         with_deployment(self, scenario)
 
-    def test_a_stranger_on_the_peers_port_changes_nothing(self):
+    def test_unauthenticated_peer_message_is_refused(self):
         async def scenario(deployment):
             router = deployment.routers_by_vm["kyu-a-1"]
             client = HttpClient(f"127.0.0.1:{router.peer_server.server.port}")
--- a/tests/test_features.py
+++ b/tests/test_features.py
@@ -1,4 +1,4 @@
-"""The parts that a deployment's settings switch on."""
+"""Selection of optional features by a deployment's contracts and environment."""
 
 import testtools
 import yaml
@@ -24,20 +24,20 @@
 
 
 class FeaturesTest(testtools.TestCase):
-    def test_a_deployment_that_asks_for_nothing_is_served_as_before(self):
+    def test_features_are_off_by_default(self):
         for contracts in (["base", "engine", "platform"], None, 7, [None, {}]):
             self.assertEqual(Features(), features(contracts).ok.features)
 
-    def test_a_shared_pool_and_pressure_switch_on_what_they_need(self):
+    def test_pool_and_pressure_contracts_enable_their_features(self):
         pooled = features(["base", "pool"]).ok.features
         self.assertTrue(pooled.processor_guard and pooled.fair_shares)
         self.assertFalse(pooled.memory_guard)
-        # It costs tokens where all routers die, and is named by hand only.
+        # Loses tokens if all routers crash, so it must be enabled explicitly.
         self.assertFalse(pooled.demand_lines)
         pressed = features(["pressure"]).ok.features
         self.assertEqual(Features(memory_guard=True), pressed)
 
-    def test_the_environment_goes_before_the_contracts(self):
+    def test_environment_overrides_contracts(self):
         named = features(["pool"], **{FEATURES_VARIABLE: "hedging,fair_shares"})
         self.assertEqual(Features(hedging=True, fair_shares=True), named.ok.features)
         none = features(["pool"], **{FEATURES_VARIABLE: "none"})
--- a/tests/test_loops.py
+++ b/tests/test_loops.py
@@ -1,4 +1,4 @@
-"""Loops that do one thing again and again."""
+"""Periodic tasks and the alignment of their ticks."""
 
 import asyncio
 import random
@@ -10,7 +10,7 @@
 
 
 class TickTest(AsyncTestCase):
-    def test_a_tick_comes_within_the_interval_and_never_at_once(self):
+    def test_tick_is_within_the_interval_and_never_immediate(self):
         rng = random.Random(7)
         for _ in range(2000):
             interval = rng.choice((0.05, 0.1, 0.3, 0.5))
@@ -21,7 +21,7 @@
                 self.assertLess(tick - now, interval * 1.02)
                 now = tick
 
-    def test_a_long_interval_ends_with_a_short_one(self):
+    def test_ticks_of_long_and_short_intervals_are_aligned(self):
         now = 1234.5
         long = _next_tick(now, 0.5)
         ticks = []
@@ -38,7 +38,7 @@
         async def step():
             steps.append(1)
             if more.get("fails"):
-                raise ValueError("this step")
+                raise ValueError("step failed")
 
         async def work():
             loop = PeriodicTask(
@@ -64,7 +64,7 @@
 
         self.run_loop(scenario)
 
-    def test_what_is_not_due_is_not_done_and_done_once_it_is(self):
+    def test_step_runs_only_while_it_is_due(self):
         due = []
 
         async def scenario(loop, steps):
@@ -75,7 +75,7 @@
 
         self.run_loop(scenario, is_due=lambda: bool(due))
 
-    def test_who_wakes_it_does_not_ask_what_is_due(self):
+    def test_wake_runs_a_step_that_is_not_due(self):
         async def scenario(loop, steps):
             loop.wake()
             await self.wait_for(steps, 1)
@@ -85,11 +85,11 @@
 
         self.assertEqual(2, len(self.run_loop(scenario, is_due=lambda: False)))
 
-    def test_it_goes_on_after_steps_and_looks_that_fail(self):
+    def test_failed_steps_and_due_checks_do_not_end_the_task(self):
         async def scenario(loop, steps):
             await self.wait_for(steps, 3)
 
         def is_due():
-            raise ValueError("this look")
+            raise ValueError("due check failed")
 
         self.run_loop(scenario, fails=True, is_due=is_due)
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,12 +1,12 @@
-"""What a router on the platform loads before it serves its first request."""
+"""Modules that a platform router imports before it serves its first request."""
 
 import subprocess
 import sys
 
 from testtools import TestCase
 
-# What only operators, stand-ins and measurements need; operators' documents alone are
-# 34 of the 1,139 million instructions that a router took to load.
+# Modules that only operators, stand-ins and benchmarks need. The operators' documents
+# alone took 34 of the 1,139 million instructions of a router's import.
 NOT_LOADED = (
     "defopt",
     "difflib",
@@ -24,7 +24,7 @@
 
 
 class StartTest(TestCase):
-    def test_a_router_loads_only_what_it_needs(self):
+    def test_router_imports_no_unneeded_modules(self):
         program = (
             "import sys, lynxchute.platform.daemon; print('\\n'.join(sys.modules))"
         )
