--- a/lynxchute/http/__init__.py
+++ b/lynxchute/http/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 for both sides of a router, on `asyncio` and `h11`."""
+"""An HTTP/1.1 server and client, based on `asyncio` and `h11`."""
 
 from lynxchute.http.client import (
     AbortHandle,
--- a/lynxchute/http/client.py
+++ b/lynxchute/http/client.py
@@ -1,8 +1,7 @@
-"""An HTTP/1.1 client with kept connections, on `asyncio` and `h11`.
+"""An HTTP/1.1 client with persistent connections, based on `asyncio` and `h11`.
 
-A connection is used again only after its exchange was finished on both
-sides and nothing else came over it, so that an answer can never reach the
-wrong caller.
+A connection is reused only if both sides have completed the previous exchange and
+no further bytes have arrived, so that a response never reaches the wrong caller.
 """
 
 from __future__ import annotations
@@ -16,30 +15,36 @@
 import h11
 
 from lynxchute.http.client_connection import (
+    BrokenConnectionError,
     ClientConnection,
-    ConnectionBroken,
     OutgoingRequest,
 )
-from lynxchute.http.headers import HeaderItems, Headers, encoded
+from lynxchute.http.headers import HeaderItems, Headers, encode_headers
 from lynxchute.http.json_text import encode_json
-from lynxchute.http.link_meter import AMPLE, LinkMeter
-from lynxchute.http.patience import unless_silent
+from lynxchute.http.link_meter import UNLIMITED_LINK, LinkMeter
+from lynxchute.http.patience import lag_tolerant_wait
 
-MAX_ANSWER_BYTES = 16 * 1024 * 1024
-# An extra answer or two may stand before the right one; a peer that sends
-# more of them is not worth reading on.
-MAX_SKIPPED_ANSWERS = 3
+MAX_RESPONSE_BYTES = 16 * 1024 * 1024
+# Responses to earlier requests that may be skipped before the expected one. A peer
+# that sends more of them is treated as broken.
+MAX_SKIPPED_RESPONSES = 3
 
 
 @attrs.frozen
 class Timeouts:
-    """How long each step of an exchange may take, in seconds.
+    """Timeouts of the steps of an exchange, in seconds.
 
     Attributes
     ----------
-    kept_idle
-        How long a connection without a Keep-Alive header may have been idle to
-        be used again.
+    connect
+        For opening a connection.
+    first_byte
+        For the head of the response; None for no timeout.
+    between_bytes
+        For each further chunk of the body; None for no timeout.
+    keepalive_expiry
+        Idle time after which a connection is not reused, if the peer sent no
+        Keep-Alive header.
     """
 
     connect: float = 1.0
@@ -49,14 +54,15 @@
 
 
 class ExchangeError(Exception):
-    """Report an exchange that gave no whole answer.
+    """Raised if an exchange yields no complete response.
 
     Parameters
     ----------
     reason
-        What went wrong.
+        Cause of the failure.
     sent
-        Whether a byte of the request may have left; if not, it did not run.
+        Whether any byte of the request may have been sent. If not, the peer cannot
+        have run it.
     """
 
     def __init__(self, reason: str, *, sent: bool) -> None:
@@ -65,40 +71,53 @@
 
     @property
     def is_timeout(self) -> bool:
-        """Return whether the peer said nothing, not even that it refuses."""
+        """Return whether the exchange timed out without an error from the peer."""
         return isinstance(self.__cause__, TimeoutError)
 
 
 @attrs.define(eq=False)
 class AbortHandle:
-    """Break an exchange off from outside."""
+    """Lets another task abort an exchange.
+
+    Attributes
+    ----------
+    connection
+        The connection of the exchange; None until there is one.
+    """
 
     connection: ClientConnection | None = None
 
     def abort(self) -> None:
-        """Drop the connection of the exchange, if it has one."""
+        """Abort the connection of the exchange, if it has one."""
         if self.connection is not None:
             self.connection.abort()
 
 
-def any_answer(head: h11.Response) -> bool:
-    """Take whatever answer comes first."""
+def accept_any_response(head: h11.Response) -> bool:
+    """Accept the first response that arrives."""
     return True
 
 
 class Response:
-    """An answer whose body is read in pieces.
+    """A response whose body is streamed.
 
     Parameters
     ----------
     client
-        The client that the connection goes back to.
+        The client that the connection is returned to.
     connection
-        The connection that the answer comes over.
+        The connection that the response arrives on.
     head
-        The head of the answer.
+        The status line and headers.
     between_bytes
-        Seconds to wait for each next piece; None waits without end.
+        Timeout for each chunk of the body in seconds; None for no timeout.
+
+    Attributes
+    ----------
+    status
+        The HTTP status.
+    headers
+        The headers of the response.
     """
 
     def __init__(
@@ -116,90 +135,91 @@
         self._released = False
 
     async def read(self) -> bytes | None:
-        """Return what has arrived of the body, or None after its end.
+        """Return the next available part of the body, or None at its end.
 
         Raises
         ------
-        ExchangeFailed
-            Where the answer broke off before its end.
+        ExchangeError
+            If the response ends prematurely.
         """
         if self._released:
             return None
         try:
-            piece = self._connection.body_at_hand()
-            if piece == b"" and self._between_bytes is None:
-                piece = await self._connection.read_body()
-            elif piece == b"":
+            chunk = self._connection.read_available()
+            if chunk == b"" and self._between_bytes is None:
+                chunk = await self._connection.read_body()
+            elif chunk == b"":
                 async with asyncio.timeout(self._between_bytes):
-                    piece = await self._connection.read_body()
+                    chunk = await self._connection.read_body()
         except BaseException as error:
-            self._break_off(error)
+            self._fail(error)
             raise
-        if piece is None:
+        if chunk is None:
             self._release()
-        return piece
+        return chunk
 
-    async def deliver_body(self, take: Callable[[bytes], bool]) -> bool:
-        """Hand the body to a function piece by piece, each one as it arrives.
+    async def deliver_body(self, consume: Callable[[bytes], bool]) -> bool:
+        """Pass the body to a callback, chunk by chunk as it arrives.
 
         Parameters
         ----------
-        take
-            Called from the event loop; returns whether it can take the next piece.
+        consume
+            Called from the event loop with each chunk; returns whether it accepts
+            another one.
 
         Returns
         -------
         bool
-            Whether the body has come to its end; otherwise the function wants no
-            more, and further calls go on where it stopped.
+            Whether the body is complete. If not, the callback has paused the
+            delivery, and the next call resumes it.
 
         Raises
         ------
-        ExchangeFailed
-            Where the answer broke off before its end.
+        ExchangeError
+            If the response ends prematurely.
         """
         if self._between_bytes is not None:
-            while (piece := await self.read()) is not None:
-                if not take(piece):
+            while (chunk := await self.read()) is not None:
+                if not consume(chunk):
                     return False
             return True
         if self._released:
             return True
         try:
-            is_whole = await self._connection.deliver_body(take)
+            is_complete = await self._connection.deliver_body(consume)
         except BaseException as error:
-            self._break_off(error)
+            self._fail(error)
             raise
-        if is_whole:
+        if is_complete:
             self._release()
-        return is_whole
+        return is_complete
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the body; what arrived in one read comes as one piece.
+        """Yield the body; bytes that arrived together form one chunk.
 
         Raises
         ------
-        ExchangeFailed
-            Where the answer broke off before its end.
+        ExchangeError
+            If the response ends prematurely.
         """
         try:
             while True:
-                piece = await self.read()
-                if piece is None:
+                chunk = await self.read()
+                if chunk is None:
                     return
-                yield piece
+                yield chunk
         finally:
-            # Also where the reader stopped early; nothing is left to do after
-            # a whole answer.
+            # Aborts the connection if the reader stopped early; does nothing after a
+            # complete response.
             self.close()
 
-    async def body(self, limit: int = MAX_ANSWER_BYTES) -> bytes:
-        """Return the whole body.
+    async def body(self, limit: int = MAX_RESPONSE_BYTES) -> bytes:
+        """Return the complete body.
 
         Raises
         ------
-        ExchangeFailed
-            Where it broke off, or is larger than the limit in bytes.
+        ExchangeError
+            If the body ends prematurely or is larger than the limit in bytes.
         """
         parts: list[bytes] = []
         size = 0
@@ -211,7 +231,7 @@
         return b"".join(parts)
 
     async def json(self) -> Any:
-        """Return the whole body decoded as JSON."""
+        """Return the complete body decoded as JSON."""
         body = await self.body()
         try:
             return json.loads(body)
@@ -221,42 +241,45 @@
             ) from error
 
     def close(self) -> None:
-        """Drop the connection where the body was not read to its end."""
+        """Abort the connection if the body was not read to its end."""
         if not self._released:
             self._released = True
             self._connection.abort()
-            self._client._forget()
+            self._client._release_slot()
 
-    def _break_off(self, error: BaseException) -> None:
-        """Drop the connection; an answer that broke off is reported as such."""
+    def _fail(self, error: BaseException) -> None:
+        """Abort the connection; raise `ExchangeError` for a failed read.
+
+        Other errors are left to the caller to raise again.
+        """
         self.close()
-        if isinstance(error, ConnectionBroken | TimeoutError):
+        if isinstance(error, BrokenConnectionError | TimeoutError):
             raise ExchangeError(f"the answer broke off: {error}", sent=True) from error
 
     def _release(self) -> None:
         if not self._released:
             self._released = True
-            self._client._give_back(self._connection)
+            self._client._return_connection(self._connection)
 
 
 class HttpClient:
-    """Exchange requests with one peer.
+    """Sends requests to one peer.
 
     Parameters
     ----------
     address
         The peer as ``host:port``.
     timeouts
-        How long each step may take.
+        Default timeouts of the exchanges.
     max_connections
-        Exchanges at once; further ones wait.
+        Concurrent exchanges; further ones wait.
     meter
-        Tells how long what is sent waits for the VM's link: nobody is silent for
-        that time.
+        Estimates the queueing delay on the VM's link, by which timeouts are
+        extended.
 
     Attributes
     ----------
-    opened
+    connections_opened
         Connections opened so far.
     """
 
@@ -266,11 +289,11 @@
         *,
         timeouts: Timeouts | None = None,
         max_connections: int = 256,
-        meter: LinkMeter = AMPLE,
+        meter: LinkMeter = UNLIMITED_LINK,
     ) -> None:
         self.address = address
         self._meter = meter
-        self.opened = 0
+        self.connections_opened = 0
         host, _, port = address.rpartition(":")
         self._host = host
         self._port = int(port)
@@ -287,31 +310,33 @@
         body: bytes = b"",
         timeouts: Timeouts | None = None,
         max_idle: float | None = None,
-        matches_request: Callable[[h11.Response], bool] = any_answer,
+        matches_request: Callable[[h11.Response], bool] = accept_any_response,
         on_sent: Callable[[], None] | None = None,
         abort_handle: AbortHandle | None = None,
     ) -> Response:
-        """Send a request and return the answer with its head read.
+        """Send a request and return the response once its head has arrived.
 
         Parameters
         ----------
         headers
-            With a Host header or without; the address is the default.
-        fresh_within
-            Seconds that a kept connection may have been idle for this request;
-            None leaves that to the timeouts.
-        is_answer
-            Tells an answer to this request from one to an earlier request,
-            which is read and dropped.
+            Headers of the request; Host defaults to the address.
+        timeouts
+            Overrides the timeouts of the client.
+        max_idle
+            Seconds that a reused connection may have been idle; None applies the
+            timeouts only.
+        matches_request
+            Returns whether a response belongs to this request. A response to an
+            earlier request is read and discarded.
         on_sent
-            Called when the first byte is about to leave.
+            Called just before the first byte is sent.
         abort_handle
-            Told the connection, so that the exchange can be broken off.
+            Receives the connection, so that another task can abort the exchange.
 
         Raises
         ------
-        ExchangeFailed
-            With ``sent`` false only where no byte of the request left.
+        ExchangeError
+            With ``sent`` false only if no byte of the request was sent.
         """
         limits = timeouts or self._timeouts
         await self._slots.acquire()
@@ -322,18 +347,20 @@
             raise
         if abort_handle is not None:
             abort_handle.connection = connection
-        outgoing = OutgoingRequest(method, target, self._full_headers(headers, body))
+        outgoing = OutgoingRequest(
+            method, target, self._complete_headers(headers, body)
+        )
         try:
             if on_sent is not None:
                 on_sent()
             connection.send(outgoing, body)
             head = await self._read_head(connection, limits, matches_request)
-        except (ConnectionBroken, TimeoutError) as error:
+        except (BrokenConnectionError, TimeoutError) as error:
             connection.abort()
             self._slots.release()
             if isinstance(error, TimeoutError):
-                # Kept connections go silent together, where a cut has come and gone
-                # between; each would cost its own timeout, a new one works.
+                # A transient network partition breaks all idle connections at once.
+                # Each would cost a request its timeout, while a new one works.
                 self.close()
             raise ExchangeError(f"no answer: {error}", sent=True) from error
         except BaseException:
@@ -350,7 +377,7 @@
         headers: HeaderItems = (),
         timeouts: Timeouts | None = None,
     ) -> tuple[int, Any]:
-        """Post JSON; return the status and the decoded answer."""
+        """Post a JSON body; return the status and the decoded response."""
         body = encode_json(value)
         head = [("Content-Type", "application/json"), *headers]
         response = await self.request(
@@ -365,55 +392,55 @@
         headers: HeaderItems = (),
         timeouts: Timeouts | None = None,
     ) -> tuple[int, Any]:
-        """Get JSON; return the status and the decoded answer."""
+        """Return the status and the decoded JSON response of a GET request."""
         response = await self.request("GET", target, headers=headers, timeouts=timeouts)
         return response.status, await response.json()
 
     def close(self) -> None:
-        """Drop the idle connections."""
+        """Close the idle connections."""
         idle, self._idle = self._idle, []
         for connection in idle:
             connection.abort()
 
-    def _full_headers(
+    def _complete_headers(
         self, headers: HeaderItems, body: bytes
     ) -> list[tuple[bytes, bytes]]:
-        full = encoded(headers)
-        if not any(len(name) == 4 and name.lower() == b"host" for name, _ in full):
-            full.insert(0, (b"Host", self.address.encode()))
-        full.append((b"Content-Length", str(len(body)).encode()))
-        return full
+        complete = encode_headers(headers)
+        if not any(len(name) == 4 and name.lower() == b"host" for name, _ in complete):
+            complete.insert(0, (b"Host", self.address.encode()))
+        complete.append((b"Content-Length", str(len(body)).encode()))
+        return complete
 
     async def _connect(
         self, limits: Timeouts, max_idle: float | None
     ) -> ClientConnection:
-        kept = self._take_idle(limits, max_idle)
-        if kept is not None:
-            return kept
+        reused = self._pop_idle(limits, max_idle)
+        if reused is not None:
+            return reused
         loop = asyncio.get_running_loop()
         try:
-            _, connection = await unless_silent(
+            _, connection = await lag_tolerant_wait(
                 loop.create_connection(
                     lambda: ClientConnection(self._meter), self._host, self._port
                 ),
                 limits.connect + self._meter.delay(),
-                lambda made: made[1].abort(),
+                lambda created: created[1].abort(),
             )
         except (OSError, TimeoutError) as error:
             raise ExchangeError(f"cannot connect: {error!r}", sent=False) from error
-        self.opened += 1
+        self.connections_opened += 1
         return connection
 
-    def _take_idle(
+    def _pop_idle(
         self, limits: Timeouts, max_idle: float | None
     ) -> ClientConnection | None:
-        """Return the kept connection that was used last, if it is fresh enough."""
+        """Return the most recently used idle connection, if it may still be reused."""
         now = asyncio.get_running_loop().time()
         while self._idle:
             connection = self._idle.pop()
             idle = now - connection.idle_since
-            longest = connection.keep_alive_seconds or limits.keepalive_expiry
-            if not connection.alive or idle > longest:
+            expiry = connection.keep_alive_seconds or limits.keepalive_expiry
+            if not connection.is_alive or idle > expiry:
                 connection.abort()
                 continue
             if max_idle is not None and idle > max_idle:
@@ -428,51 +455,59 @@
         limits: Timeouts,
         matches_request: Callable[[h11.Response], bool],
     ) -> h11.Response:
-        patience = limits.first_byte
-        if patience is not None:
-            patience += self._meter.delay()
-        async with asyncio.timeout(patience):
-            for _ in range(MAX_SKIPPED_ANSWERS + 1):
+        head_timeout = limits.first_byte
+        if head_timeout is not None:
+            head_timeout += self._meter.delay()
+        async with asyncio.timeout(head_timeout):
+            for _ in range(MAX_SKIPPED_RESPONSES + 1):
                 head = await connection.read_head()
                 if matches_request(head):
                     return head
-                await connection.skip_answer()
-        raise ConnectionBroken("only answers to other requests came")
+                await connection.skip_response()
+        raise BrokenConnectionError("only answers to other requests came")
 
-    def _give_back(self, connection: ClientConnection) -> None:
-        if connection.renew():
+    def _return_connection(self, connection: ClientConnection) -> None:
+        if connection.reset_for_reuse():
             self._idle.append(connection)
         else:
             connection.abort()
         self._slots.release()
 
-    def _forget(self) -> None:
+    def _release_slot(self) -> None:
         self._slots.release()
 
 
 @attrs.define
 class ClientPool:
-    """Keep one client for each address."""
+    """Keeps one client per address.
+
+    Attributes
+    ----------
+    timeouts
+        Default timeouts of the clients.
+    meter
+        Estimates the queueing delay on the VM's link.
+    """
 
     timeouts: Timeouts = attrs.Factory(Timeouts)
-    meter: LinkMeter = AMPLE
-    by_address: dict[str, HttpClient] = attrs.Factory(dict)
+    meter: LinkMeter = UNLIMITED_LINK
+    clients_by_address: dict[str, HttpClient] = attrs.Factory(dict)
 
     def get(self, address: str) -> HttpClient:
-        """Return the client for an address, made on first use."""
-        client = self.by_address.get(address)
+        """Return the client for an address; create it on first use."""
+        client = self.clients_by_address.get(address)
         if client is None:
             client = HttpClient(address, timeouts=self.timeouts, meter=self.meter)
-            self.by_address[address] = client
+            self.clients_by_address[address] = client
         return client
 
     def drop(self, address: str) -> None:
-        """Close what is kept for an address that is no longer used."""
-        client = self.by_address.pop(address, None)
+        """Discard the client for an address that is no longer used."""
+        client = self.clients_by_address.pop(address, None)
         if client is not None:
             client.close()
 
     def close(self) -> None:
-        """Drop every idle connection."""
-        for client in self.by_address.values():
+        """Close all idle connections."""
+        for client in self.clients_by_address.values():
             client.close()
--- a/lynxchute/http/connection.py
+++ b/lynxchute/http/connection.py
@@ -1,4 +1,4 @@
-"""One accepted connection of the HTTP server."""
+"""A connection accepted by the HTTP server."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from absl import logging
 
 from lynxchute.http.headers import Headers
-from lynxchute.http.held_answer import HeldAnswer
+from lynxchute.http.held_answer import TransportBuffer
 from lynxchute.http.messages import BadRequest, Request, RequestHead
 from lynxchute.http.responder import CallerDisconnected, Responder
 from lynxchute.http.sockets import SocketOptions, apply_options
@@ -19,24 +19,25 @@
 if TYPE_CHECKING:
     from lynxchute.http.server import HttpServer
 
-# How long a refused sender is listened to, so that closing on its unread
-# bytes does not reset the connection under the refusal.
+# Seconds for which bytes are still read after an error response. Closing a socket with
+# unread bytes would reset the connection and could destroy the response.
 LINGER_SECONDS = 1.0
-# Pipelined bytes that are taken while a request is being served.
+# Bytes of pipelined requests above which reading is paused while a request is served.
 MAX_PIPELINED_BYTES = 65536
-# A caller that reads slowly holds up at most this much of its answer here.
+# High-water mark of the write buffer, above which a slow reader blocks its handler.
 WRITE_BUFFER_BYTES = 65536
-# Who reads slowly may leave its window shut for long; who reads nothing is ended here.
-SLOW_READERS = SocketOptions(user_timeout_ms=30_000)
+# A slow reader may keep its TCP window closed for long, so the timeout is generous.
+# Callers that read nothing at all are disconnected by the server itself.
+SLOW_READER_OPTIONS = SocketOptions(user_timeout_ms=30_000)
 
 PROBLEM_TYPE = "application/problem+json"
-# What refusals of this server are called for programs; the others are malformed.
+# Problem types of error responses by status; all other statuses are "malformed".
 PROBLEMS_BY_STATUS = {502: "broken", 503: "overloaded"}
 UNIQUE_HEADERS = ("content-length", "transfer-encoding", "host")
 
 
 class _Phase(enum.Enum):
-    """What a connection is doing."""
+    """The state of a connection."""
 
     IDLE = "idle"
     HEAD = "head"
@@ -47,21 +48,21 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """Read requests one after the other and have each of them served.
+    """Reads requests one at a time and passes each to the server's handler.
 
     Parameters
     ----------
     server
-        The server that accepted the connection and has its requests handled.
+        The server that accepted the connection.
 
     Attributes
     ----------
-    served
-        The task that serves the current request.
+    handler_task
+        The task that serves the current request, if any.
     """
 
     def __init__(self, server: HttpServer) -> None:
-        self.served: asyncio.Task[None] | None = None
+        self.handler_task: asyncio.Task[None] | None = None
         self._server = server
         self._limits = server.limits()
         self._protocol = self._new_protocol()
@@ -69,31 +70,31 @@
         self._transport: asyncio.Transport | None = None
         self._phase = _Phase.IDLE
         self._timer: asyncio.TimerHandle | None = None
-        self._ends_at: float | None = None
+        self._deadline: float | None = None
         self._head: RequestHead | None = None
         self._body: list[bytes] = []
         self._body_bytes = 0
         self._received_at = 0.0
         self._responder: Responder | None = None
         self._writable: asyncio.Future[None] | None = None
-        self._held: HeldAnswer | None = None
-        self._waiting_bytes = 0
+        self._answer_buffer: TransportBuffer | None = None
+        self._pipelined_bytes = 0
 
     @property
-    def _is_gone(self) -> bool:
-        if self._held is not None and self._held.is_cut:
+    def _is_disconnected(self) -> bool:
+        if self._answer_buffer is not None and self._answer_buffer.is_cut:
             return True
         return self._phase is _Phase.CLOSED
 
     @property
     def is_idle(self) -> bool:
-        """Return whether no byte of a request is at hand."""
+        """Return whether no part of a request has arrived and none is served."""
         return self._phase is _Phase.IDLE
 
-    # What the event loop calls.
+    # Callbacks of the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take a new connection."""
+        """Handle a new connection."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         if not self._server.may_accept_connection():
@@ -102,67 +103,67 @@
         if self._server.guard is None:
             apply_options(transport)
         else:
-            apply_options(transport, SLOW_READERS)
+            apply_options(transport, SLOW_READER_OPTIONS)
             clock = self._loop.time
-            self._held = HeldAnswer(transport, self._server.guard, clock)
+            self._answer_buffer = TransportBuffer(transport, self._server.guard, clock)
         transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)
         self._server.connections.add(self)
         self._set_timer(self._limits.idle_timeout)
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes from the caller."""
+        """Handle bytes from the caller."""
         self._server.meter.record_received(len(data))
         if self._phase in (_Phase.LINGERING, _Phase.CLOSED):
             return
         if self._phase is _Phase.SERVING:
-            self._waiting_bytes += len(data)
+            self._pipelined_bytes += len(data)
             self._protocol.receive_data(data)
-            if self._waiting_bytes > MAX_PIPELINED_BYTES and self._transport:
+            if self._pipelined_bytes > MAX_PIPELINED_BYTES and self._transport:
                 self._transport.pause_reading()
             return
         if self._phase is _Phase.IDLE:
-            self._begin()
+            self._begin_request()
         self._protocol.receive_data(data)
-        self._read()
+        self._process_events()
 
     def eof_received(self) -> bool:
-        """Take the end of what the caller sends as its leaving."""
+        """Treat the end of the caller's stream as a disconnect."""
         if self._responder is not None and not self._responder.finished:
             self.abort()
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Give up what the caller no longer waits for."""
+        """Release buffers; cancel the handler unless it survives a disconnect."""
         self._phase = _Phase.CLOSED
         self._server.connections.discard(self)
-        self._drop_timer()
-        self._forget_body()
+        self._cancel_timer()
+        self._discard_body()
         self._wake_writer()
-        if self._held is not None:
-            self._held.end()
-        if self.served is None or self._responder is None:
+        if self._answer_buffer is not None:
+            self._answer_buffer.release()
+        if self.handler_task is None or self._responder is None:
             return
         if not self._responder.finished and not self._responder.survives_disconnect:
-            self.served.cancel()
+            self.handler_task.cancel()
 
     def pause_writing(self) -> None:
-        """Note that the caller reads too slowly."""
+        """Block writers, as the write buffer is above its high-water mark."""
         if self._writable is None:
             self._writable = self._loop.create_future()
 
     def resume_writing(self) -> None:
-        """Note that the caller has caught up."""
+        """Wake writers, as the write buffer has drained."""
         self._wake_writer()
 
-    # What the server calls.
+    # Called by the server.
 
     def close(self) -> None:
-        """Close the connection after what has been written."""
+        """Close the connection once the buffered bytes are sent."""
         if self._transport is not None:
             self._transport.close()
 
     def abort(self) -> None:
-        """Drop the connection at once."""
+        """Abort the connection at once."""
         if self._transport is not None:
             self._transport.abort()
 
@@ -172,7 +173,7 @@
         limit = self._limits.max_head_bytes
         return h11.Connection(h11.SERVER, max_incomplete_event_size=limit)
 
-    def _begin(self) -> None:
+    def _begin_request(self) -> None:
         self._phase = _Phase.HEAD
         self._received_at = self._loop.time()
         limits = self._server.limits()
@@ -181,33 +182,33 @@
             self._protocol = self._new_protocol()
         self._set_timer(self._limits.head_timeout)
 
-    def _read(self) -> None:
-        """Take the events at hand, until a request is whole."""
+    def _process_events(self) -> None:
+        """Handle the available protocol events until a request is complete."""
         try:
             while self._phase in (_Phase.HEAD, _Phase.BODY):
                 event = self._protocol.next_event()
                 if event is h11.NEED_DATA or event is h11.PAUSED:
                     return
-                self._take(event)
+                self._handle_event(event)
         except BadRequest as error:
             self._refuse(error.status, error.reason, error.retry_after)
         except h11.RemoteProtocolError as error:
             self._refuse(error.error_status_hint, str(error))
 
-    def _take(self, event: object) -> None:
+    def _handle_event(self, event: object) -> None:
         if isinstance(event, h11.Request):
-            self._take_head(event)
+            self._handle_head(event)
             return
         if isinstance(event, h11.Data):
-            self._take_data(bytes(event.data))
+            self._handle_data(bytes(event.data))
             return
         if isinstance(event, h11.EndOfMessage):
-            self._serve()
+            self._start_handler()
             return
         self.close()
         self._phase = _Phase.CLOSED
 
-    def _take_head(self, event: h11.Request) -> None:
+    def _handle_head(self, event: h11.Request) -> None:
         raw = event.headers.raw_items()
         size = sum(len(name) + len(value) + 4 for name, value in raw)
         if size + len(event.target) > self._limits.max_head_bytes:
@@ -226,8 +227,8 @@
         self._phase = _Phase.BODY
         self._set_timer(self._limits.body_timeout)
         if self._protocol.they_are_waiting_for_100_continue:
-            go_ahead = h11.InformationalResponse(status_code=100, headers=[])
-            self._write(self._protocol.send(go_ahead) or b"")
+            interim = h11.InformationalResponse(status_code=100, headers=[])
+            self._write(self._protocol.send(interim) or b"")
 
     def _check_length(self, headers: Headers) -> None:
         length = headers.get("content-length", "0")
@@ -239,7 +240,7 @@
             reason = "Too many bodies are being read. Send it again later."
             raise BadRequest(503, reason, retry_after=0.5)
 
-    def _take_data(self, data: bytes) -> None:
+    def _handle_data(self, data: bytes) -> None:
         self._body_bytes += len(data)
         self._server.buffered_bytes += len(data)
         self._body.append(data)
@@ -250,18 +251,18 @@
             raise BadRequest(503, reason, retry_after=0.5)
         self._set_timer(self._limits.body_timeout)
 
-    def _forget_body(self) -> None:
+    def _discard_body(self) -> None:
         self._server.buffered_bytes -= self._body_bytes
         self._body_bytes = 0
         self._body = []
 
     # Serving.
 
-    def _serve(self) -> None:
+    def _start_handler(self) -> None:
         head = self._head
         assert head is not None
         self._phase = _Phase.SERVING
-        self._clear_timer()
+        self._disarm_timer()
         request = Request(
             head.method,
             head.target,
@@ -271,20 +272,22 @@
         )
         self._body = []
         self._responder = Responder(
-            head.method, self._protocol, self._write, self._drained, self.abort
+            head.method, self._protocol, self._write, self._wait_drained, self.abort
         )
         self._responder.close_after_response = self._server.close_after_response
-        self._responder.held = self._held
-        self.served = self._loop.create_task(self._run(request, self._responder))
+        self._responder.answer_buffer = self._answer_buffer
+        self.handler_task = self._loop.create_task(
+            self._handle_request(request, self._responder)
+        )
 
-    async def _run(self, request: Request, respond: Responder) -> None:
+    async def _handle_request(self, request: Request, respond: Responder) -> None:
         try:
             await self._server.handler(request, respond)
         except BadRequest as error:
             self._refuse(error.status, error.reason, error.retry_after)
             return
         except (OSError, h11.LocalProtocolError) as error:
-            if not self._is_gone:
+            if not self._is_disconnected:
                 logging.warning("response could not be written: %r", error)
         except asyncio.CancelledError:
             self.abort()
@@ -295,14 +298,14 @@
                 self._refuse(502, "The router failed while it served the request.")
                 return
         finally:
-            self._forget_body()
-            if self._held is None or not respond.finished:
-                self.served = None
-        if self._held is not None and respond.finished:
-            # What is left to do needs no body.
+            self._discard_body()
+            if self._answer_buffer is None or not respond.finished:
+                self.handler_task = None
+        if self._answer_buffer is not None and respond.finished:
+            # Frees the body, which is not needed any more.
             del request
-            await self._caught_up(self._held)
-            self.served = None
+            await self._wait_until_read(self._answer_buffer)
+            self.handler_task = None
         self._end_exchange(respond)
 
     def _end_exchange(self, respond: Responder) -> None:
@@ -318,22 +321,22 @@
         self._protocol.start_next_cycle()
         self._phase = _Phase.IDLE
         self._responder = None
-        waiting, _ = self._protocol.trailing_data
-        if self._waiting_bytes and self._transport is not None:
+        pipelined, _ = self._protocol.trailing_data
+        if self._pipelined_bytes and self._transport is not None:
             self._transport.resume_reading()
-        self._waiting_bytes = 0
-        if waiting:
+        self._pipelined_bytes = 0
+        if pipelined:
             self._phase = _Phase.HEAD
             self._received_at = self._loop.time()
             self._set_timer(self._limits.head_timeout)
-            self._read()
+            self._process_events()
             return
         self._set_timer(self._limits.idle_timeout)
 
     def _refuse(
         self, status: int, reason: str, retry_after: float | None = None
     ) -> None:
-        """Answer a request that is not served, and close the connection."""
+        """Send an error response and close the connection."""
         if self._responder is not None and self._responder.started:
             self.abort()
             return
@@ -366,7 +369,7 @@
 
     def _linger(self) -> None:
         self._phase = _Phase.LINGERING
-        self._forget_body()
+        self._discard_body()
         transport = self._transport
         if transport is None or transport.is_closing():
             return
@@ -377,35 +380,38 @@
     # Writing.
 
     def _write(self, data: bytes) -> bool:
-        """Write to the caller; return whether it reads fast enough for more."""
-        if self._transport is None or self._is_gone:
-            raise CallerDisconnected("the caller left")
+        """Write to the caller; return whether more may be written without waiting."""
+        if self._transport is None or self._is_disconnected:
+            raise CallerDisconnected("the caller disconnected")
         if data:
             self._server.meter.record_sent(len(data))
             self._transport.write(data)
-            if self._held is not None:
-                self._held.note_written(len(data))
-        return self._writable is None or self._may_wait_here()
+            if self._answer_buffer is not None:
+                self._answer_buffer.record_written(len(data))
+        return self._writable is None or self._may_buffer()
 
-    async def _drained(self) -> None:
-        if self._writable is not None and not self._may_wait_here():
+    async def _wait_drained(self) -> None:
+        if self._writable is not None and not self._may_buffer():
             await asyncio.shield(self._writable)
 
-    def _may_wait_here(self) -> bool:
-        """Return whether the caller need not have read what was written so far."""
-        if self._held is None or self._responder is None:
+    def _may_buffer(self) -> bool:
+        """Return whether the handler may continue while the caller reads the buffer."""
+        if self._answer_buffer is None or self._responder is None:
             return False
-        return self._responder.finished or self._held.has_room
+        return self._responder.finished or self._answer_buffer.has_room
+
+    async def _wait_until_read(self, answer_buffer: TransportBuffer) -> None:
+        """Wait until the caller has read its response.
 
-    async def _caught_up(self, held: HeldAnswer) -> None:
-        """Wait until the caller has read its answer; end who reads nothing."""
+        Aborts the connection if nothing was read within the idle timeout.
+        """
         while self._writable is not None:
-            read = held.read_bytes
+            read_before = answer_buffer.read_bytes
             try:
                 async with asyncio.timeout(self._limits.idle_timeout):
                     await asyncio.shield(self._writable)
             except TimeoutError:
-                if held.read_bytes == read:
+                if answer_buffer.read_bytes == read_before:
                     self.abort()
                     return
 
@@ -417,35 +423,36 @@
     # Timers.
 
     def _set_timer(self, seconds: float) -> None:
-        """Let the present phase last so many seconds at most.
+        """Limit the duration of the current phase, in seconds.
 
-        A timer that comes earlier is left and looks then how long is left: each
-        request sets some, and hardly any of them comes to its end.
+        An earlier timer is kept and rescheduled when it fires. Each request sets
+        several timers, and very few of them expire, so this avoids most of the
+        cancelling and rescheduling.
         """
-        self._ends_at = ends_at = self._loop.time() + seconds
+        self._deadline = deadline = self._loop.time() + seconds
         if self._timer is not None:
-            if self._timer.when() <= ends_at:
+            if self._timer.when() <= deadline:
                 return
             self._timer.cancel()
-        self._timer = self._loop.call_at(ends_at, self._on_timer)
+        self._timer = self._loop.call_at(deadline, self._on_timer)
 
-    def _clear_timer(self) -> None:
-        self._ends_at = None
+    def _disarm_timer(self) -> None:
+        self._deadline = None
 
-    def _drop_timer(self) -> None:
-        self._clear_timer()
+    def _cancel_timer(self) -> None:
+        self._disarm_timer()
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
     def _on_timer(self) -> None:
         self._timer = None
-        if self._ends_at is None:
+        if self._deadline is None:
             return
-        if self._loop.time() < self._ends_at:
-            self._timer = self._loop.call_at(self._ends_at, self._on_timer)
+        if self._loop.time() < self._deadline:
+            self._timer = self._loop.call_at(self._deadline, self._on_timer)
             return
-        self._ends_at = None
+        self._deadline = None
         if self._phase in (_Phase.HEAD, _Phase.BODY):
             self._refuse(408, "The request took too long to arrive.")
             return
@@ -453,7 +460,7 @@
 
 
 def _check_framing(headers: Headers) -> None:
-    """Refuse shapes that can hide a second request."""
+    """Reject ambiguous framing, which allows request smuggling."""
     for name in UNIQUE_HEADERS:
         if headers.count(name) > 1:
             raise BadRequest(400, f"The header {name} stands twice.")
--- a/lynxchute/http/headers.py
+++ b/lynxchute/http/headers.py
@@ -1,4 +1,4 @@
-"""The headers of one message."""
+"""HTTP headers."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 RawHeaders = Iterable[tuple[bytes, bytes]]
 HeaderItems = Iterable[tuple[str | bytes, str | bytes]]
 
-# RFC 9110, section 7.6.1, and the older names that proxies strip as well.
+# RFC 9110, section 7.6.1, and legacy headers that proxies also strip.
 HOP_BY_HOP = frozenset(
     {
         "connection",
@@ -24,12 +24,14 @@
 
 
 class Headers(Mapping[str, str]):
-    """Headers by lower-case name, in the order and spelling that they came in.
+    """Headers of a message, by lower-case name.
+
+    A lookup returns the first value of a repeated header.
 
     Parameters
     ----------
     raw
-        Names and values as they stood in the message.
+        Names and values in the order and spelling of the message.
 
     Examples
     --------
@@ -42,7 +44,7 @@
 
     def __init__(self, raw: RawHeaders = ()) -> None:
         self.raw = tuple(raw)
-        # In the order of the raw ones.
+        # Parallel to `raw`.
         self._names = [name.decode("latin-1").lower() for name, _ in self.raw]
         self._by_name: dict[str, str] = {}
         for key, (_, value) in zip(self._names, self.raw, strict=True):
@@ -59,28 +61,28 @@
         return len(self._by_name)
 
     def count(self, name: str) -> int:
-        """Return how often a header stands in the message."""
+        """Return how many times a header occurs."""
         return self._names.count(name)
 
     def end_to_end(self, dropped: frozenset[str]) -> list[tuple[bytes, bytes]]:
-        """Return the headers that a proxy passes on.
+        """Return the headers that a proxy forwards.
 
         Parameters
         ----------
         dropped
-            Further lower-case names to leave out.
+            Lower-case names of further headers to remove.
         """
-        named = self._by_name.get("connection", "").lower().split(",")
-        left_out = HOP_BY_HOP | dropped | {name.strip() for name in named}
+        connection_options = self._by_name.get("connection", "").lower().split(",")
+        excluded = HOP_BY_HOP | dropped | {name.strip() for name in connection_options}
         kept = []
         for name, item in zip(self._names, self.raw, strict=True):
-            if name not in left_out:
+            if name not in excluded:
                 kept.append(item)
         return kept
 
 
-def encoded(headers: HeaderItems) -> list[tuple[bytes, bytes]]:
-    """Return headers as they go over the wire."""
+def encode_headers(headers: HeaderItems) -> list[tuple[bytes, bytes]]:
+    """Return the headers encoded as bytes."""
     raw = []
     for name, value in headers:
         raw.append((_to_bytes(name), _to_bytes(value)))
--- a/lynxchute/http/held_answer.py
+++ b/lynxchute/http/held_answer.py
@@ -1,4 +1,4 @@
-"""What waits on one connection for a caller who reads slowly."""
+"""Tracks the unread part of the responses on one connection."""
 
 from __future__ import annotations
 
@@ -8,22 +8,24 @@
 from lynxchute.overload.memory_guard import AnswerBuffer, MemoryGuard
 
 
-class HeldAnswer(AnswerBuffer):
-    """The unread part of a connection's answers, as its transport holds it.
+class TransportBuffer(AnswerBuffer):
+    """The write buffer of a connection's transport, bounded by a memory guard.
 
     Parameters
     ----------
     transport
-        The connection.
+        The transport of the connection.
     guard
-        Bounds what waits on all of them.
+        Limits the memory of the buffers of all connections.
     clock
-        Seconds on the loop's clock.
+        The clock of the event loop, in seconds.
 
     Attributes
     ----------
+    account
+        The client account of the responses; empty if unknown.
     is_cut
-        Whether the connection was reset; nothing more can be written.
+        Whether the guard has reset the connection; nothing more can be written.
     """
 
     def __init__(
@@ -41,29 +43,29 @@
 
     @property
     def held_bytes(self) -> int:
-        """Return what waits for the caller now, in bytes."""
+        """Return the bytes that are buffered for the caller."""
         return self._transport.get_write_buffer_size()
 
     @property
     def read_bytes(self) -> int:
-        """Return what the caller has taken since it connected, in bytes."""
+        """Return the bytes that the caller has read since it connected."""
         return self._written - self.held_bytes
 
     @property
     def has_room(self) -> bool:
-        """Return whether more may wait here."""
+        """Return whether more bytes may be buffered for this connection."""
         return self._guard.has_room(self)
 
     def cut(self) -> None:
-        """Reset the connection: what was sent must not look whole."""
+        """Reset the connection, so that the response cannot be taken for complete."""
         self.is_cut = True
         self._transport.abort()
 
-    def note_written(self, size: int) -> None:
-        """Note that bytes were written for the caller."""
+    def record_written(self, size: int) -> None:
+        """Record that bytes were written to the transport."""
         self._written += size
         self._guard.update(self, self._clock())
 
-    def end(self) -> None:
-        """Note that the connection is gone."""
+    def release(self) -> None:
+        """Stop tracking the connection, which is closed."""
         self._guard.drop(self)
--- a/lynxchute/http/json_text.py
+++ b/lynxchute/http/json_text.py
@@ -1,16 +1,16 @@
-"""Values as JSON in the bytes that go over the wire."""
+"""JSON encoding of messages."""
 
 from __future__ import annotations
 
 import json
 from typing import Any
 
-# Kept, since `json.dumps` makes another one for each value.
+# Reused, since `json.dumps` with these arguments creates an encoder for each call.
 _encode = json.JSONEncoder(separators=(",", ":")).encode
 
 
 def encode_json(value: Any) -> bytes:
-    """Return a value as JSON without spaces.
+    """Return a value as compact JSON in UTF-8.
 
     Examples
     --------
--- a/lynxchute/http/link_meter.py
+++ b/lynxchute/http/link_meter.py
@@ -1,4 +1,4 @@
-"""How long bytes wait for the VM's own link, worked out from what goes over it."""
+"""Estimates the queueing delay on the VM's network link from its traffic."""
 
 from __future__ import annotations
 
@@ -9,70 +9,73 @@
 
 from lynxchute.clock import steady_seconds
 
-# Bytes on the wire for each byte of payload: heads of packets and their
-# acknowledgements, for packets of about a kilobyte.
+# Bytes on the wire per byte of payload: packet headers and acknowledgements, for
+# packets of about a kilobyte.
 WIRE_OVERHEAD = 1.08
-# Arrivals are as fast as the link at most; the nearer they come to it, the more
-# of them wait at its other end, where they cannot be seen. So they are held against
-# a part of it: a link that is full for a second counts a third of one.
+# Share of the capacity that incoming traffic is compared with. Bytes never arrive
+# faster than the link carries them, and as it fills up, more of them queue at its far
+# end, where they cannot be observed. With the reduced capacity, a link that is full for
+# a second shows a delay of a third of a second.
 RECEIVING_SHARE = 0.75
-# Longer waits than this are not believed: whoever waits so long has left.
+# Maximum of the estimated delay, in seconds: whoever waits longer has given up.
 MAX_DELAY = 1.0
-# Seconds over which the use of the link is averaged: a few requests of the largest
-# kind, on a link that carries thirty a second.
-USE_SECONDS = 0.5
+# Time constant of the average utilization, in seconds: a few of the largest requests,
+# on a link that carries thirty of them per second.
+AVERAGING_SECONDS = 0.5
 
 
 @attrs.define
-class _Queue:
-    """Bytes that wait for one direction of a link.
+class _LinkDirection:
+    """A model of the send queue of one direction of a link.
 
     Attributes
     ----------
     bytes_per_s
-        What the link carries.
+        Capacity of the link.
     """
 
     bytes_per_s: float
-    _waiting: float = 0.0
-    _rate: float = 0.0
-    _at: float = 0.0
-
-    def add(self, size: int, now: float) -> None:
-        # Called for each event of a stream, twice: no further calls from here.
-        elapsed = now - self._at
-        wire = size * WIRE_OVERHEAD
-        left = self._waiting - elapsed * self.bytes_per_s
-        self._waiting = left + wire if left > 0.0 else wire
-        kept = self._rate * math.exp(-elapsed / USE_SECONDS)
-        self._rate = kept + wire / USE_SECONDS
-        self._at = now
+    _queued: float = 0.0
+    _smoothed_rate: float = 0.0
+    _updated_at: float = 0.0
+
+    def record(self, size: int, now: float) -> None:
+        # Called twice for each event of a stream, so it calls no other methods.
+        elapsed = now - self._updated_at
+        wire_bytes = size * WIRE_OVERHEAD
+        queued = self._queued - elapsed * self.bytes_per_s
+        self._queued = queued + wire_bytes if queued > 0.0 else wire_bytes
+        decayed = self._smoothed_rate * math.exp(-elapsed / AVERAGING_SECONDS)
+        self._smoothed_rate = decayed + wire_bytes / AVERAGING_SECONDS
+        self._updated_at = now
 
     def use(self, now: float) -> float:
         return self._rate_at(now) / self.bytes_per_s
 
     def _rate_at(self, now: float) -> float:
-        return self._rate * math.exp(-(now - self._at) / USE_SECONDS)
+        return self._smoothed_rate * math.exp(
+            -(now - self._updated_at) / AVERAGING_SECONDS
+        )
 
     def delay(self, now: float) -> float:
-        return min(self._left(now) / self.bytes_per_s, MAX_DELAY)
+        return min(self._queued_bytes(now) / self.bytes_per_s, MAX_DELAY)
 
-    def _left(self, now: float) -> float:
-        return max(self._waiting - (now - self._at) * self.bytes_per_s, 0.0)
+    def _queued_bytes(self, now: float) -> float:
+        return max(self._queued - (now - self._updated_at) * self.bytes_per_s, 0.0)
 
 
 class LinkMeter:
-    """Know how long what is sent now waits for the link.
+    """Estimates the utilization and the queueing delay of the VM's link.
 
-    A small VM's link carries a few requests' bodies at once; what is sent behind
-    them is late, which must not be taken for the silence of whoever it is for.
+    A small VM's link carries only a few request bodies at a time. Messages behind them
+    are delayed, which must not be mistaken for an unresponsive peer.
 
     Parameters
     ----------
     mbps
-        What the link carries in each direction, in Mbit/s.
+        Capacity of the link in each direction, in Mbit/s.
     clock
-        Seconds on the steady clock.
+        Monotonic clock in seconds.
 
     Examples
     --------
@@ -86,32 +89,32 @@
         self, mbps: float, clock: Callable[[], float] = steady_seconds
     ) -> None:
         bytes_per_s = mbps * 1e6 / 8
-        self._sending = _Queue(bytes_per_s)
-        self._receiving = _Queue(bytes_per_s * RECEIVING_SHARE)
+        self._sending = _LinkDirection(bytes_per_s)
+        self._receiving = _LinkDirection(bytes_per_s * RECEIVING_SHARE)
         self._clock = clock
 
     def record_sent(self, size: int) -> None:
-        """Count bytes that were handed to the kernel."""
-        self._sending.add(size, self._clock())
+        """Record bytes that were written to a socket."""
+        self._sending.record(size, self._clock())
 
     def record_received(self, size: int) -> None:
-        """Count bytes that have arrived."""
-        self._receiving.add(size, self._clock())
+        """Record bytes that were received."""
+        self._receiving.record(size, self._clock())
 
     def use(self) -> float:
-        """Return the share of the link that is in use, in the fuller direction."""
+        """Return the utilization of the busier direction; 1.0 is the full capacity."""
         now = self._clock()
         return max(self._sending.use(now), self._receiving.use(now) * RECEIVING_SHARE)
 
     def delay(self) -> float:
-        """Return the seconds that a packet and its answer wait for the link."""
+        """Return the seconds that a packet and its response wait for the link."""
         now = self._clock()
         return self._sending.delay(now) + self._receiving.delay(now)
 
     def own_delay(self) -> float:
-        """Return the seconds that an answer waits for this process, where known."""
+        """Return the seconds that a response waits for this process; 0 if unknown."""
         return 0.0
 
 
-# For peers and tests on links that are never full.
-AMPLE = LinkMeter(1e6)
+# The default, for peers and tests whose link is never congested.
+UNLIMITED_LINK = LinkMeter(1e6)
--- a/lynxchute/http/messages.py
+++ b/lynxchute/http/messages.py
@@ -1,4 +1,4 @@
-"""Requests and the errors that reading one can end in."""
+"""HTTP requests and the error for an invalid one."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 
 class BadRequest(Exception):
-    """Report a request that cannot be served as it was sent.
+    """Raised for a request that cannot be served; results in an error response.
 
     Parameters
     ----------
     status
-        The HTTP status to answer with.
+        The HTTP status of the response.
     reason
         One sentence for the caller.
     retry_after
-        Seconds after which the same request may succeed, if it may.
+        Seconds after which a retry may succeed; None if it cannot.
     """
 
     def __init__(
@@ -34,12 +34,12 @@
 
 @attrs.frozen
 class RequestHead:
-    """A request whose body has not been read.
+    """The request line and headers of a request.
 
     Attributes
     ----------
     received_at
-        When its first byte was read, on the clock of the event loop in seconds.
+        When its first byte was read, in seconds on the clock of the event loop.
     """
 
     method: str
@@ -55,7 +55,7 @@
 
 @attrs.frozen
 class Request(RequestHead):
-    """One request, read whole."""
+    """A complete request."""
 
     body: bytes = b""
 
@@ -65,7 +65,7 @@
         Raises
         ------
         BadRequest
-            With status 422 where the body is not JSON in UTF-8.
+            With status 422 if the body is not JSON in UTF-8.
         """
         try:
             return json.loads(self.body.decode("utf-8"))
--- a/lynxchute/http/patience.py
+++ b/lynxchute/http/patience.py
@@ -1,4 +1,4 @@
-"""Wait for others, without counting the time in which this process was late."""
+"""A timeout that tolerates event loop lag in this process."""
 
 from __future__ import annotations
 
@@ -8,40 +8,46 @@
 
 T = TypeVar("T")
 
-# A wait is counted in so many steps. Each of them ends with a turn of the event loop at
-# least, and a connection takes three turns from its handshake's end to its use.
-STEPS = 4
+# Steps that a timeout is divided into. Each step takes at least one iteration of the
+# event loop, and a connection needs three iterations from the end of its handshake
+# until it can be used.
+TIMEOUT_STEPS = 4
 
 
-async def unless_silent(
-    work: Coroutine[Any, Any, T], seconds: float, drop: Callable[[T], None]
+async def lag_tolerant_wait(
+    coroutine: Coroutine[Any, Any, T], seconds: float, discard: Callable[[T], None]
 ) -> T:
-    """Return what comes of some work, unless nothing has come for so many seconds.
+    """Wait for a coroutine with a timeout that tolerates event loop lag.
 
-    Where the event loop is busy for longer than that, an answer waits in the socket
-    meanwhile: a timer alone would take it for silence, since it is due as well.
+    If the event loop is blocked for longer than the timeout, a response that arrived in
+    time is still unread in the socket. A single timer would report a timeout then, as
+    it expires in the same iteration.
 
     Parameters
     ----------
-    drop
-        Gives up what has come where nobody waits for it any longer.
+    coroutine
+        Runs in a task, which is cancelled when the timeout expires.
+    seconds
+        The timeout.
+    discard
+        Releases a result that arrives as the waiting task is cancelled.
 
     Raises
     ------
     TimeoutError
-        Where nothing has come.
+        If the coroutine does not finish in time.
     """
-    task = asyncio.ensure_future(work)
+    task = asyncio.ensure_future(coroutine)
     try:
-        for _ in range(STEPS):
-            await asyncio.wait((task,), timeout=seconds / STEPS)
+        for _ in range(TIMEOUT_STEPS):
+            await asyncio.wait((task,), timeout=seconds / TIMEOUT_STEPS)
             if task.done():
                 return task.result()
     except asyncio.CancelledError:
         if task.done() and not task.cancelled() and task.exception() is None:
-            drop(task.result())
+            discard(task.result())
         raise
     finally:
-        # Nothing is left to do after an answer.
+        # Does nothing if the task has finished.
         task.cancel()
     raise TimeoutError
--- a/lynxchute/http/responder.py
+++ b/lynxchute/http/responder.py
@@ -1,4 +1,4 @@
-"""Write the answer to one request."""
+"""Writes the response to a request."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 import h11
 
-from lynxchute.http.headers import HeaderItems, encoded
-from lynxchute.http.held_answer import HeldAnswer
+from lynxchute.http.headers import HeaderItems, encode_headers
+from lynxchute.http.held_answer import TransportBuffer
 from lynxchute.http.json_text import encode_json
 
 JSON_TYPE = "application/json"
@@ -16,11 +16,11 @@
 
 
 class CallerDisconnected(ConnectionError):
-    """Report that nobody reads the answer any more."""
+    """Raised if the caller has disconnected and cannot read the response."""
 
 
 class Responder:
-    """Write one answer, whole or in pieces.
+    """Writes one response, complete or streamed.
 
     Parameters
     ----------
@@ -29,21 +29,25 @@
     protocol
         The protocol state of the caller's connection.
     write
-        Takes bytes for the caller; returns whether the caller has read enough.
-    drained
-        Waits until the caller has read enough.
+        Writes bytes to the connection; returns whether more may be written at once.
+    wait_drained
+        Waits until more may be written.
     abort
-        Drops the connection.
+        Aborts the connection.
 
     Attributes
     ----------
     status
-        The status that was sent; 0 before that.
-    held
-        What waits for the caller; None where it is not counted.
-    outlives_caller
-        Set where the request must be carried to its end although nobody waits
-        for the answer any more; otherwise its handler is cancelled.
+        The status that was sent; 0 if none was sent yet.
+    finished
+        Whether the response is complete.
+    answer_buffer
+        The unread part of the response; None if it is not tracked.
+    close_after_response
+        Whether the response announces that the connection will be closed.
+    survives_disconnect
+        Whether the handler continues after the caller disconnects; otherwise it is
+        cancelled.
     """
 
     def __init__(
@@ -58,74 +62,74 @@
         self.finished = False
         self.survives_disconnect = False
         self.close_after_response = False
-        self.held: HeldAnswer | None = None
+        self.answer_buffer: TransportBuffer | None = None
         self._protocol = protocol
         self._write = write
-        self._drained = wait_drained
+        self._wait_drained = wait_drained
         self._abort = abort
-        self._to_head = method == "HEAD"
+        self._is_head_request = method == "HEAD"
 
     @property
     def started(self) -> bool:
-        """Return whether the head of the answer has been sent."""
+        """Return whether the head of the response has been sent."""
         return self.status != 0
 
     def set_account(self, account: str) -> None:
-        """Count what waits for the caller with the other answers of an account."""
-        if self.held is not None:
-            self.held.account = account
+        """Attribute the buffered part of the response to a client account."""
+        if self.answer_buffer is not None:
+            self.answer_buffer.account = account
 
     async def start(self, status: int, headers: HeaderItems = ()) -> None:
-        """Send the head of the answer."""
-        self._write(self._head(status, headers))
-        await self._drained()
+        """Send the head of the response."""
+        self._write(self._encode_head(status, headers))
+        await self._wait_drained()
 
     async def send(self, data: bytes) -> None:
-        """Send a piece of the body; wait while the caller is slow to read.
+        """Send a chunk of the body; wait while the write buffer is full.
 
         Raises
         ------
         CallerLeft
-            Where the connection is gone.
+            If the caller has disconnected.
         """
-        self._write(self._framed(data))
-        await self._drained()
+        self._write(self._encode_body(data))
+        await self._wait_drained()
 
     def start_with_body(self, status: int, headers: HeaderItems, data: bytes) -> bool:
-        """Send the head of the answer and a piece of the body together.
+        """Send the head and the first chunk of the body together.
 
         Returns
         -------
         bool
-            Whether the caller has read enough for the next piece.
+            Whether the next chunk may be written without waiting.
         """
-        head = self._head(status, headers)
-        return self._write(head + self._framed(data))
+        head = self._encode_head(status, headers)
+        return self._write(head + self._encode_body(data))
 
     def write(self, data: bytes) -> bool:
-        """Send a piece of the body without waiting.
+        """Send a chunk of the body without waiting.
 
         Returns
         -------
         bool
-            Whether the caller has read enough for the next piece.
+            Whether the next chunk may be written without waiting.
 
         Raises
         ------
         CallerLeft
-            Where the connection is gone.
+            If the caller has disconnected.
         """
-        return self._write(self._framed(data))
+        return self._write(self._encode_body(data))
 
     async def wait_drained(self) -> None:
-        """Wait until the caller has read enough for the next piece."""
-        await self._drained()
+        """Wait until the next chunk may be written."""
+        await self._wait_drained()
 
     async def finish(self) -> None:
-        """Mark the answer as whole."""
+        """Complete the response."""
         self._write(self._protocol.send(h11.EndOfMessage()) or b"")
         self.finished = True
-        await self._drained()
+        await self._wait_drained()
 
     async def send_whole(
         self,
@@ -134,41 +138,41 @@
         content_type: str = JSON_TYPE,
         headers: HeaderItems = (),
     ) -> None:
-        """Send an answer whose body is complete."""
-        typed = [("Content-Type", content_type), *headers]
-        await self.forward(status, typed, body)
+        """Send a complete response."""
+        all_headers = [("Content-Type", content_type), *headers]
+        await self.forward(status, all_headers, body)
 
     async def forward(self, status: int, headers: HeaderItems, body: bytes) -> None:
-        """Send a complete answer whose headers say all but its length."""
+        """Send a complete response with the given headers and a Content-Length."""
         head = [*headers]
         if self._may_have_body(status):
             head.append(("Content-Length", str(len(body))))
-        data = self._head(status, head)
+        data = self._encode_head(status, head)
         if body and self._may_have_body(status):
             data += self._protocol.send(h11.Data(data=body)) or b""
         data += self._protocol.send(h11.EndOfMessage()) or b""
         self._write(data)
         self.finished = True
-        await self._drained()
+        await self._wait_drained()
 
     async def json(self, status: int, value: Any, headers: HeaderItems = ()) -> None:
-        """Send a value as JSON."""
+        """Send a JSON response."""
         body = encode_json(value)
         await self.send_whole(status, body, headers=headers)
 
     def abort(self) -> None:
-        """Drop the connection, so that a broken answer never looks whole."""
+        """Abort the connection, so that the caller detects an incomplete response."""
         self._abort()
 
-    def _framed(self, data: bytes) -> bytes:
-        """Return a piece of the body as it goes over the wire."""
+    def _encode_body(self, data: bytes) -> bytes:
+        """Return a chunk of the body in its transfer encoding."""
         return self._protocol.send(h11.Data(data=data)) or b""
 
     def _may_have_body(self, status: int) -> bool:
-        return not self._to_head and status not in BODILESS_STATUSES
+        return not self._is_head_request and status not in BODILESS_STATUSES
 
-    def _head(self, status: int, headers: HeaderItems) -> bytes:
-        head = encoded(headers)
+    def _encode_head(self, status: int, headers: HeaderItems) -> bytes:
+        head = encode_headers(headers)
         if self.close_after_response:
             head.append((b"Connection", b"close"))
         response = h11.Response(status_code=status, headers=head)
--- a/lynxchute/http/server.py
+++ b/lynxchute/http/server.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 server on `asyncio` protocols, with `h11` for the syntax."""
+"""An HTTP/1.1 server based on `asyncio` protocols and `h11`."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from lynxchute.address import Address
 from lynxchute.http.connection import ServerConnection
-from lynxchute.http.link_meter import AMPLE, LinkMeter
+from lynxchute.http.link_meter import UNLIMITED_LINK, LinkMeter
 from lynxchute.http.messages import Request, RequestHead
 from lynxchute.http.responder import Responder
 from lynxchute.listening import BACKLOG, listen
@@ -20,20 +20,20 @@
 
 @attrs.frozen
 class ServerLimits:
-    """What a sender may send, and how long it may take.
+    """Size limits and timeouts for callers.
 
     Attributes
     ----------
     max_head_bytes, max_body_bytes
-        Longer heads are refused with 431, longer bodies with 413.
+        Larger heads are rejected with 431, larger bodies with 413.
     max_buffered_bytes
-        Bytes of all bodies together that are being read or served.
+        Total bytes of all bodies that are being read or served.
     head_timeout
         Seconds from the first byte of a head to its last.
     body_timeout
-        Seconds that a body may pause.
+        Seconds between two chunks of a body.
     idle_timeout
-        Seconds that an idle connection is kept.
+        Seconds after which an idle connection is closed.
     """
 
     max_head_bytes: int = 16384
@@ -44,35 +44,35 @@
     idle_timeout: float = 75.0
 
 
-def accept_all(head: RequestHead) -> None:
-    """Refuse no request by its head."""
+def accept_all_heads(head: RequestHead) -> None:
+    """Accept every request."""
 
 
-def take_all() -> bool:
-    """Take each connection that comes."""
+def accept_all_connections() -> bool:
+    """Accept every connection."""
     return True
 
 
 class HttpServer:
-    """Accept connections and hand each request to a handler.
+    """Accepts connections and passes each request to a handler.
 
     Parameters
     ----------
     handler
-        Called once for each request; cancelled when the caller leaves, unless
-        the responder says otherwise.
+        Called once per request; cancelled when the caller disconnects, unless
+        `Responder.survives_disconnect` is set.
     limits
-        Returns the limits in force; they may change while the server runs.
+        Returns the current limits; they may change while the server runs.
     check_head
-        Called before a body is read; raises `BadRequest` to refuse it.
+        Called before a body is read; raises `BadRequest` to reject the request.
     meter
-        Counts what goes over the VM's link.
+        Counts the traffic on the VM's link.
     guard
-        Bounds what waits for callers who read slowly; where there is none, answers
-        wait for their callers.
-    takes_connections
-        Returns whether a connection that has come is served; others are closed before
-        anything of them is read.
+        Limits the memory that responses may use while callers read slowly. Without it,
+        a handler waits until its caller has read enough.
+    may_accept_connection
+        Returns whether a new connection is served; others are closed before anything
+        is read from them.
     """
 
     def __init__(
@@ -80,10 +80,10 @@
         handler: Callable[[Request, Responder], Awaitable[None]],
         *,
         limits: Callable[[], ServerLimits] = ServerLimits,
-        check_head: Callable[[RequestHead], None] = accept_all,
-        meter: LinkMeter = AMPLE,
+        check_head: Callable[[RequestHead], None] = accept_all_heads,
+        meter: LinkMeter = UNLIMITED_LINK,
         guard: MemoryGuard | None = None,
-        may_accept_connection: Callable[[], bool] = take_all,
+        may_accept_connection: Callable[[], bool] = accept_all_connections,
     ) -> None:
         self.guard = guard
         self.may_accept_connection = may_accept_connection
@@ -100,11 +100,11 @@
         self._host = ""
 
     async def start(self, host: str, port: int) -> None:
-        """Listen at an address; port 0 takes any free port."""
+        """Listen on an address; port 0 selects a free port."""
         await self.serve(listen(Address(host, port)))
 
     async def serve(self, listener: socket.socket) -> None:
-        """Serve the connections that a socket takes."""
+        """Serve the connections of a listening socket."""
         loop = asyncio.get_running_loop()
         self._listener = listener
         self._server = await loop.create_server(
@@ -114,83 +114,86 @@
 
     @property
     def is_accepting(self) -> bool:
-        """Return whether connections are taken."""
+        """Return whether the server accepts connections."""
         return self._server is not None and self._server.is_serving()
 
     async def pause_accepting(self) -> None:
-        """Take no connections; who tries is told so before it sends anything.
+        """Stop accepting, so that new callers are refused before they send anything.
 
-        What the kernel has taken is served: closing would reset it, also where a
-        request has been sent (30 callers of one played day got no answer so).
+        Connections in the backlog of the kernel are served. Closing the socket would
+        reset them, even if a request was already sent, and 30 callers of a simulated
+        day got no response for that reason.
         """
         if self._server is None or self._listener is None:
             return
         loop = asyncio.get_running_loop()
         loop.remove_reader(self._listener)
-        # asyncio attaches an accepted connection to the server a turn later, which
-        # fails once the server is closed and drops the connection.
+        # asyncio attaches an accepted connection to the server one iteration later.
+        # That fails after the server is closed, and the connection would be dropped.
         await asyncio.sleep(0)
-        taken = []
+        accepted = []
         while True:
             try:
-                taken.append(self._listener.accept()[0])
+                accepted.append(self._listener.accept()[0])
             except (BlockingIOError, InterruptedError):
                 break
         self._server.close()
-        for connection in taken:
+        for connection in accepted:
             connection.setblocking(False)
             await loop.connect_accepted_socket(
                 lambda: ServerConnection(self), connection
             )
 
     async def resume_accepting(self) -> None:
-        """Take connections again, at the same port."""
+        """Accept connections again, on the same port."""
         if self._server is not None and not self._server.is_serving():
             await self.start(self._host, self.port)
 
     def disable_keep_alive(self) -> None:
-        """Let each further answer be the last one on its connection."""
+        """Close each connection after its next response."""
         self.close_after_response = True
 
     def close_idle(self) -> None:
-        """Close the connections on which nothing is being asked."""
+        """Close the connections without a request."""
         for connection in list(self.connections):
             if connection.is_idle:
                 connection.close()
 
     async def drain(self, deadline: float) -> bool:
-        """Stop accepting and wait for the open exchanges.
+        """Stop accepting and wait for the requests in progress.
 
         Parameters
         ----------
         deadline
-            Seconds to wait at most.
+            Maximum wait in seconds.
 
         Returns
         -------
         bool
-            Whether every exchange ended by itself.
+            Whether all requests finished in time; the others were cancelled.
         """
         self.disable_keep_alive()
         if self._server is not None:
             self._server.close()
         self.close_idle()
-        busy = [c.served for c in self.connections if c.served is not None]
-        late: set[asyncio.Task[None]] = set()
-        if busy:
-            _, late = await asyncio.wait(busy, timeout=deadline)
+        handler_tasks = [
+            c.handler_task for c in self.connections if c.handler_task is not None
+        ]
+        unfinished: set[asyncio.Task[None]] = set()
+        if handler_tasks:
+            _, unfinished = await asyncio.wait(handler_tasks, timeout=deadline)
         await self.kill()
-        return not late
+        return not unfinished
 
     async def kill(self) -> None:
-        """Drop every connection at once."""
+        """Cancel all handlers and abort all connections."""
         if self._server is not None:
             self._server.close()
         tasks = []
         for connection in list(self.connections):
-            if connection.served is not None:
-                connection.served.cancel()
-                tasks.append(connection.served)
+            if connection.handler_task is not None:
+                connection.handler_task.cancel()
+                tasks.append(connection.handler_task)
             connection.abort()
         results = await asyncio.gather(*tasks, return_exceptions=True)
         for result in results:
@@ -199,5 +202,5 @@
 
 
 async def not_found(request: Request, respond: Responder) -> None:
-    """Answer that nothing is at the path."""
+    """Respond with 404."""
     await respond.json(404, {"error": f"nothing is at {request.path}"})
--- a/lynxchute/http/sockets.py
+++ b/lynxchute/http/sockets.py
@@ -1,4 +1,4 @@
-"""Options of the TCP sockets that this project opens or accepts."""
+"""Options of TCP sockets."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 @attrs.frozen
 class SocketOptions:
-    """How soon a peer that has gone silent is noticed.
+    """Timeouts after which an unresponsive peer is detected.
 
-    A VM without power or behind a partition answers nothing, and TCP alone
-    waits for minutes.
+    A VM that is powered off or behind a network partition sends nothing, and TCP by
+    default waits for minutes.
 
     Attributes
     ----------
     user_timeout_ms
-        Milliseconds that sent bytes may stay unacknowledged.
+        Milliseconds for which sent bytes may remain unacknowledged.
     keepalive_idle_s, keepalive_interval_s, keepalive_count
-        Seconds of silence until the first probe, seconds between probes, and
-        how many may stay unanswered.
+        Idle seconds before the first probe, seconds between probes, and the number of
+        unacknowledged probes after which the connection is closed.
     """
 
     user_timeout_ms: int = 2500
@@ -36,7 +36,7 @@
 def apply_options(
     transport: asyncio.BaseTransport, options: SocketOptions = DEFAULT_OPTIONS
 ) -> None:
-    """Set the options on the socket of a transport."""
+    """Apply the options to the socket of a transport, if it is a TCP socket."""
     sock = transport.get_extra_info("socket")
     if sock is None or sock.family not in (socket.AF_INET, socket.AF_INET6):
         return
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -15,7 +15,7 @@
     ServerLimits,
     Timeouts,
 )
-from lynxchute.http.patience import unless_silent
+from lynxchute.http.patience import lag_tolerant_wait
 from tests.support import AsyncTestCase, until
 
 LIMITS = ServerLimits(
@@ -294,7 +294,7 @@
                 except ExchangeError as error:
                     found.append(error.sent)
             server.close()
-            return found, client.opened
+            return found, client.connections_opened
 
         return self.run_async(work())
 
@@ -454,9 +454,9 @@
                     await response.deliver_body(take)
                 self.assertEqual(number, len(taken))
                 # The rest of the answer is nobody else's.
-                opened = client.opened
+                opened = client.connections_opened
                 await (await client.request("GET", "/")).body()
-                self.assertEqual(opened + 1, client.opened)
+                self.assertEqual(opened + 1, client.connections_opened)
                 server.close()
 
         self.run_async(work())
@@ -514,11 +514,11 @@
             for _ in range(2):
                 response = await client.request("GET", "/")
                 await response.body()
-            self.assertEqual(1, client.opened)
+            self.assertEqual(1, client.connections_opened)
             await asyncio.sleep(0.06)
             response = await client.request("GET", "/", max_idle=0.05)
             await response.body()
-            self.assertEqual(2, client.opened)
+            self.assertEqual(2, client.connections_opened)
             client.close()
             server.close()
 
@@ -533,7 +533,7 @@
                 response = await client.request("GET", "/")
                 await response.body()
                 await asyncio.sleep(0.55)
-            self.assertEqual(2, client.opened)
+            self.assertEqual(2, client.connections_opened)
             client.close()
             server.close()
 
@@ -554,7 +554,7 @@
             for _ in range(2):
                 response = await client.request("POST", "/", body=body)
                 self.assertEqual(b"early", await response.body())
-            self.assertEqual(2, client.opened)
+            self.assertEqual(2, client.connections_opened)
             client.close()
             server.close()
 
@@ -633,7 +633,7 @@
                     ended.append(True)
 
             with testtools.ExpectedException(TimeoutError):
-                await unless_silent(never(), 0.02, print)
+                await lag_tolerant_wait(never(), 0.02, print)
             await asyncio.sleep(0)
             self.assertEqual([True], ended)
 
@@ -645,7 +645,7 @@
                 raise ConnectionRefusedError
 
             with testtools.ExpectedException(ConnectionRefusedError):
-                await unless_silent(fail(), 0.02, print)
+                await lag_tolerant_wait(fail(), 0.02, print)
 
         self.run_async(work())
 
@@ -657,7 +657,7 @@
                 await made.wait()
                 return "answer"
 
-            call = asyncio.create_task(unless_silent(answer(), 5.0, dropped.append))
+            call = asyncio.create_task(lag_tolerant_wait(answer(), 5.0, dropped.append))
             await asyncio.sleep(0)
             await asyncio.sleep(0)
             made.set()
