--- a/lynxchute/telemetry/__init__.py
+++ b/lynxchute/telemetry/__init__.py
@@ -1,4 +1,4 @@
-"""Logs and metrics: what an engineer has after the fact."""
+"""Structured logs and Prometheus metrics."""
 
 from lynxchute.telemetry.log import LogWriter, log_event, log_to_stdout
 from lynxchute.telemetry.metrics import Metrics
--- a/lynxchute/telemetry/exposition.py
+++ b/lynxchute/telemetry/exposition.py
@@ -1,4 +1,4 @@
-"""Write instruments out in Prometheus' text format."""
+"""Renders instruments in the Prometheus text format."""
 
 from __future__ import annotations
 
@@ -27,42 +27,42 @@
 
 
 class InstrumentCollector(Collector):
-    """Hand instruments to `prometheus_client`.
+    """Converts instruments to the metric families of `prometheus_client`.
 
     Parameters
     ----------
     instruments
-        What is exposed.
+        The instruments to expose.
     """
 
     def __init__(self, instruments: Iterable[Instrument]) -> None:
         self._instruments = list(instruments)
 
     def collect(self) -> Iterator[Metric]:
-        """Yield a family for each instrument."""
+        """Yield one metric family per instrument."""
         for instrument in self._instruments:
             if isinstance(instrument, Counter):
-                yield _counter(instrument)
+                yield _counter_family(instrument)
             elif isinstance(instrument, Gauge):
                 yield GaugeMetricFamily(
-                    instrument.name, instrument.text, value=instrument.value
+                    instrument.name, instrument.help_text, value=instrument.value
                 )
             elif isinstance(instrument, LabelledGauge):
-                yield _labelled_gauge(instrument)
+                yield _labelled_gauge_family(instrument)
             else:
-                yield _histogram(instrument)
+                yield _histogram_family(instrument)
 
 
 def exposition(instruments: Iterable[Instrument]) -> tuple[bytes, str]:
-    """Return instruments in Prometheus' text format, and its media type."""
+    """Return the instruments in the Prometheus text format, and its media type."""
     registry = CollectorRegistry()
     registry.register(InstrumentCollector(instruments))
     return generate_latest(registry), CONTENT_TYPE_LATEST
 
 
-def _counter(counter: Counter) -> Metric:
+def _counter_family(counter: Counter) -> Metric:
     family = CounterMetricFamily(
-        counter.name, counter.text, labels=list(counter.label_names)
+        counter.name, counter.help_text, labels=list(counter.label_names)
     )
     if not counter.label_names and not counter.values_by_labels:
         family.add_metric([], 0.0)
@@ -71,20 +71,22 @@
     return family
 
 
-def _labelled_gauge(gauge: LabelledGauge) -> Metric:
-    family = GaugeMetricFamily(gauge.name, gauge.text, labels=list(gauge.label_names))
+def _labelled_gauge_family(gauge: LabelledGauge) -> Metric:
+    family = GaugeMetricFamily(
+        gauge.name, gauge.help_text, labels=list(gauge.label_names)
+    )
     for labels, value in gauge.values_by_labels.items():
         family.add_metric(list(labels), value)
     return family
 
 
-def _histogram(histogram: Histogram) -> Metric:
+def _histogram_family(histogram: Histogram) -> Metric:
     buckets: list[tuple[str, float]] = []
     count = 0
-    for bound, values in zip(histogram.bounds, histogram.counts, strict=False):
-        count += values
+    for bound, bucket_count in zip(histogram.bounds, histogram.counts, strict=False):
+        count += bucket_count
         buckets.append((str(bound), count))
     buckets.append(("+Inf", sum(histogram.counts)))
     return HistogramMetricFamily(
-        histogram.name, histogram.text, buckets=buckets, sum_value=histogram.total
+        histogram.name, histogram.help_text, buckets=buckets, sum_value=histogram.total
     )
--- a/lynxchute/telemetry/instruments.py
+++ b/lynxchute/telemetry/instruments.py
@@ -1,7 +1,7 @@
-"""Counters, gauges and histograms that cost next to nothing to make and to change.
+"""Counters, gauges and histograms that are cheap to create and to update.
 
-`prometheus_client` writes them out; it is loaded when somebody asks for them first. Its
-own instruments would be 99 of the 1,128 million instructions of a start.
+`prometheus_client` renders them and is imported only when metrics are first requested.
+Its own instruments would take 99 of the 1,128 million instructions of a start.
 """
 
 from __future__ import annotations
@@ -17,43 +17,43 @@
 
 @attrs.define(eq=False)
 class Counter:
-    """A number that only grows, for each set of labels."""
+    """A value per set of labels that only increases."""
 
     name: str
-    text: str
+    help_text: str
     label_names: tuple[str, ...] = ()
     values_by_labels: dict[tuple[str, ...], float] = attrs.Factory(dict)
 
     def inc(self, *labels: str) -> None:
-        """Add one to the number with these labels."""
+        """Increment the value for a set of labels."""
         values = self.values_by_labels
         values[labels] = values.get(labels, 0.0) + 1.0
 
 
 @attrs.define(eq=False)
 class Gauge:
-    """A number that goes up and down."""
+    """A value that can go up and down."""
 
     name: str
-    text: str
+    help_text: str
     value: float = 0.0
 
     def set(self, value: float) -> None:
-        """Take a new value."""
+        """Set the value."""
         self.value = float(value)
 
 
 @attrs.define(eq=False)
 class LabelledGauge:
-    """A number that goes up and down, for each set of labels."""
+    """A value per set of labels that can go up and down."""
 
     name: str
-    text: str
+    help_text: str
     label_names: tuple[str, ...] = ()
     values_by_labels: dict[tuple[str, ...], float] = attrs.Factory(dict)
 
     def replace(self, values_by_label: Mapping[str, float]) -> None:
-        """Take new values of the one label; what is not among them goes."""
+        """Replace all values of a gauge with one label; remove absent ones."""
         self.values_by_labels = {
             (label,): float(value) for label, value in values_by_label.items()
         }
@@ -61,20 +61,21 @@
 
 @attrs.define(eq=False)
 class Histogram:
-    """How many values there were up to each bound; values in seconds.
+    """Counts of observed durations in buckets.
 
     Attributes
     ----------
     bounds
-        Upper bounds of the buckets, in order; one more has no bound.
+        Upper bounds of the buckets in ascending order, in seconds. One more bucket is
+        unbounded.
     counts
-        Values in each bucket.
+        Observations in each bucket, not cumulative.
     total
-        The sum of all values.
+        Sum of all observations, in seconds.
     """
 
     name: str
-    text: str
+    help_text: str
     bounds: tuple[float, ...]
     counts: list[int] = attrs.Factory(
         lambda self: [0] * (len(self.bounds) + 1), takes_self=True
@@ -82,18 +83,18 @@
     total: float = 0.0
 
     def observe(self, value: float) -> None:
-        """Count a value."""
+        """Record an observation."""
         self.counts[bisect_left(self.bounds, value)] += 1
         self.total += value
 
     @contextmanager
     def time(self) -> Iterator[None]:
-        """Count the seconds that something takes."""
-        began = steady_seconds()
+        """Record the duration of a ``with`` block."""
+        started_at = steady_seconds()
         try:
             yield
         finally:
-            self.observe(steady_seconds() - began)
+            self.observe(steady_seconds() - started_at)
 
 
 Instrument = Counter | Gauge | LabelledGauge | Histogram
--- a/lynxchute/telemetry/log.py
+++ b/lynxchute/telemetry/log.py
@@ -1,4 +1,4 @@
-"""Structured logs on standard output that never hold up the event loop."""
+"""Structured logs on standard output that never block the event loop."""
 
 from __future__ import annotations
 
@@ -13,25 +13,27 @@
 import attrs
 from absl import flags, logging
 
-# About two seconds of the busiest VM's lines; more would count against the
-# memory of a small VM.
-MAX_WAITING_BYTES = 1_000_000
-# A pipe takes this much at once.
+# About two seconds of log lines of the busiest VM; more would use too much memory of a
+# small VM.
+MAX_QUEUED_BYTES = 1_000_000
+# Capacity of a pipe, in bytes.
 WRITE_BYTES = 65536
-FIELDS = "fields"
-# Kept, since `json.dumps` makes another one for each line.
+# Attribute of a log record that holds the structured fields.
+FIELDS_ATTRIBUTE = "fields"
+# Reused, since `json.dumps` with these arguments creates an encoder for each call.
 _encode = json.JSONEncoder(separators=(",", ":"), default=str).encode
-# Lines of these levels bear no place in the code and are built without a record.
-_PLAIN_LEVELS = {standard_logging.INFO: "info"}
+# Names of the levels whose lines omit the source location. They are formatted without a
+# log record.
+_DIRECT_LEVELS = {standard_logging.INFO: "info"}
 
 
 class JsonFormatter(standard_logging.Formatter):
-    """Write each record as one JSON object on a line.
+    """Formats each record as one line of JSON.
 
     Parameters
     ----------
     fields
-        What every line says besides.
+        Fields that are added to every line.
     """
 
     def __init__(self, fields: dict[str, Any]) -> None:
@@ -39,13 +41,13 @@
         self._fields = fields
 
     def format(self, record: standard_logging.LogRecord) -> str:
-        """Return the line of a record."""
+        """Return a record as a line of JSON."""
         line = {
             "time": round(record.created, 4),
             "level": record.levelname.lower(),
             "event": record.getMessage(),
             **self._fields,
-            **getattr(record, FIELDS, {}),
+            **getattr(record, FIELDS_ATTRIBUTE, {}),
         }
         if record.levelno >= standard_logging.WARNING:
             line["where"] = f"{record.module}:{record.lineno}"
@@ -53,8 +55,8 @@
             line["exception"] = self.formatException(record.exc_info)
         return _encode(line)
 
-    def plain(self, message: str, level: str, fields: dict[str, Any]) -> str:
-        """Return the line of an event that bears no place in the code."""
+    def format_event(self, message: str, level: str, fields: dict[str, Any]) -> str:
+        """Return an event as a line of JSON without a source location."""
         line = {
             "time": round(time.time(), 4),
             "level": level,
@@ -66,18 +68,18 @@
 
 
 class LogWriter(standard_logging.Handler):
-    """Write lines to a file descriptor without ever waiting for its reader.
+    """Writes lines to a file descriptor without blocking.
 
-    Lines that the reader does not take wait in memory, up to a bound; beyond
-    it new lines are dropped and counted, and the count is written once there
-    is room again.
+    Lines that the reader is too slow for are queued in memory, up to a bound. Beyond
+    it, new lines are dropped and counted, and their number is logged once the queue
+    is empty again.
 
     Parameters
     ----------
     descriptor
-        Where the lines go.
-    max_waiting_bytes
-        Bytes of lines that may wait.
+        The file descriptor; it is set to non-blocking mode.
+    max_queued_bytes
+        Maximum size of the queue.
 
     Attributes
     ----------
@@ -86,102 +88,108 @@
     """
 
     def __init__(
-        self, descriptor: int, *, max_waiting_bytes: int = MAX_WAITING_BYTES
+        self, descriptor: int, *, max_queued_bytes: int = MAX_QUEUED_BYTES
     ) -> None:
         super().__init__()
         self.dropped = 0
         self._descriptor = descriptor
-        self._max_waiting_bytes = max_waiting_bytes
-        self._waiting: deque[bytes] = deque()
-        self._waiting_bytes = 0
-        self._dropped_since = 0
+        self._max_queued_bytes = max_queued_bytes
+        self._queue: deque[bytes] = deque()
+        self._queued_bytes = 0
+        self._unreported_drops = 0
         os.set_blocking(descriptor, False)
 
     def emit(self, record: standard_logging.LogRecord) -> None:
-        """Take one record."""
-        self.take(self.format(record))
+        """Write a log record."""
+        self.write_line(self.format(record))
 
-    def take(self, text: str) -> None:
-        """Take one line."""
+    def write_line(self, text: str) -> None:
+        """Write a line, or drop it if the queue is full."""
         line = text.encode() + b"\n"
-        if self._waiting_bytes + len(line) > self._max_waiting_bytes:
+        if self._queued_bytes + len(line) > self._max_queued_bytes:
             self.dropped += 1
-            self._dropped_since += 1
+            self._unreported_drops += 1
             return
-        self._append(line)
+        self._enqueue(line)
         self.flush()
 
     def flush(self) -> None:
-        """Write as much as the reader takes now."""
-        while self._waiting:
-            if not self._write(self._waiting[0]):
+        """Write queued lines until the descriptor would block."""
+        while self._queue:
+            if not self._write(self._queue[0]):
                 return
-            if self._dropped_since and not self._waiting:
-                note = {"event": "log lines were dropped", "count": self._dropped_since}
-                self._dropped_since = 0
-                self._append(json.dumps(note).encode() + b"\n")
-
-    def _append(self, line: bytes) -> None:
-        self._waiting.append(line)
-        self._waiting_bytes += len(line)
+            if self._unreported_drops and not self._queue:
+                notice = {
+                    "event": "log lines were dropped",
+                    "count": self._unreported_drops,
+                }
+                self._unreported_drops = 0
+                self._enqueue(json.dumps(notice).encode() + b"\n")
+
+    def _enqueue(self, line: bytes) -> None:
+        self._queue.append(line)
+        self._queued_bytes += len(line)
 
     def _write(self, line: bytes) -> bool:
-        """Write the first line; return whether all of it went out."""
+        """Write the first queued line; return whether it was written completely."""
         try:
             written = os.write(self._descriptor, line[:WRITE_BYTES])
         except BlockingIOError:
             return False
         except OSError:
-            # Nobody reads the logs any more, and there is nowhere to say so.
-            self._waiting.clear()
-            self._waiting_bytes = 0
+            # The reader of the logs is gone, and there is nowhere to report that.
+            self._queue.clear()
+            self._queued_bytes = 0
             return False
-        self._waiting.popleft()
-        self._waiting_bytes -= written
+        self._queue.popleft()
+        self._queued_bytes -= written
         if written < len(line):
-            self._waiting.appendleft(line[written:])
+            self._queue.appendleft(line[written:])
             return False
         return True
 
 
 @attrs.define(eq=False)
-class _Direct:
-    """Where lines go without a record; nowhere until logs go to standard output."""
+class _Sink:
+    """The output for lines without a record; unset until `log_to_stdout` is called."""
 
     writer: LogWriter | None = None
     formatter: JsonFormatter | None = None
 
 
-_direct = _Direct()
+_sink = _Sink()
 
 
 def log_event(
     message: str, /, *, level: int = standard_logging.INFO, **fields: Any
 ) -> None:
-    """Log one decision or change with what led to it.
+    """Log a decision or a change of state with its context.
 
     Parameters
     ----------
     message
-        What happened, the same words each time.
+        What happened, in constant words, so that events can be searched for.
     level
-        A level of the standard library.
+        A level of the `logging` module.
     fields
         The inputs and the outcome.
     """
-    name = _PLAIN_LEVELS.get(level)
-    if name and _direct.writer is not None and _direct.formatter is not None:
-        # A record takes longer than the line: it looks for its place in the code.
-        _direct.writer.take(_direct.formatter.plain(message, name, fields))
+    level_name = _DIRECT_LEVELS.get(level)
+    if level_name and _sink.writer is not None and _sink.formatter is not None:
+        # Skips the log record, which is slower to create than the line, as it looks up
+        # the source location.
+        _sink.writer.write_line(
+            _sink.formatter.format_event(message, level_name, fields)
+        )
         return
     logger = logging.get_absl_logger()
     if logger.isEnabledFor(level):
-        logger.log(level, message, extra={FIELDS: fields})
+        logger.log(level, message, extra={FIELDS_ATTRIBUTE: fields})
 
 
 def log_to_stdout(**fields: Any) -> LogWriter:
     """Send the logs of this process to standard output as JSON lines."""
-    # The settings say everything; absl only warns until its flags are parsed.
+    # No flags are used, but absl logs only warnings until its flags are parsed.
     flags.FLAGS(["lynxchute"])
     logging.set_verbosity(logging.INFO)
     writer = LogWriter(sys.stdout.fileno())
@@ -192,5 +200,5 @@
         logger.removeHandler(handler)
     logger.addHandler(writer)
     logger.propagate = False
-    _direct.writer, _direct.formatter = writer, formatter
+    _sink.writer, _sink.formatter = writer, formatter
     return writer
--- a/lynxchute/telemetry/metrics.py
+++ b/lynxchute/telemetry/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and histograms of a router, for Prometheus."""
+"""Prometheus metrics of a router."""
 
 from __future__ import annotations
 
@@ -12,68 +12,83 @@
 
 PREFIX = "lynxchute_"
 
-# From a plain answer within a data centre to the longest deadline, in seconds.
-SECONDS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8)
+# Histogram buckets in seconds, from a response of a plain service in the same data
+# centre to the longest deadline.
+LATENCY_BUCKETS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8)
 
 
 class Metrics:
-    """The instruments of one router.
+    """The metrics of one router.
 
     Attributes
     ----------
     requests
-        Requests by how they ended.
+        Finished requests by outcome.
     refusals
-        Final answers of the router's own, by reason.
+        Error responses of the router itself, by reason.
     refusals_with_tokens
-        Requests refused for want of tokens though the fleet had as many unused.
+        Requests refused for lack of tokens although the fleet had enough unused ones.
     reservations_kept
-        Reservations that no other router was asked for, of kept tokens.
+        Reservations from tokens that this router retains, without asking other routers.
     held_bytes, answers_cut
-        What waits for callers who read slowly, and what was broken off for it.
+        Bytes buffered for slow readers, and responses aborted to free that memory.
     sends
-        Sends to upstreams by how they ended.
+        Attempts at upstreams, by outcome.
     sends_withheld
-        Requests that were placed at an upstream and not sent there, by reason.
+        Requests that were placed at an upstream but not sent, by reason.
     hedges
-        Calls that were slow at their first upstream, by what came of a second send.
+        Calls that were slow at their first upstream, by outcome of the hedge.
     slowness
-        How many times as long as usual the slowest plain upstream takes, by service.
+        Response time of the slowest plain upstream relative to the usual one, by
+        service.
     evacuated, cold_upstreams
-        Data centres that get nothing new, and upstreams that are cold.
+        Evacuated data centres, and upstreams that are not warmed up.
     limits
-        Upstreams that name a limit, as this router has heard.
+        Upstreams that state a rate limit, as known to this router.
     limited_sends
-        Sends to these, by the part of the limit that they were within.
+        Attempts at these upstreams, by the part of the limit that admitted them.
     broken_runs
-        Runs that broke off, by how far the upstream had come with them.
+        Runs that were interrupted, by their progress at the upstream.
     upstream_ends_blamed
-        Requests that ends of upstreams were blamed on, by what came of it.
+        Requests suspected of causing upstream crashes, by verdict.
     quarantined
-        Requests that are sent to no upstream.
+        Requests that are currently in quarantine and not sent to any upstream.
     waiting
-        Requests that wait for an engine, at the router that schedules them.
+        Requests queued for an engine at the router that schedules them.
     turns_refused
-        Requests refused there since their turn came too late, by client account.
+        Requests refused by that router because their turn would come too late, by
+        client account.
     request_seconds, first_byte_seconds
-        From a request's first byte to the end of its answer, and to the first
-        byte of it.
+        Time from the first byte of a request to the end of its response, and to the
+        first byte of the response.
     reserve_seconds
-        How long tokens took to be set aside.
+        Duration of token reservations.
     store_calls
-        Calls to the store by what was called and how they ended.
+        Calls to the store by operation and outcome.
     store_seconds
-        How long the store took to answer writes and scans.
+        Duration of writes and scans at the store.
+    open_requests
+        Requests being served.
+    configuration_version
+        The version of the configuration in use.
+    upstreams
+        Upstreams that accept requests.
+    store_answers
+        1 while the store responds, otherwise 0.
+    routers
+        Registered routers.
     refused_by_resource
-        Requests refused early for the own VM, by the resource that was full.
+        Requests shed because this VM is overloaded, by the exhausted resource.
     connections_ended
-        Connections of callers that ended so that they connect elsewhere.
+        Caller connections closed due to overload, so that the callers reconnect to
+        another router.
     connections_closed
-        New ones that were closed before anything of them was read.
+        New connections closed due to overload before anything was read from them.
     processor_use, processor_delay
-        Share of the time in which the router works, and seconds that an event waits.
+        Share of time in which the router is busy, and seconds that an event waits for
+        the event loop.
     log_lines_dropped
-        Log lines that nobody read in time.
+        Log lines dropped because they were not read in time.
     """
 
     def __init__(self) -> None:
@@ -150,23 +165,25 @@
         self.log_lines_dropped = self._gauge("log_lines_dropped", "Lines dropped.")
 
     def exposition(self) -> tuple[bytes, str]:
-        """Return everything in Prometheus' text format, and what that is called."""
-        # Loaded only where somebody asks, see the instruments.
+        """Return all metrics in the Prometheus text format, and its media type."""
+        # Imported on demand, see `lynxchute.telemetry.instruments`.
         from lynxchute.telemetry.exposition import exposition
 
         return exposition(self._instruments)
 
-    def _counter(self, name: str, text: str, *labels: str) -> Counter:
-        counter = Counter(PREFIX + name, text, labels)
+    def _counter(self, name: str, help_text: str, *labels: str) -> Counter:
+        counter = Counter(PREFIX + name, help_text, labels)
         self._instruments.append(counter)
         return counter
 
-    def _gauge(self, name: str, text: str) -> Gauge:
-        gauge = Gauge(PREFIX + name, text)
+    def _gauge(self, name: str, help_text: str) -> Gauge:
+        gauge = Gauge(PREFIX + name, help_text)
         self._instruments.append(gauge)
         return gauge
 
-    def _histogram(self, name: str, text: str) -> Histogram:
-        histogram = Histogram(f"{PREFIX}{name}_seconds", f"{text} In seconds.", SECONDS)
+    def _histogram(self, name: str, help_text: str) -> Histogram:
+        histogram = Histogram(
+            f"{PREFIX}{name}_seconds", f"{help_text} In seconds.", LATENCY_BUCKETS
+        )
         self._instruments.append(histogram)
         return histogram
