--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,4 +1,4 @@
-"""The HTTP server and client against peers that misbehave."""
+"""Tests of the HTTP server and client, mostly against misbehaving peers."""
 
 import asyncio
 import time
@@ -28,8 +28,8 @@
 )
 
 
-class Server:
-    """An echo server and what it was asked."""
+class EchoServer:
+    """A server that records its requests and echoes them by default."""
 
     def __init__(self, handler=None, check_head=lambda head: None, limits=LIMITS):
         self.requests = []
@@ -57,7 +57,7 @@
     async def __aexit__(self, *details):
         await self.server.kill()
 
-    async def raw(self, *pieces, read=True):
+    async def send_raw(self, *pieces, read=True):
         reader, writer = await asyncio.open_connection("127.0.0.1", self.server.port)
         for piece in pieces:
             writer.write(piece)
@@ -69,8 +69,8 @@
         return answer, reader, writer
 
 
-async def peer_that(*answers):
-    """Return a server that reads each request's head and sends raw bytes."""
+async def start_scripted_peer(*answers):
+    """Start a server that answers each request head with given bytes."""
     waiting = list(answers)
 
     async def serve(reader, writer):
@@ -87,8 +87,8 @@
     return server, f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
 
 
-async def chunks_from(*pieces):
-    """Return a server that answers each request with one chunk after the other."""
+async def start_chunked_peer(*pieces):
+    """Start a server that sends the pieces as separate chunks, 20 ms apart."""
 
     async def serve(reader, writer):
         try:
@@ -107,7 +107,7 @@
     return server, f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
 
 
-def answer(body, *headers):
+def make_response(body, *headers):
     lines = [b"HTTP/1.1 200 OK", *headers, b"Content-Length: %d" % len(body)]
     return b"\r\n".join(lines) + b"\r\n\r\n" + body
 
@@ -115,14 +115,14 @@
 class ServerTest(AsyncTestCase):
     def test_requests_on_one_connection_are_answered_in_order(self):
         async def work():
-            async with Server() as server:
+            async with EchoServer() as server:
                 requests = b"".join(
                     b"POST /%d HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n\r\n%d"
                     % (n, n)
                     for n in range(5)
                 )
-                found, reader, writer = await server.raw(requests)
-                # Answers come one by one, so that one read may find a part of them.
+                found, reader, writer = await server.send_raw(requests)
+                # Responses are written one by one, so a read may return some of them.
                 async with asyncio.timeout(5):
                     while found.count(b"\r\n\r\n") < 5 or found.endswith(b"\r\n\r\n"):
                         more = await reader.read(100_000)
@@ -134,57 +134,57 @@
 
         self.run_async(work())
 
-    def test_heads_and_bodies_that_are_too_large(self):
+    def test_too_large_heads_and_bodies_are_refused(self):
         async def work():
-            async with Server() as server:
+            async with EchoServer() as server:
                 head = b"GET / HTTP/1.1\r\nHost: a\r\nX: " + b"x" * 3000 + b"\r\n\r\n"
-                self.assertIn(b" 431 ", (await server.raw(head))[0])
+                self.assertIn(b" 431 ", (await server.send_raw(head))[0])
                 halves = (head[:1500], head[1500:2600])
-                self.assertIn(b" 431 ", (await server.raw(*halves))[0])
+                self.assertIn(b" 431 ", (await server.send_raw(*halves))[0])
                 length = b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9000\r\n\r\n"
-                self.assertIn(b" 413 ", (await server.raw(length))[0])
+                self.assertIn(b" 413 ", (await server.send_raw(length))[0])
                 chunked = (
                     b"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n"
                 )
                 chunk = b"3e8\r\n" + b"x" * 1000 + b"\r\n"
-                found, _, _ = await server.raw(chunked, *[chunk] * 6)
+                found, _, _ = await server.send_raw(chunked, *[chunk] * 6)
                 self.assertIn(b" 413 ", found)
                 self.assertEqual([], server.requests)
 
         self.run_async(work())
 
-    def test_bodies_of_all_connections_together_are_bounded(self):
+    def test_total_size_of_buffered_bodies_is_limited(self):
         async def work():
-            async with Server() as server:
+            async with EchoServer() as server:
                 head = b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 4500\r\n\r\n"
-                first = await server.raw(head, b"x" * 4000, read=False)
-                found, _, _ = await server.raw(head)
+                first = await server.send_raw(head, b"x" * 4000, read=False)
+                found, _, _ = await server.send_raw(head)
                 self.assertIn(b" 503 ", found)
                 self.assertIn(b"problem:overloaded", found)
                 self.assertIn(b"Retry-After", found)
                 first[2].write(b"x" * 500)
-                send_whole = await first[1].readuntil(b"\r\n\r\n")
-                self.assertIn(b" 200 ", send_whole)
+                complete = await first[1].readuntil(b"\r\n\r\n")
+                self.assertIn(b" 200 ", complete)
                 first[2].close()
                 await until(lambda: server.server.buffered_bytes == 0)
 
         self.run_async(work())
 
-    def test_slow_senders_are_refused_and_idle_ones_let_go(self):
+    def test_slow_requests_get_408_and_idle_connections_close(self):
         async def work():
-            async with Server() as server:
-                found, _, _ = await server.raw(b"GET / HTTP/1.1\r\nHo")
+            async with EchoServer() as server:
+                found, _, _ = await server.send_raw(b"GET / HTTP/1.1\r\nHo")
                 self.assertIn(b" 408 ", found)
                 self.assertIn(b"not_run", found)
-                found, _, _ = await server.raw(b"")
+                found, _, _ = await server.send_raw(b"")
                 self.assertEqual(b"", found)
                 self.assertEqual([], server.requests)
 
         self.run_async(work())
 
-    def test_shapes_that_hide_a_second_request_are_refused(self):
+    def test_ambiguous_framing_is_refused(self):
         async def work():
-            shapes = (
+            framings = (
                 b"Content-Length: 3\r\nContent-Length: 4\r\n",
                 b"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n",
                 b"Transfer-Encoding: gzip\r\n",
@@ -193,32 +193,34 @@
                 b"X : y\r\n",
                 b"Host: b\r\n",
             )
-            async with Server() as server:
-                for shape in shapes:
-                    head = b"POST / HTTP/1.1\r\nHost: a\r\n" + shape + b"\r\n"
-                    found, _, _ = await server.raw(head + b"abcGET / HTTP/1.1\r\n\r\n")
+            async with EchoServer() as server:
+                for framing in framings:
+                    head = b"POST / HTTP/1.1\r\nHost: a\r\n" + framing + b"\r\n"
+                    found, _, _ = await server.send_raw(
+                        head + b"abcGET / HTTP/1.1\r\n\r\n"
+                    )
                     refused = (b"HTTP/1.1 400", b"HTTP/1.1 501")
-                    self.assertTrue(found.startswith(refused), (shape, found))
+                    self.assertTrue(found.startswith(refused), (framing, found))
                     self.assertNotIn(b" 200 ", found)
                 self.assertEqual([], server.requests)
 
         self.run_async(work())
 
-    def test_a_caller_that_leaves_ends_its_handler_at_once(self):
+    def test_disconnect_of_the_caller_cancels_its_handler(self):
         async def work():
             async def forever(request, respond):
                 await asyncio.Event().wait()
 
-            async with Server(forever) as server:
+            async with EchoServer(forever) as server:
                 request = b"GET / HTTP/1.1\r\nHost: a\r\n\r\n"
-                _, _, writer = await server.raw(request, read=False)
+                _, _, writer = await server.send_raw(request, read=False)
                 await until(lambda: server.requests)
                 writer.close()
                 await until(lambda: server.cancelled, timeout=0.3)
 
         self.run_async(work())
 
-    def test_what_outlives_its_caller_is_carried_to_its_end(self):
+    def test_handler_that_survives_a_disconnect_completes(self):
         async def work():
             ended = []
 
@@ -228,9 +230,9 @@
                 ended.append(request.target)
                 await respond.send_whole(200, b"", "text/plain")
 
-            async with Server(stays) as server:
+            async with EchoServer(stays) as server:
                 request = b"GET /stays HTTP/1.1\r\nHost: a\r\n\r\n"
-                _, _, writer = await server.raw(request, read=False)
+                _, _, writer = await server.send_raw(request, read=False)
                 await until(lambda: server.requests)
                 writer.close()
                 await until(lambda: ended)
@@ -238,13 +240,13 @@
 
         self.run_async(work())
 
-    def test_an_answer_that_breaks_off_never_looks_whole(self):
+    def test_incomplete_response_is_detected_by_the_client(self):
         async def work():
             async def breaks(request, respond):
                 await respond.start(200, [("Transfer-Encoding", "chunked")])
                 await respond.send(b"half")
 
-            async with Server(breaks) as server:
+            async with EchoServer(breaks) as server:
                 client = HttpClient(f"127.0.0.1:{server.server.port}")
                 response = await client.request("GET", "/")
                 with self.assertRaises(ExchangeError):
@@ -252,14 +254,14 @@
 
         self.run_async(work())
 
-    def test_a_refused_head_is_answered_before_its_body(self):
+    def test_request_refused_by_its_head_is_answered_before_its_body(self):
         async def work():
             def refuse(head):
                 raise BadRequest(400, "not this one")
 
-            async with Server(check_head=refuse) as server:
+            async with EchoServer(check_head=refuse) as server:
                 head = b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 4000\r\n\r\n"
-                found, _, _ = await server.raw(head + b"x" * 100)
+                found, _, _ = await server.send_raw(head + b"x" * 100)
                 self.assertIn(b" 400 ", found)
                 self.assertIn(b"not this one", found)
 
@@ -267,13 +269,13 @@
 
     @given(st.lists(st.binary(max_size=60), max_size=5))
     @settings(max_examples=60)
-    def test_no_bytes_bring_the_server_down(self, pieces):
+    def test_server_survives_arbitrary_bytes(self, pieces):
         async def work():
-            async with Server() as server:
-                _, _, writer = await server.raw(*pieces, read=False)
+            async with EchoServer() as server:
+                _, _, writer = await server.send_raw(*pieces, read=False)
                 writer.close()
                 request = b"GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
-                found, _, _ = await server.raw(request)
+                found, _, _ = await server.send_raw(request)
                 self.assertIn(b" 200 ", found)
 
         self.run_async(work())
@@ -281,10 +283,10 @@
 
 class ClientTest(AsyncTestCase):
     def exchange(self, *answers, **more):
-        """Return what each of two requests got, an error as its text."""
+        """Return the bodies of two responses, or `sent` of an error instead."""
 
         async def work():
-            server, address = await peer_that(*answers)
+            server, address = await start_scripted_peer(*answers)
             client = HttpClient(address, timeouts=Timeouts(1.0, 0.3, 0.3))
             found = []
             for turn in range(2):
@@ -298,36 +300,36 @@
 
         return self.run_async(work())
 
-    def test_a_connection_is_kept_only_after_a_clean_end(self):
-        found, opened = self.exchange(answer(b"one"), answer(b"two"))
+    def test_connection_is_reused_only_after_a_complete_exchange(self):
+        found, opened = self.exchange(make_response(b"one"), make_response(b"two"))
         self.assertEqual(([b"one", b"two"], 1), (found, opened))
-        close = answer(b"one", b"Connection: close")
-        found, opened = self.exchange(close, answer(b"two"))
+        close = make_response(b"one", b"Connection: close")
+        found, opened = self.exchange(close, make_response(b"two"))
         self.assertEqual(([b"one", b"two"], 2), (found, opened))
-        extra = answer(b"one") + answer(b"again")
-        found, opened = self.exchange(extra, answer(b"two"))
+        extra = make_response(b"one") + make_response(b"again")
+        found, opened = self.exchange(extra, make_response(b"two"))
         self.assertEqual(([b"one", b"two"], 2), (found, opened))
 
-    def test_an_answer_to_another_request_is_skipped_on_the_same_connection(self):
+    def test_response_to_another_request_is_skipped(self):
         def is_own(head):
             return (b"x-id", b"own") in list(head.headers)
 
-        strange = answer(b"strange", b"X-Id: other")
-        own = answer(b"own", b"X-Id: own")
-        found, opened = self.exchange(strange + own, own, matches_request=is_own)
+        other = make_response(b"strange", b"X-Id: other")
+        own = make_response(b"own", b"X-Id: own")
+        found, opened = self.exchange(other + own, own, matches_request=is_own)
         self.assertEqual(([b"own", b"own"], 1), (found, opened))
 
-    def test_what_is_not_http_may_have_run(self):
-        for strange in (b"\x00\x00\r\n\r\n", b"HTTP/1.1 twohundred\r\n\r\n", b""):
-            found, _ = self.exchange(strange, answer(b"two"))
-            self.assertEqual([True, b"two"], found[:1] + found[1:], strange)
+    def test_request_may_have_run_after_an_invalid_response(self):
+        for invalid in (b"\x00\x00\r\n\r\n", b"HTTP/1.1 twohundred\r\n\r\n", b""):
+            found, _ = self.exchange(invalid, make_response(b"two"))
+            self.assertEqual([True, b"two"], found[:1] + found[1:], invalid)
 
-    def test_a_cut_body_is_no_answer(self):
+    def test_truncated_body_is_an_error(self):
         cut = b"HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\nhalf"
         found, _ = self.exchange(cut)
         self.assertEqual(True, found[0])
 
-    def test_a_reset_is_no_end_of_an_answer_without_a_length(self):
+    def test_reset_does_not_complete_a_response_without_a_length(self):
         async def work():
             async def serve(reader, writer):
                 await reader.readuntil(b"\r\n\r\n")
@@ -357,10 +359,10 @@
 
         self.run_async(work())
 
-    def test_what_arrived_before_a_break_is_handed_on_first(self):
+    def test_bytes_before_an_error_are_returned_first(self):
         async def work():
             cut = b"HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\nhalf"
-            server, address = await peer_that(cut)
+            server, address = await start_scripted_peer(cut)
             response = await HttpClient(address).request("GET", "/")
             self.assertEqual(b"half", await response.read())
             with self.assertRaises(ExchangeError):
@@ -369,7 +371,7 @@
 
         self.run_async(work())
 
-    def test_pieces_are_framed_as_the_caller_can_read_them(self):
+    def test_body_encoding_follows_the_http_version(self):
         async def work():
             async def handler(request, respond):
                 respond.start_with_body(200, [("Content-Type", "text/plain")], b"one")
@@ -377,14 +379,14 @@
                     respond.write(piece)
                 await respond.finish()
 
-            send_whole = b"onetwo" + b"x" * 300
-            chunks = b"3\r\none\r\n3\r\ntwo\r\n12c\r\n%s\r\n0\r\n\r\n" % (b"x" * 300)
-            bodies = ((b"1.1", chunks), (b"1.0", send_whole))
-            async with Server(handler) as server:
+            identity = b"onetwo" + b"x" * 300
+            chunked = b"3\r\none\r\n3\r\ntwo\r\n12c\r\n%s\r\n0\r\n\r\n" % (b"x" * 300)
+            bodies = ((b"1.1", chunked), (b"1.0", identity))
+            async with EchoServer(handler) as server:
                 for version, expected in bodies:
                     line = b"GET / HTTP/%s\r\n" % version
                     close = b"Host: a\r\nConnection: close\r\n\r\n"
-                    answer, reader, _ = await server.raw(line + close)
+                    answer, reader, _ = await server.send_raw(line + close)
                     answer += await reader.read()
                     head, _, body = answer.partition(b"\r\n\r\n")
                     self.assertIn(b" 200 ", head)
@@ -392,7 +394,7 @@
 
         self.run_async(work())
 
-    def test_nothing_can_be_sent_after_the_end_of_an_answer(self):
+    def test_nothing_can_be_written_after_the_end_of_a_response(self):
         async def work():
             errors = []
 
@@ -405,55 +407,55 @@
                 except Exception as error:
                     errors.append(type(error).__name__)
 
-            async with Server(handler) as server:
+            async with EchoServer(handler) as server:
                 head = b"GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
-                answer, reader, _ = await server.raw(head)
+                answer, reader, _ = await server.send_raw(head)
                 answer += await reader.read()
             self.assertTrue(answer.endswith(b"3\r\ntwo\r\n0\r\n\r\n"), answer)
             self.assertEqual(["LocalProtocolError"], errors)
 
         self.run_async(work())
 
-    def test_pieces_are_handed_over_as_they_arrive_and_when_asked_for(self):
+    def test_deliver_body_passes_chunks_on_and_can_be_paused(self):
         async def work():
-            taken = []
-            server, address = await chunks_from("one", "two", "three", "four")
+            received = []
+            server, address = await start_chunked_peer("one", "two", "three", "four")
             response = await HttpClient(address).request("GET", "/")
 
-            def take(piece):
-                taken.append(piece)
-                return len(taken) != 2
+            def consume(chunk):
+                received.append(chunk)
+                return len(received) != 2
 
-            self.assertFalse(await response.deliver_body(take))
-            self.assertEqual([b"one", b"two"], taken)
-            # What comes meanwhile waits for the next call.
+            self.assertFalse(await response.deliver_body(consume))
+            self.assertEqual([b"one", b"two"], received)
+            # Chunks that arrive while paused wait for the next call.
             await asyncio.sleep(0.1)
-            self.assertEqual([b"one", b"two"], taken)
-            self.assertTrue(await response.deliver_body(take))
-            self.assertEqual(b"onetwothreefour", b"".join(taken))
-            self.assertTrue(await response.deliver_body(take))
+            self.assertEqual([b"one", b"two"], received)
+            self.assertTrue(await response.deliver_body(consume))
+            self.assertEqual(b"onetwothreefour", b"".join(received))
+            self.assertTrue(await response.deliver_body(consume))
             server.close()
 
         self.run_async(work())
 
-    def test_what_goes_wrong_while_a_piece_is_taken_ends_the_reader(self):
+    def test_error_in_the_callback_is_raised_in_the_reader(self):
         async def work():
             for number in (1, 2):
-                taken = []
+                received = []
 
-                def take(piece, taken=taken, number=number):
-                    taken.append(piece)
-                    if len(taken) == number:
-                        raise ValueError("no such piece")
+                def consume(chunk, received=received, number=number):
+                    received.append(chunk)
+                    if len(received) == number:
+                        raise ValueError("invalid chunk")
                     return True
 
-                server, address = await chunks_from("one", "two", "three")
+                server, address = await start_chunked_peer("one", "two", "three")
                 client = HttpClient(address)
                 response = await client.request("GET", "/")
                 with self.assertRaises(ValueError):
-                    await response.deliver_body(take)
-                self.assertEqual(number, len(taken))
-                # The rest of the answer is nobody else's.
+                    await response.deliver_body(consume)
+                self.assertEqual(number, len(received))
+                # The rest of the response must not reach another request.
                 opened = client.connections_opened
                 await (await client.request("GET", "/")).body()
                 self.assertEqual(opened + 1, client.connections_opened)
@@ -461,44 +463,44 @@
 
         self.run_async(work())
 
-    def test_pieces_before_a_break_are_handed_over_and_the_break_told(self):
+    def test_chunks_before_an_error_are_delivered(self):
         async def work():
             cut = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n"
             for rest in (b"", b"no chunk\r\n"):
-                taken = []
-                server, address = await peer_that(cut + rest)
+                received = []
+                server, address = await start_scripted_peer(cut + rest)
                 response = await HttpClient(address).request("GET", "/")
                 with self.assertRaises(ExchangeError):
                     await response.deliver_body(
-                        lambda piece, taken=taken: taken.append(piece) or True
+                        lambda chunk, received=received: received.append(chunk) or True
                     )
-                self.assertEqual([b"one"], taken)
+                self.assertEqual([b"one"], received)
                 server.close()
 
         self.run_async(work())
 
-    def test_a_reader_that_was_cancelled_is_handed_nothing(self):
+    def test_cancelled_reader_receives_nothing_more(self):
         async def work():
-            taken = []
-            server, address = await chunks_from("one", "two", "three")
+            received = []
+            server, address = await start_chunked_peer("one", "two", "three")
             response = await HttpClient(address).request("GET", "/")
 
-            def take(piece):
-                taken.append(piece)
+            def consume(chunk):
+                received.append(chunk)
                 reading.cancel()
                 return True
 
-            reading = asyncio.create_task(response.deliver_body(take))
+            reading = asyncio.create_task(response.deliver_body(consume))
             await asyncio.sleep(0.2)
             self.assertTrue(reading.cancelled())
-            self.assertEqual([b"one"], taken)
+            self.assertEqual([b"one"], received)
             server.close()
 
         self.run_async(work())
 
-    def test_nothing_sent_is_said_only_where_no_connection_came_about(self):
+    def test_refused_connection_reports_that_nothing_was_sent(self):
         async def work():
-            server, address = await peer_that()
+            server, address = await start_scripted_peer()
             server.close()
             await server.wait_closed()
             with self.assertRaises(ExchangeError) as caught:
@@ -507,9 +509,9 @@
 
         self.run_async(work())
 
-    def test_a_kept_connection_that_was_idle_too_long_is_not_risked(self):
+    def test_connection_that_was_idle_for_too_long_is_not_reused(self):
         async def work():
-            server, address = await peer_that(*[answer(b"x")] * 4)
+            server, address = await start_scripted_peer(*[make_response(b"x")] * 4)
             client = HttpClient(address)
             for _ in range(2):
                 response = await client.request("GET", "/")
@@ -524,10 +526,10 @@
 
         self.run_async(work())
 
-    def test_keep_alive_is_heeded(self):
+    def test_keep_alive_header_limits_reuse(self):
         async def work():
-            limit = answer(b"x", b"Keep-Alive: timeout=1")
-            server, address = await peer_that(limit, limit)
+            limit = make_response(b"x", b"Keep-Alive: timeout=1")
+            server, address = await start_scripted_peer(limit, limit)
             client = HttpClient(address)
             for _ in range(2):
                 response = await client.request("GET", "/")
@@ -539,11 +541,11 @@
 
         self.run_async(work())
 
-    def test_a_body_that_the_peer_has_not_read_ends_the_connection(self):
+    def test_connection_with_an_unread_body_is_not_reused(self):
         async def work():
             async def serve(reader, writer):
                 await reader.readuntil(b"\r\n\r\n")
-                writer.write(answer(b"early"))
+                writer.write(make_response(b"early"))
                 await asyncio.sleep(0.3)
                 writer.close()
 
@@ -561,8 +563,8 @@
         self.run_async(work())
 
 
-class SilentConnectionsTest(AsyncTestCase):
-    def test_kept_connections_that_are_silent_cost_one_timeout(self):
+class UnresponsiveConnectionsTest(AsyncTestCase):
+    def test_unresponsive_idle_connections_cost_one_timeout(self):
         connections = []
 
         async def accept(reader, writer):
@@ -572,7 +574,7 @@
             while await reader.readuntil(b"\r\n\r\n"):
                 served += 1
                 if is_old and served > 1:
-                    # As behind a partition: it takes all and says nothing.
+                    # Behaves as if partitioned: accepts bytes and never responds.
                     await asyncio.Event().wait()
                 await asyncio.sleep(0.02)
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -597,12 +599,12 @@
         self.run_async(scenario())
 
 
-def be_late():
+def block_event_loop():
     time.sleep(0.15)
 
 
-class PatienceTest(AsyncTestCase):
-    def test_a_late_event_loop_is_not_a_silent_peer(self):
+class LagToleranceTest(AsyncTestCase):
+    def test_event_loop_lag_is_not_a_timeout(self):
         async def work():
             async def answer(reader, writer):
                 await reader.readuntil(b"\r\n\r\n")
@@ -612,17 +614,17 @@
             port = server.sockets[0].getsockname()[1]
             client = HttpClient(f"127.0.0.1:{port}", timeouts=Timeouts(connect=0.1))
             call = asyncio.create_task(client.request("GET", "/"))
-            # Each turn of the loop takes longer than a connection may take.
+            # Each iteration of the event loop takes longer than the connect timeout.
             for _ in range(6):
                 await asyncio.sleep(0)
-                be_late()
+                block_event_loop()
             response = await call
             self.assertEqual(b"ok", await response.body())
             server.close()
 
         self.run_async(work())
 
-    def test_a_silent_peer_is_given_up(self):
+    def test_unresponsive_peer_times_out(self):
         async def work():
             ended = []
 
@@ -639,7 +641,7 @@
 
         self.run_async(work())
 
-    def test_an_error_is_passed_on(self):
+    def test_error_is_propagated(self):
         async def work():
             async def fail():
                 raise ConnectionRefusedError
@@ -649,7 +651,7 @@
 
         self.run_async(work())
 
-    def test_what_comes_as_its_caller_leaves_is_given_up(self):
+    def test_result_is_discarded_if_the_waiter_is_cancelled(self):
         async def work():
             made, dropped = asyncio.Event(), []
 
--- a/tests/test_ingress.py
+++ b/tests/test_ingress.py
@@ -1,4 +1,4 @@
-"""Whatever callers send, a router answers it clearly and goes on."""
+"""Fuzzes a router, which must reject malformed requests and keep serving."""
 
 import asyncio
 
@@ -15,13 +15,11 @@
 from tests.support import AsyncTestCase
 
 EXAMPLES = 600
-# Final answers of the router's own to what is not in order, and the answers to
-# what happens to be.
-# An interim 100 may come first.
+# Statuses of invalid requests, of valid ones, and of an interim response.
 STATUSES = frozenset(
     {100, 200, 400, 401, 402, 404, 408, 411, 413, 414, 431, 501, 503, 505}
 )
-ANSWERED_WITHIN = 5.0
+RESPONSE_TIMEOUT = 5.0
 LINE = st.sampled_from(
     (
         "POST /stream/x HTTP/1.1",
@@ -73,11 +71,15 @@
         "X-Long: " + "v" * 9_000,
     )
 )
-# What comes before the odd headers: nothing, a proper request, a proper
+# Headers before the random ones: none, those of a valid request, or of a valid
 # generation.
-PROPER = (f"Host: {HOST}", "X-Request-Id: fuzz", f"X-Credential: {KEY}")
-PROMPT = ("X-Model: m", "X-Token-Counts: 100,60", "X-Prompt-Prefix: aa:100,bb:1")
-BASES = ((), PROPER, (*PROPER, *PROMPT))
+VALID_HEADERS = (f"Host: {HOST}", "X-Request-Id: fuzz", f"X-Credential: {KEY}")
+PROMPT_HEADERS = (
+    "X-Model: m",
+    "X-Token-Counts: 100,60",
+    "X-Prompt-Prefix: aa:100,bb:1",
+)
+BASES = ((), VALID_HEADERS, (*VALID_HEADERS, *PROMPT_HEADERS))
 BODY = st.sampled_from(
     (
         b"",
@@ -93,11 +95,11 @@
 
 
 async def send_raw(port, data):
-    """Return the status that came first, or 0 for a connection that ended."""
+    """Return the status of the first response, or 0 if the connection was closed."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     try:
         writer.write(data)
-        async with asyncio.timeout(ANSWERED_WITHIN):
+        async with asyncio.timeout(RESPONSE_TIMEOUT):
             line = await reader.readline()
     except ConnectionError:
         return 0
@@ -107,7 +109,7 @@
 
 
 class IngressTest(AsyncTestCase):
-    def test_no_bytes_confuse_a_router(self):
+    def test_router_survives_arbitrary_requests(self):
         async def work():
             deployment = PlatformDeployment(routers=("a-1",))
             await deployment.start()
@@ -127,7 +129,7 @@
 
             try:
                 await asyncio.to_thread(example)
-                self._check_runs(deployment)
+                self._assert_only_valid_runs(deployment)
                 status, _, body = await PlatformCaller(deployment).stream()
                 self.assertEqual((200, [1, 2, 3, 4, 5, 6]), (status, ids_of(body)))
                 self.assertEqual(0, deployment.routers["a-1"].relay.open_requests)
@@ -136,8 +138,8 @@
 
         self.run_async(work(), timeout=300)
 
-    def _check_runs(self, deployment):
-        """See that nothing ran but what had an id, a key and a route."""
+    def _assert_only_valid_runs(self, deployment):
+        """Assert that only requests with an id, a credential and a route ran."""
         for upstream in deployment.upstreams:
             for run in upstream.runs:
                 self.assertIn("fuzz", run.request_id)
--- a/tests/test_instruments.py
+++ b/tests/test_instruments.py
@@ -1,4 +1,4 @@
-"""Own instruments tell what the library's would."""
+"""Tests that the metrics match those of `prometheus_client`."""
 
 import random
 
@@ -23,7 +23,7 @@
 
 
 class InstrumentsTest(testtools.TestCase):
-    def test_they_are_written_as_the_library_writes_its_own(self):
+    def test_exposition_equals_that_of_prometheus_client(self):
         registry = prometheus_client.CollectorRegistry()
         theirs = (
             prometheus_client.Counter("x_sends", "Sends.", ["fate"], registry=registry),
@@ -55,7 +55,7 @@
         for key, value in expected.items():
             self.assertAlmostEqual(value, found[key])
 
-    def test_a_value_on_a_bound_is_within_it(self):
+    def test_value_equal_to_a_bound_is_in_its_bucket(self):
         histogram = Histogram("x_seconds", "Took.", BOUNDS)
         for value in (0.1, 0.5, 2.0, 2.1):
             histogram.observe(value)
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -1,4 +1,4 @@
-"""Log lines, whichever way they are built."""
+"""Log lines, with and without a log record."""
 
 import json
 import logging
@@ -15,7 +15,7 @@
 )
 
 
-class LinesTest(TestCase):
+class LogLinesTest(TestCase):
     def setUp(self):
         super().setUp()
         self.reader, self.descriptor = os.pipe()
@@ -23,12 +23,12 @@
         self.addCleanup(os.close, self.descriptor)
         self.formatter = JsonFormatter({"vm": "a-1"})
 
-    def record(self, message, level, fields):
+    def format_record(self, message, level, fields):
         record = logging.LogRecord("absl", level, "f.py", 7, message, (), None)
         setattr(record, FIELDS_ATTRIBUTE, fields)
         return json.loads(self.formatter.format(record))
 
-    def direct(self, writer):
+    def use_writer(self, writer):
         before = (
             telemetry_log._sink.writer,
             telemetry_log._sink.formatter,
@@ -44,18 +44,18 @@
         telemetry_log._sink.writer = writer
         telemetry_log._sink.formatter = self.formatter
 
-    def test_a_line_without_a_record_is_the_same_as_with_one(self):
+    def test_direct_line_equals_the_line_of_a_record(self):
         fields = {"at": (1, 2), "word": "ü\n", "object": ValueError("x"), "no": None}
         direct = json.loads(self.formatter.format_event("50% sent", "info", fields))
-        made = self.record("50% sent", logging.INFO, fields)
-        self.assertEqual(list(made), list(direct))
-        self.assertLess(abs(made.pop("time") - direct.pop("time")), 60.0)
-        self.assertEqual(made, direct)
+        recorded = self.format_record("50% sent", logging.INFO, fields)
+        self.assertEqual(list(recorded), list(direct))
+        self.assertLess(abs(recorded.pop("time") - direct.pop("time")), 60.0)
+        self.assertEqual(recorded, direct)
 
-    def test_lines_come_in_order_whichever_way_they_were_built(self):
+    def test_lines_are_written_in_order(self):
         writer = LogWriter(self.descriptor)
         writer.setFormatter(self.formatter)
-        self.direct(writer)
+        self.use_writer(writer)
         logger = logging.getLogger("absl")
         logger.addHandler(writer)
         self.addCleanup(logger.removeHandler, writer)
@@ -68,10 +68,10 @@
         self.assertIn("where", lines[1])
         self.assertNotIn("where", lines[0])
 
-    def test_lines_that_nobody_reads_are_bounded_and_counted(self):
+    def test_unread_lines_are_limited_and_dropped_ones_counted(self):
         writer = LogWriter(self.descriptor, max_queued_bytes=1000)
-        self.direct(writer)
-        # The pipe holds some; those that wait for it are bounded.
+        self.use_writer(writer)
+        # The pipe buffers some lines; the queue behind it is limited.
         for number in range(5000):
             log_event("a line of a test", number=number)
         self.assertGreater(writer.dropped, 0)
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path of the product's own interface: request, answer, count."""
+"""End-to-end tests of the chat API: request, response and billing."""
 
 import json
 
@@ -36,18 +36,18 @@
 
         with_deployment(self, scenario)
 
-    def test_only_who_asks_is_told_the_usage(self):
+    def test_usage_is_included_only_on_request(self):
         async def scenario(deployment):
             caller = Caller(deployment, "kyu-a-1")
             _, _, plain = await caller.ask(question(stream=True))
             self.assertNotIn(b'"usage"', plain)
             asked = question(stream=True, stream_options={"include_usage": True})
-            _, _, told = await caller.ask(asked)
-            self.assertEqual(1, told.count(b'"usage"'))
+            _, _, with_usage = await caller.ask(asked)
+            self.assertEqual(1, with_usage.count(b'"usage"'))
 
         with_deployment(self, scenario)
 
-    def test_refuses_beyond_the_budget(self):
+    def test_request_beyond_the_budget_is_refused(self):
         async def scenario(deployment):
             caller = Caller(deployment, "kyu-a-1", "poor")
             status, _, body = await caller.ask(question())
@@ -57,7 +57,7 @@
 
         with_deployment(self, scenario)
 
-    def test_a_call_of_a_plain_service_is_counted(self):
+    def test_call_of_a_plain_service_is_billed(self):
         async def scenario(deployment):
             caller = Caller(deployment, "kyu-a-1")
             status, _, body = await caller.send("POST", "/tickets/7", {"lane": 2})
