--- a/lynxchute/http/link_meter.py
+++ b/lynxchute/http/link_meter.py
@@ -26,7 +26,7 @@
 
 @attrs.define
 class _LinkDirection:
-    """A model of the send queue of one direction of a link.
+    """A model of the queue in one direction of a link.
 
     Attributes
     ----------
