--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -1,4 +1,4 @@
-"""Log lines, whichever way they are built."""
+"""Log lines, with and without a log record."""
 
 import json
 import logging
@@ -7,10 +7,15 @@
 from testtools import TestCase
 
 from lynxchute.telemetry import log as telemetry_log
-from lynxchute.telemetry.log import FIELDS, JsonFormatter, LogWriter, log_event
+from lynxchute.telemetry.log import (
+    FIELDS_ATTRIBUTE,
+    JsonFormatter,
+    LogWriter,
+    log_event,
+)
 
 
-class LinesTest(TestCase):
+class LogLinesTest(TestCase):
     def setUp(self):
         super().setUp()
         self.reader, self.descriptor = os.pipe()
@@ -18,33 +23,39 @@
         self.addCleanup(os.close, self.descriptor)
         self.formatter = JsonFormatter({"vm": "a-1"})
 
-    def record(self, message, level, fields):
+    def format_record(self, message, level, fields):
         record = logging.LogRecord("absl", level, "f.py", 7, message, (), None)
-        setattr(record, FIELDS, fields)
+        setattr(record, FIELDS_ATTRIBUTE, fields)
         return json.loads(self.formatter.format(record))
 
-    def direct(self, writer):
-        before = telemetry_log._direct.writer, telemetry_log._direct.formatter
+    def use_writer(self, writer):
+        before = (
+            telemetry_log._sink.writer,
+            telemetry_log._sink.formatter,
+        )
 
         def restore():
-            telemetry_log._direct.writer, telemetry_log._direct.formatter = before
+            (
+                telemetry_log._sink.writer,
+                telemetry_log._sink.formatter,
+            ) = before
 
         self.addCleanup(restore)
-        telemetry_log._direct.writer = writer
-        telemetry_log._direct.formatter = self.formatter
+        telemetry_log._sink.writer = writer
+        telemetry_log._sink.formatter = self.formatter
 
-    def test_a_line_without_a_record_is_the_same_as_with_one(self):
+    def test_direct_line_equals_the_line_of_a_record(self):
         fields = {"at": (1, 2), "word": "ü\n", "object": ValueError("x"), "no": None}
-        plain = json.loads(self.formatter.plain("50% sent", "info", fields))
-        made = self.record("50% sent", logging.INFO, fields)
-        self.assertEqual(list(made), list(plain))
-        self.assertLess(abs(made.pop("time") - plain.pop("time")), 60.0)
-        self.assertEqual(made, plain)
+        direct = json.loads(self.formatter.format_event("50% sent", "info", fields))
+        recorded = self.format_record("50% sent", logging.INFO, fields)
+        self.assertEqual(list(recorded), list(direct))
+        self.assertLess(abs(recorded.pop("time") - direct.pop("time")), 60.0)
+        self.assertEqual(recorded, direct)
 
-    def test_lines_come_in_order_whichever_way_they_were_built(self):
+    def test_lines_are_written_in_order(self):
         writer = LogWriter(self.descriptor)
         writer.setFormatter(self.formatter)
-        self.direct(writer)
+        self.use_writer(writer)
         logger = logging.getLogger("absl")
         logger.addHandler(writer)
         self.addCleanup(logger.removeHandler, writer)
@@ -57,11 +68,11 @@
         self.assertIn("where", lines[1])
         self.assertNotIn("where", lines[0])
 
-    def test_lines_that_nobody_reads_are_bounded_and_counted(self):
-        writer = LogWriter(self.descriptor, max_waiting_bytes=1000)
-        self.direct(writer)
-        # The pipe holds some; those that wait for it are bounded.
+    def test_unread_lines_are_limited_and_dropped_ones_counted(self):
+        writer = LogWriter(self.descriptor, max_queued_bytes=1000)
+        self.use_writer(writer)
+        # The pipe buffers some lines; the queue behind it is limited.
         for number in range(5000):
             log_event("a line of a test", number=number)
         self.assertGreater(writer.dropped, 0)
-        self.assertLessEqual(writer._waiting_bytes, 1000)
+        self.assertLessEqual(writer._queued_bytes, 1000)
