--- a/lynxchute/operators/__init__.py
+++ b/lynxchute/operators/__init__.py
@@ -1,1 +1,1 @@
-"""The operators: their language, its service and its client."""
+"""Operators' interface: query language, HTTP endpoint and command-line client."""
--- a/lynxchute/operators/client.py
+++ b/lynxchute/operators/client.py
@@ -1,7 +1,7 @@
-"""The operators' client.
+"""Command-line client for operators.
 
-Exit statuses: 0 done, 1 not done, 2 mistakes in the statement or the call,
-4 unknown, 5 nobody answered, 6 the rows are incomplete.
+Exit statuses: 0 done, 1 not done, 2 errors in the statement or the arguments,
+4 outcome unknown, 5 no router answered, 6 rows incomplete.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 KEY_VARIABLE = "LYNXCHUTE_KEY"
 ROUTERS_VARIABLE = "LYNXCHUTE_ROUTERS"
 STORE_VARIABLE = "LYNXCHUTE_STORE"
-# The first word of a command line that reads logs and asks nobody.
+# Subcommand that reads log files and contacts no router.
 EXPLAIN = "explain"
 VERSION = "--version"
 EXIT_DONE = 0
@@ -55,22 +55,22 @@
 
 
 class Client(ABC):
-    """Where statements go."""
+    """Interface for executing statements."""
 
     @abstractmethod
     def run(self, statement: str) -> dict[str, Any] | None:
-        """Return the answer to a statement; None where nobody answered."""
+        """Return the answer to a statement; None if nothing answered."""
 
 
 class RouterClient(Client):
-    """Send statements to the first router that answers.
+    """Send statements to the first reachable router.
 
     Parameters
     ----------
     routers
-        The routers' addresses for callers, as ``host:port``.
+        Addresses on which the routers accept callers, as ``host:port``.
     key
-        The operator's key.
+        API key of the operator.
     """
 
     def __init__(self, routers: list[str], key: str) -> None:
@@ -78,9 +78,9 @@
         self._headers = [("Authorization", f"Bearer {key}")]
 
     def run(self, statement: str) -> dict[str, Any] | None:
-        """Return the answer to a statement; None where no router answered.
+        """Return the answer to a statement; None if no router answered.
 
-        A statement that may have reached a router is sent to no other one.
+        A statement that may have reached a router is not retried on another one.
         """
         return run_loop(self._run(statement))
 
@@ -104,22 +104,22 @@
 
 
 class StoreClient(Client):
-    """Run statements on the store's rows, without a router.
+    """Execute statements directly on the store, without a router.
 
-    Whoever reaches the store may read and, where the configuration is the
-    product's own, change it.
+    Anyone with network access to the store may read the rows and, if the
+    configuration is in the format of this product, change it.
 
     Parameters
     ----------
     make_platform
-        Returns where the rows stand and how to read them.
+        Returns the platform, which names the store and decodes its rows.
     """
 
     def __init__(self, make_platform: Callable[[], Platform]) -> None:
         self._make_platform = make_platform
 
     def run(self, statement: str) -> dict[str, Any] | None:
-        """Return the answer to a statement."""
+        """Return the answer to a statement, executed in this process."""
         return run_loop(self._run(statement))
 
     async def _run(self, statement: str) -> dict[str, Any]:
@@ -134,7 +134,7 @@
 
 
 def exit_status(answer: dict[str, Any] | None) -> int:
-    """Return the exit status for an answer."""
+    """Return the exit status of the process for an answer."""
     if answer is None:
         return EXIT_UNREACHED
     if answer["state"] == runner.ROWS and answer.get("missing"):
@@ -142,8 +142,10 @@
     return EXIT_BY_STATE.get(answer["state"], EXIT_NOT_DONE)
 
 
-def show(answer: dict[str, Any] | None, console: Console, *, as_json: bool) -> None:
-    """Print an answer for people, or for programs."""
+def print_answer(
+    answer: dict[str, Any] | None, console: Console, *, as_json: bool
+) -> None:
+    """Print an answer as text or a table, or as JSON."""
     if as_json:
         print(json.dumps(answer))
         return
@@ -155,15 +157,15 @@
         if answer.get("operation"):
             console.print(f"operation {answer['operation']}", markup=False)
     else:
-        console.print(_table(answer))
+        console.print(_render_table(answer))
     if answer.get("missing"):
         missing = ", ".join(answer["missing"])
         console.print(f"INCOMPLETE: nothing from {missing}", markup=False)
 
 
-def _table(answer: dict[str, Any]) -> Table:
-    taken = time.strftime("%H:%M:%S", time.localtime(answer["taken_at"]))
-    table = Table(caption=f"as of {taken}")
+def _render_table(answer: dict[str, Any]) -> Table:
+    read_at = time.strftime("%H:%M:%S", time.localtime(answer["taken_at"]))
+    table = Table(caption=f"as of {read_at}")
     for column in answer["columns"]:
         table.add_column(column)
     for row in answer["rows"]:
@@ -173,7 +175,7 @@
 
 
 def needs_confirmation(statement: str) -> bool:
-    """Return whether a statement takes something away."""
+    """Return whether a statement drops an account or starts a drain."""
     parsed = parse(statement)
     if parsed.is_error():
         return False
@@ -183,7 +185,7 @@
     return isinstance(value, SetDraining) and value.draining
 
 
-def _confirmed(statement: str, *, yes: bool) -> bool:
+def _is_confirmed(statement: str, *, yes: bool) -> bool:
     if yes or not needs_confirmation(statement):
         return True
     if not sys.stdin.isatty():
@@ -192,8 +194,8 @@
     return input(f"{statement}: are you sure? [y/N] ").strip().lower() == "y"
 
 
-def _prompt(client: Client, console: Console, *, as_json: bool, yes: bool) -> int:
-    """Read statements at a prompt until its end."""
+def _run_prompt(client: Client, console: Console, *, as_json: bool, yes: bool) -> int:
+    """Read statements from an interactive prompt until end of input."""
     from prompt_toolkit import PromptSession
     from prompt_toolkit.completion import WordCompleter
 
@@ -206,20 +208,22 @@
         except (EOFError, KeyboardInterrupt):
             return status
         if statement:
-            status = _one(client, console, statement, as_json=as_json, yes=yes)
+            status = _run_statement(
+                client, console, statement, as_json=as_json, yes=yes
+            )
 
 
-def _one(
+def _run_statement(
     client: Client, console: Console, statement: str, *, as_json: bool, yes: bool
 ) -> int:
-    if not _confirmed(statement, yes=yes):
+    if not _is_confirmed(statement, yes=yes):
         return EXIT_NOT_DONE
     answer = client.run(statement)
-    show(answer, console, as_json=as_json)
+    print_answer(answer, console, as_json=as_json)
     return exit_status(answer)
 
 
-def _statements(words: list[str], file: Path | None) -> list[str]:
+def _read_statements(words: list[str], file: Path | None) -> list[str]:
     if file is not None:
         lines = file.read_text(encoding="utf-8").splitlines()
     elif words:
@@ -230,8 +234,8 @@
     return [line for line in stripped if line and not line.startswith("#")]
 
 
-def _client(routers: str, store: str | None, *, users_platform: bool) -> Client:
-    """Return where statements go, or end the process with what is missing."""
+def _make_client(routers: str, store: str | None, *, users_platform: bool) -> Client:
+    """Return the client to use, or exit with a message naming the missing option."""
     address = store or os.environ.get(STORE_VARIABLE, "")
     if address:
         if users_platform:
@@ -242,8 +246,8 @@
     key = os.environ.get(KEY_VARIABLE, "")
     if not key:
         sys.exit(f"Put your operator key into the variable {KEY_VARIABLE}.")
-    named = routers or os.environ.get(ROUTERS_VARIABLE, "")
-    addresses = [address.strip() for address in named.split(",") if address.strip()]
+    listed = routers or os.environ.get(ROUTERS_VARIABLE, "")
+    addresses = [address.strip() for address in listed.split(",") if address.strip()]
     if not addresses:
         sys.exit(f"Give --router or --store, or put addresses into {ROUTERS_VARIABLE}.")
     return RouterClient(addresses, key)
@@ -284,14 +288,16 @@
     yes
         Ask for no confirmation.
     """
-    client = _client(router, store, users_platform=users_platform)
+    client = _make_client(router, store, users_platform=users_platform)
     console = Console()
     if not statement and file is None and sys.stdin.isatty():
-        sys.exit(_prompt(client, console, as_json=json, yes=yes))
+        sys.exit(_run_prompt(client, console, as_json=json, yes=yes))
     status = EXIT_DONE
     while True:
-        for line in _statements(list(statement), file):
-            status = _one(client, console, line, as_json=json, yes=yes) or status
+        for line in _read_statements(list(statement), file):
+            status = (
+                _run_statement(client, console, line, as_json=json, yes=yes) or status
+            )
         if not watch:
             sys.exit(status)
         time.sleep(watch)
--- a/lynxchute/operators/collections.py
+++ b/lynxchute/operators/collections.py
@@ -1,4 +1,4 @@
-"""The collections that operators can query, from the store's rows."""
+"""The collections that operators can query, built from rows of the store."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 
 
 @attrs.frozen
-class Found:
-    """Rows, and what they lack.
+class CollectionRows:
+    """Rows of a collection, and the sources that could not be read.
 
     Attributes
     ----------
     missing
-        What did not answer.
+        Names of the sources that did not answer.
     """
 
     rows: list[Row]
@@ -40,13 +40,13 @@
 
 
 @attrs.frozen
-class _Grants:
-    """How the budgets are divided.
+class _GrantSnapshot:
+    """Snapshot of how the budgets are divided among routers.
 
     Attributes
     ----------
     now_ms
-        The store's time as the rows were read, in milliseconds.
+        Time of the store when the rows were read, in milliseconds.
     """
 
     totals_by_account: dict[str, Totals]
@@ -54,7 +54,7 @@
     now_ms: int
 
     def rows(self) -> list[Row]:
-        """Return a row for each part of a budget that a router holds."""
+        """Return one row per router and account that holds part of a budget."""
         found = []
         for vm, holder in self.holders_by_vm.items():
             for account, terms in holder.terms_by_account.items():
@@ -73,34 +73,35 @@
 
 
 class Collections:
-    """Gather the rows of collections from the store.
+    """Build the rows of collections from the store.
 
     Parameters
     ----------
     platform
-        Where the rows stand and how to read them.
+        Names the store and its tables, and decodes their rows.
     evacuations
-        Reads those of evacuated data centres.
-    wants_of
-        Returns what the router that answers has heard that an upstream wants, by id.
+        Reads the rows of evacuated data centres.
+    describe_backpressure
+        Returns the backpressure that an upstream, given by id, has signalled to the
+        answering router.
     """
 
     def __init__(
         self,
         platform: Platform,
         evacuations: EvacuationRows,
-        wants_of: Callable[[str], str],
+        describe_backpressure: Callable[[str], str],
     ) -> None:
         self._platform = platform
-        self._wants_of = wants_of
+        self._describe_backpressure = describe_backpressure
         self._store = platform.store
         self._history = ConfigurationHistory(platform.store)
-        self._sources: dict[str, Callable[[], Awaitable[list[Row]]]] = {
+        self._readers_by_collection: dict[str, Callable[[], Awaitable[list[Row]]]] = {
             "accounts": self._accounts,
             "budgets": self._budgets,
             "data_centres": self._data_centres,
             "evacuations": evacuations.rows,
-            "grants": self._grants_rows,
+            "grants": self._grant_rows,
             "quarantine": QuarantineRow(platform.store).rows,
             "routes": self._routes,
             "upstreams": self._upstreams,
@@ -108,20 +109,20 @@
             "vms": self._vms,
         }
 
-    async def find(self, collection: str) -> Found:
-        """Return the rows of a collection."""
+    async def read_rows(self, collection: str) -> CollectionRows:
+        """Return the rows of a collection; list the store as missing if it fails."""
         try:
-            return Found(await self._sources[collection]())
+            return CollectionRows(await self._readers_by_collection[collection]())
         except StoreUnavailable as error:
             log_event("rows not read", collection=collection, reason=str(error))
-            return Found([], (STORE,))
+            return CollectionRows([], (STORE,))
 
     async def data_centre_names(self) -> set[str]:
-        """Return the data centres that any VM or upstream has."""
+        """Return the names of data centres that have a VM or an upstream."""
         rows = [*await self._vms(), *await self._upstreams()]
         return {row["data_centre"] for row in rows}
 
-    async def _configuration(self) -> Configuration | None:
+    async def _read_configuration(self) -> Configuration | None:
         platform = self._platform
         snapshot = await self._store.scan(platform.configuration_table)
         for row in snapshot.rows:
@@ -130,24 +131,24 @@
                 return decoded.ok if decoded.is_ok() else None
         return None
 
-    async def _grants(self) -> _Grants:
+    async def _read_grants(self) -> _GrantSnapshot:
         totals = await self._store.scan(TOTALS_TABLE)
         holders = {}
         for part in await self._holder_parts():
             for row in (await self._store.scan(HOLDERS_TABLE, part=part)).rows:
                 holders[row.id.key] = HolderRow.decode(row.value)
-        return _Grants(
+        return _GrantSnapshot(
             {row.id.key: Totals.decode(row.value) for row in totals.rows},
             holders,
             self._store.clock.earliest_ms(steady_seconds()),
         )
 
     async def _holder_parts(self) -> list[str]:
-        """Return the parts in which routers may keep their rows."""
+        """Return the table parts in which routers may store holder rows."""
         return ["", *[row["vm"] for row in await self._vms()]]
 
     async def _accounts(self) -> list[Row]:
-        configuration = await self._configuration()
+        configuration = await self._read_configuration()
         if configuration is None:
             return []
         keys = [account.name for account in configuration.accounts_by_key.values()]
@@ -163,8 +164,8 @@
         return rows
 
     async def _budgets(self) -> list[Row]:
-        configuration = await self._configuration()
-        grants = await self._grants()
+        configuration = await self._read_configuration()
+        grants = await self._read_grants()
         used: dict[str, int] = {}
         for row in grants.rows():
             account = row["account"]
@@ -186,8 +187,8 @@
             )
         return rows
 
-    async def _grants_rows(self) -> list[Row]:
-        return (await self._grants()).rows()
+    async def _grant_rows(self) -> list[Row]:
+        return (await self._read_grants()).rows()
 
     async def _vms(self) -> list[Row]:
         snapshot = await self._store.scan(TABLE)
@@ -221,7 +222,7 @@
         return list(rows.values())
 
     async def _routes(self) -> list[Row]:
-        configuration = await self._configuration()
+        configuration = await self._read_configuration()
         rows = []
         for route in configuration.routes if configuration else ():
             rows.append(
@@ -237,7 +238,7 @@
         return rows
 
     async def _upstreams(self) -> list[Row]:
-        configuration = await self._configuration()
+        configuration = await self._read_configuration()
         upstreams = list(configuration.upstreams) if configuration else []
         table = self._platform.upstream_table
         if table:
@@ -253,7 +254,7 @@
                     "service": upstream.service,
                     "data_centre": upstream.data_centre,
                     "state": "leaving" if upstream.is_leaving else "active",
-                    "wants": self._wants_of(upstream.id),
+                    "wants": self._describe_backpressure(upstream.id),
                     "address": upstream.address,
                 }
             )
--- a/lynxchute/operators/evacuation_reports.py
+++ b/lynxchute/operators/evacuation_reports.py
@@ -1,4 +1,4 @@
-"""What all routers know of an evacuated data centre."""
+"""Collect the state of an evacuation from all routers of the fleet."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 from lynxchute.upstreams.directory import Directory
 from lynxchute.upstreams.evacuations import Evacuations
 
-# Routers asked at once: an answer takes a few ms, so that a fleet of 340 is asked
-# within a tenth of a second.
-ASKED_AT_ONCE = 32
+# Concurrent queries to other routers. A reply takes a few ms, so a fleet of 340
+# routers is queried within a tenth of a second.
+MAX_CONCURRENT_QUERIES = 32
 
 
 class EvacuationReports:
-    """Answer what this router knows, and gather what all know.
+    """Report this router's view of an evacuation, and collect that of all routers.
 
     Parameters
     ----------
     evacuations, directory
-        What this router knows.
+        The evacuated data centres and the upstreams, as this router knows them.
     members, peers
-        The other routers.
+        The routers of the fleet, and the client that queries them.
     clock
-        Seconds on the steady clock.
+        Returns seconds on the steady clock.
     """
 
     def __init__(
@@ -47,47 +47,51 @@
         self._clock = clock
 
     def serve(self, server: PeerServer) -> None:
-        """Answer other routers."""
-        server.handlers_by_class[EvacuationRequest] = self._serve
+        """Register the handler of evacuation queries from other routers."""
+        server.handlers_by_class[EvacuationRequest] = self._handle_request
 
     async def gather(self, data_centre: str) -> EvacuationState:
-        """Return what all routers tell of a data centre."""
-        gate = asyncio.Semaphore(ASKED_AT_ONCE)
+        """Query all routers, and return the combined state of an evacuation."""
+        semaphore = asyncio.Semaphore(MAX_CONCURRENT_QUERIES)
         vms = sorted(self._members.by_vm)
         replies = await asyncio.gather(
-            *(self._ask(vm, data_centre, gate) for vm in vms)
+            *(self._query(vm, data_centre, semaphore) for vm in vms)
         )
-        heard: list[str] = []
-        not_heard: list[str] = []
-        silent: list[str] = []
+        applied_by: list[str] = []
+        not_applied_by: list[str] = []
+        unresponsive: list[str] = []
         open_requests, cold_seconds = 0, 0.0
         for vm, reply in zip(vms, replies, strict=True):
             if reply is None:
-                silent.append(vm)
+                unresponsive.append(vm)
                 continue
-            (heard if reply.has_heard else not_heard).append(vm)
+            (applied_by if reply.has_heard else not_applied_by).append(vm)
             open_requests += reply.open_requests
             cold_seconds = max(cold_seconds, reply.cold_seconds)
         return EvacuationState(
-            tuple(heard), tuple(not_heard), open_requests, cold_seconds, tuple(silent)
+            tuple(applied_by),
+            tuple(not_applied_by),
+            open_requests,
+            cold_seconds,
+            tuple(unresponsive),
         )
 
-    async def _ask(
-        self, vm: str, data_centre: str, gate: asyncio.Semaphore
+    async def _query(
+        self, vm: str, data_centre: str, semaphore: asyncio.Semaphore
     ) -> EvacuationReply | None:
         if vm == self._members.own.vm:
-            return self._reply(data_centre)
-        async with gate:
+            return self._own_reply(data_centre)
+        async with semaphore:
             try:
                 return await self._peers.ask(vm, EvacuationRequest(data_centre))
             except PeerUnreachable as error:
                 log_event("evacuation not told", peer=vm, reason=str(error))
                 return None
 
-    async def _serve(self, request: EvacuationRequest) -> EvacuationReply:
-        return self._reply(request.data_centre)
+    async def _handle_request(self, request: EvacuationRequest) -> EvacuationReply:
+        return self._own_reply(request.data_centre)
 
-    def _reply(self, data_centre: str) -> EvacuationReply:
+    def _own_reply(self, data_centre: str) -> EvacuationReply:
         open_requests, cold_until, now = 0, 0.0, self._clock()
         for entry in self._directory.entries_by_id.values():
             if entry.upstream.data_centre != data_centre:
--- a/lynxchute/operators/evacuation_rows.py
+++ b/lynxchute/operators/evacuation_rows.py
@@ -1,4 +1,4 @@
-"""The orders to evacuate data centres, as operators give them and see them."""
+"""Evacuations of data centres: their rows in the store, written and listed."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from lynxchute.clock import steady_seconds
 from lynxchute.edge.platform import Platform
-from lynxchute.operators.query import nearest
+from lynxchute.operators.query import suggest_name
 from lynxchute.store import (
     OutcomeUnknown,
     Put,
@@ -23,134 +23,141 @@
 )
 from lynxchute.store.row_value import RowValue, RowValueError
 
-OUT_OF_REACH = "The store is out of reach. Try again."
+STORE_UNREACHABLE = "The store is out of reach. Try again."
 UNKNOWN_OUTCOME = "It may have been done. `show evacuations` tells; it can be repeated."
-NOT_WRITTEN_HERE = "The store takes no such orders from here; write its row instead."
-SINCE, OPERATOR = "since_ms", "operator"
+NOT_WRITABLE = "The store takes no such orders from here; write its row instead."
+SINCE_KEY, OPERATOR_KEY = "since_ms", "operator"
 
 
 @attrs.frozen
 class EvacuationState:
-    """What the routers tell of one evacuated data centre.
+    """State of one data centre's evacuation, collected from the routers.
 
     Attributes
     ----------
     heard_by, not_heard_by
-        The VMs whose routers send nothing there, and those that still may.
+        VMs whose routers have applied the evacuation and send nothing new there, and
+        those whose routers have not.
     open_requests
-        Requests that still run there.
+        Requests still running in the data centre.
     cold_seconds
-        How long the last of its upstreams stays cold, as far as is known.
-    silent
-        The VMs that did not answer.
+        Seconds until the last of its upstreams has warmed up, as far as the routers
+        know.
+    unresponsive
+        VMs whose routers did not answer.
     """
 
     heard_by: tuple[str, ...] = ()
     not_heard_by: tuple[str, ...] = ()
     open_requests: int = 0
     cold_seconds: float = 0.0
-    silent: tuple[str, ...] = ()
+    unresponsive: tuple[str, ...] = ()
 
 
-AskRouters = Callable[[str], Awaitable[EvacuationState]]
+QueryRouters = Callable[[str], Awaitable[EvacuationState]]
 
 
 class EvacuationRows:
-    """Write a row for each evacuated data centre, and read them.
+    """Write and read the store's rows of evacuated data centres.
 
     Parameters
     ----------
     platform
-        Where they stand.
-    ask_routers
-        Asks all routers of a data centre; None where they cannot be asked.
+        Names the store, the table and the key prefix of the rows.
+    query_routers
+        Queries all routers for the state of an evacuation; None if there is no access
+        to them.
     """
 
     def __init__(
-        self, platform: Platform, ask_routers: AskRouters | None = None
+        self, platform: Platform, query_routers: QueryRouters | None = None
     ) -> None:
         self._platform = platform
         self._store = platform.store
-        self._ask_routers = ask_routers
+        self._query_routers = query_routers
 
     async def rows(self) -> list[dict[str, Any]]:
         """Return a row for each evacuated data centre.
 
-        Columns that only routers know are None where they cannot be asked.
+        Columns that only routers can fill are None if they cannot be queried.
         """
         now_ms = self._store.clock.earliest_ms(steady_seconds())
         found = []
-        for row in await self._standing():
-            name = self._name(row)
+        for row in await self._read_rows():
+            name = self._data_centre_name(row)
             since_ms = _since_ms(row)
             age = None if since_ms is None else max(now_ms - since_ms, 0) / 1000.0
-            shown: dict[str, Any] = {
+            columns: dict[str, Any] = {
                 "data_centre": name,
                 "since_s": None if age is None else round(age, 1),
             }
-            shown.update(await self._state(name))
-            found.append(shown)
+            columns.update(await self._router_columns(name))
+            found.append(columns)
         return found
 
-    async def order(
-        self, name: str, *, known: set[str], operator: str, is_certain: bool
+    async def evacuate(
+        self, name: str, *, known: set[str], operator: str, is_forced: bool
     ) -> Result[str, str]:
-        """Have nothing more sent to a data centre; return what was done, or why not.
+        """Evacuate a data centre; return a confirmation or the reason for failure.
 
         Parameters
         ----------
         known
-            The data centres that any VM or upstream has.
-        is_certain
-            Whether the last one may go as well.
+            Names of the data centres that have a VM or an upstream.
+        is_forced
+            Whether to evacuate it even if it is the last data centre in use.
         """
         if name not in known:
-            return Error(f"No data centre is called {name!r}. {nearest(name, known)}")
-        return await _or_why_not(self._order(name, known, operator, is_certain))
+            return Error(
+                f"No data centre is called {name!r}. {suggest_name(name, known)}"
+            )
+        return await _with_store_errors(
+            self._write_evacuation(name, known, operator, is_forced)
+        )
 
-    async def take_back(self, name: str) -> Result[str, str]:
-        """Use a data centre again; return what was done, or why not."""
-        return await _or_why_not(self._take_back(name))
+    async def revoke(self, name: str) -> Result[str, str]:
+        """Revoke an evacuation; return a confirmation or the reason for failure."""
+        return await _with_store_errors(self._delete_evacuation(name))
 
-    async def _order(
-        self, name: str, known: set[str], operator: str, is_certain: bool
+    async def _write_evacuation(
+        self, name: str, known: set[str], operator: str, is_forced: bool
     ) -> Result[str, str]:
-        standing = {self._name(row) for row in await self._standing()}
-        if not is_certain and not known - standing - {name}:
+        evacuated = {self._data_centre_name(row) for row in await self._read_rows()}
+        if not is_forced and not known - evacuated - {name}:
             return Error(
                 "Nothing would be served: all other data centres are evacuated. "
                 f"Say `evacuate data centre {name} anyway`."
             )
         now_ms = self._store.clock.earliest_ms(steady_seconds())
-        value = json.dumps({SINCE: now_ms, OPERATOR: operator}).encode()
-        if name not in standing:
+        value = json.dumps({SINCE_KEY: now_ms, OPERATOR_KEY: operator}).encode()
+        if name not in evacuated:
             await self._store.write(Write(puts=(Put(self._row_id(name), value),)))
         return Ok(f"Nothing new is sent to {name}; what runs there goes on to its end.")
 
-    async def _take_back(self, name: str) -> Result[str, str]:
-        standing = {self._name(row) for row in await self._standing()}
-        if name not in standing:
-            return Error(f"{name!r} is not evacuated. {nearest(name, standing)}")
+    async def _delete_evacuation(self, name: str) -> Result[str, str]:
+        evacuated = {self._data_centre_name(row) for row in await self._read_rows()}
+        if name not in evacuated:
+            return Error(f"{name!r} is not evacuated. {suggest_name(name, evacuated)}")
         await self._store.write(Write(deletes=(self._row_id(name),)))
         return Ok(f"{name} is used again, by what its upstreams bear.")
 
-    async def _state(self, name: str) -> dict[str, Any]:
-        if self._ask_routers is None:
+    async def _router_columns(self, name: str) -> dict[str, Any]:
+        if self._query_routers is None:
             return dict.fromkeys(STATE_COLUMNS)
-        state = await self._ask_routers(name)
+        state = await self._query_routers(name)
         return {
             "heard_by": len(state.heard_by),
-            "not_heard_by": ", ".join((*state.not_heard_by, *state.silent)),
+            "not_heard_by": ", ".join((*state.not_heard_by, *state.unresponsive)),
             "open_requests": state.open_requests,
             "cold_s": round(state.cold_seconds, 1),
         }
 
-    async def _standing(self) -> list[Row]:
+    async def _read_rows(self) -> list[Row]:
         snapshot = await self._store.scan(self._platform.configuration_table)
         prefix = self._platform.evacuation_prefix
         return [row for row in snapshot.rows if row.id.key.startswith(prefix)]
 
-    def _name(self, row: Row) -> str:
+    def _data_centre_name(self, row: Row) -> str:
         return row.id.key.removeprefix(self._platform.evacuation_prefix)
 
     def _row_id(self, name: str) -> RowId:
@@ -162,22 +169,22 @@
 COLUMNS = ("data_centre", "since_s", *STATE_COLUMNS)
 
 
-async def _or_why_not(work: Awaitable[Result[str, str]]) -> Result[str, str]:
-    """Return what was done, or what the store has said against it."""
+async def _with_store_errors(write: Awaitable[Result[str, str]]) -> Result[str, str]:
+    """Await a write, and turn errors of the store into messages for operators."""
     try:
-        return await work
+        return await write
     except StoreRefused:
-        return Error(NOT_WRITTEN_HERE)
+        return Error(NOT_WRITABLE)
     except StoreUnavailable:
-        return Error(OUT_OF_REACH)
+        return Error(STORE_UNREACHABLE)
     except OutcomeUnknown:
         return Error(UNKNOWN_OUTCOME)
 
 
 def _since_ms(row: Row) -> int | None:
-    """Return when an order was given, where its row says so."""
+    """Return the time of the evacuation, or None if its row does not state it."""
     try:
-        since_ms: int | None = RowValue.decode(row.value).count(SINCE, default=None)
+        since_ms: int | None = RowValue.decode(row.value).count(SINCE_KEY, default=None)
     except RowValueError:
         return None
     return since_ms
--- a/lynxchute/operators/history.py
+++ b/lynxchute/operators/history.py
@@ -1,4 +1,4 @@
-"""Make versions of the configuration, one after the other."""
+"""Versioned history of the fleet's configuration in the store."""
 
 from __future__ import annotations
 
@@ -26,31 +26,31 @@
 from lynxchute.store.rows import ABSENT
 from lynxchute.telemetry import log_event
 
-# The version in force, which all routers follow.
+# Row of the current version, which all routers apply.
 CURRENT_TABLE = "configuration"
 CURRENT_KEY = "current"
-# Every version, by number.
+# One row per version, keyed by its number.
 VERSIONS_TABLE = "configuration-versions"
 VERSION_DIGITS = 9
-# What was asked for, by the id of the operation.
+# Completed operations, keyed by id, so that a retry is idempotent.
 OPERATIONS_TABLE = "operations"
 FIRST_VERSION = 1
-# Each conflict means that somebody else's change was made.
-TRIES = 8
+# Attempts per change. Each conflict means that another change was committed.
+MAX_ATTEMPTS = 8
 
 Change = Callable[[FleetDocument], Result[FleetDocument, str]]
 
 
 @attrs.frozen
-class Order:
-    """What an operator asks for.
+class ChangeRequest:
+    """A change of the configuration requested by an operator.
 
     Attributes
     ----------
     operation
-        Its id; the same one is done once.
+        Idempotency key: requests with the same id are applied once.
     text
-        The order in the operators' language.
+        The statement in the operators' language.
     """
 
     operation: str
@@ -60,31 +60,31 @@
 
 @attrs.frozen
 class Accepted:
-    """A change that became a version.
+    """A change that was committed as a new version.
 
     Attributes
     ----------
     version
-        Its number.
+        Number of that version.
     is_repeated
-        Whether it had been made before, under the same id.
-    before
-        Operations of others that came while it was being made.
+        Whether an earlier request with the same id had made the change already.
+    preceding_operations
+        Ids of other changes that were committed first, while this one was retried.
     """
 
     version: int
     is_repeated: bool = False
-    before: tuple[str, ...] = ()
+    preceding_operations: tuple[str, ...] = ()
 
 
 @attrs.frozen
 class Refused:
-    """A change that was not made, or of which nobody knows.
+    """A change that was rejected, or whose outcome is unknown.
 
     Attributes
     ----------
     is_unknown
-        Whether it may have been made.
+        Whether the change may have been committed.
     """
 
     reason: str
@@ -92,27 +92,27 @@
 
 
 @attrs.frozen
-class KnownOperation:
-    """An operation that was done, and the version that it made."""
+class CompletedOperation:
+    """A completed operation and the number of the version it created."""
 
     version: int
     text: str
 
-    def outcome_of(self, order: Order) -> Result[Accepted, Refused]:
-        """Return what an order with the same id comes to."""
-        if order.text == self.text:
+    def result_for(self, request: ChangeRequest) -> Result[Accepted, Refused]:
+        """Return the result for a repeated request with the same id."""
+        if request.text == self.text:
             return Ok(Accepted(self.version, is_repeated=True))
         reason = f"The id names another order: {self.text}. Use a new id."
         return Error(Refused(reason))
 
     def encode(self) -> bytes:
-        """Return the value of its row."""
+        """Return the operation serialised for its row in the store."""
         return json.dumps(attrs.asdict(self)).encode()
 
 
 @attrs.frozen
-class Standing:
-    """The version in force and the row that it stands in."""
+class CurrentVersion:
+    """The current version and the row version used for compare-and-set."""
 
     version: Version
     row_version: int
@@ -121,26 +121,26 @@
 class ConfigurationHistory:
     """Read and extend the versions of the configuration.
 
-    A change, its operation and the new version are one write: whatever is
-    repeated or lost, an operation is done once, and two operators in conflict
-    come one after the other.
+    The current version, the history row and the operation id are written in one
+    conditional write. Retries and lost replies therefore apply an operation at
+    most once, and conflicting changes of two operators are serialised.
 
     Parameters
     ----------
     store
-        Where the versions stand.
+        Holds the versions and the operations.
     """
 
     def __init__(self, store: Store) -> None:
         self._store = store
 
     async def begin(self, document: FleetDocument) -> bool:
-        """Write the first version where there is none; return whether one stands.
+        """Write the first version if the store has none, and return True.
 
         Raises
         ------
         StoreUnavailable, OutcomeUnknown
-            Where the store does not say.
+            If the store cannot be reached, or its reply is lost.
         """
         first = Version(FIRST_VERSION, document)
         write = Write(
@@ -155,10 +155,12 @@
             log_event("first configuration written", version=FIRST_VERSION)
         return True
 
-    async def change(self, change: Change, order: Order) -> Result[Accepted, Refused]:
-        """Make a change on top of whatever is in force."""
+    async def change(
+        self, change: Change, request: ChangeRequest
+    ) -> Result[Accepted, Refused]:
+        """Apply a change to the current version, retrying on conflicts."""
         try:
-            return await self._change(change, order)
+            return await self._change(change, request)
         except StoreUnavailable:
             return Error(Refused("The store is out of reach; nothing was changed."))
         except OutcomeUnknown:
@@ -167,61 +169,69 @@
         except StoreRefused as error:
             return Error(Refused(f"The store does not take it: {error}."))
 
-    async def _change(self, change: Change, order: Order) -> Result[Accepted, Refused]:
-        before: list[str] = []
-        operation_id = _operation_id(order.operation)
-        known = await self._find(operation_id)
-        standing = await self._standing()
-        for _ in range(TRIES):
-            if known is not None:
-                return known.outcome_of(order)
-            if standing is None:
+    async def _change(
+        self, change: Change, request: ChangeRequest
+    ) -> Result[Accepted, Refused]:
+        preceding_operations: list[str] = []
+        operation_id = _operation_id(request.operation)
+        completed = await self._read_operation(operation_id)
+        current = await self._read_current()
+        for _ in range(MAX_ATTEMPTS):
+            if completed is not None:
+                return completed.result_for(request)
+            if current is None:
                 return Error(Refused("The fleet has no configuration yet."))
-            changed = change(standing.version.document)
+            changed = change(current.version.document)
             if changed.is_error():
                 return Error(Refused(changed.error))
-            number = standing.version.number + 1
-            version = Version(number, changed.ok, order.operation, order.operator)
-            outcome = await self._write(standing, version, order)
+            number = current.version.number + 1
+            version = Version(number, changed.ok, request.operation, request.operator)
+            outcome = await self._write_version(current, version, request)
             if isinstance(outcome, Committed):
-                return Ok(Accepted(number, before=tuple(before)))
-            known = _known(outcome.rows_by_id.get(operation_id))
-            standing = _standing_of(outcome.rows_by_id.get(_current_id()))
-            if standing is not None:
-                before.append(standing.version.operation or "the first version")
+                return Ok(
+                    Accepted(number, preceding_operations=tuple(preceding_operations))
+                )
+            completed = _decode_operation(outcome.rows_by_id.get(operation_id))
+            current = _decode_current(outcome.rows_by_id.get(_current_id()))
+            if current is not None:
+                preceding_operations.append(
+                    current.version.operation or "the first version"
+                )
         return Error(Refused("Others change the configuration all the time."))
 
-    async def _find(self, operation_id: RowId) -> KnownOperation | None:
-        """Return an operation that was done before; None where there is none."""
+    async def _read_operation(self, operation_id: RowId) -> CompletedOperation | None:
+        """Return the completed operation with this id; None if there is none."""
         snapshot = await self._store.scan(OPERATIONS_TABLE)
         for row in snapshot.rows:
             if row.id == operation_id:
-                return _known(row)
+                return _decode_operation(row)
         return None
 
     async def versions(self) -> Snapshot:
-        """Return the rows of all versions."""
+        """Return a snapshot of the rows of all versions."""
         return await self._store.scan(VERSIONS_TABLE)
 
-    async def _standing(self) -> Standing | None:
+    async def _read_current(self) -> CurrentVersion | None:
         snapshot = await self._store.scan(CURRENT_TABLE)
         for row in snapshot.rows:
             if row.id.key == CURRENT_KEY:
-                return _standing_of(row)
+                return _decode_current(row)
         return None
 
-    async def _write(
-        self, standing: Standing, version: Version, order: Order
+    async def _write_version(
+        self, current: CurrentVersion, version: Version, request: ChangeRequest
     ) -> Outcome:
         operation_id = _operation_id(version.operation)
         expected = (
-            Expected(_current_id(), standing.row_version),
+            Expected(_current_id(), current.row_version),
             Expected(operation_id, ABSENT),
         )
         puts = (
             Put(_current_id(), version.encode()),
             Put(_version_id(version.number), version.encode()),
-            Put(operation_id, KnownOperation(version.number, order.text).encode()),
+            Put(
+                operation_id, CompletedOperation(version.number, request.text).encode()
+            ),
         )
         return await self._store.write(Write(expected, puts))
 
@@ -238,14 +248,14 @@
     return RowId(OPERATIONS_TABLE, operation)
 
 
-def _known(row: Row | None) -> KnownOperation | None:
-    return KnownOperation(**json.loads(row.value)) if row is not None else None
+def _decode_operation(row: Row | None) -> CompletedOperation | None:
+    return CompletedOperation(**json.loads(row.value)) if row is not None else None
 
 
-def _standing_of(row: Row | None) -> Standing | None:
+def _decode_current(row: Row | None) -> CurrentVersion | None:
     if row is None:
         return None
     decoded = Version.decode(row.value)
     if decoded.is_error():
         raise StoreRefused(decoded.error)
-    return Standing(decoded.ok, row.version)
+    return CurrentVersion(decoded.ok, row.version)
--- a/lynxchute/operators/language.py
+++ b/lynxchute/operators/language.py
@@ -1,4 +1,4 @@
-"""Parse and print the operators' language."""
+"""Parser and printer for the operators' language."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
     DropAccount,
     Evacuate,
     Release,
+    RevokeEvacuation,
     SetDraining,
     SetService,
     SetWeight,
     Show,
     Statement,
-    TakeBack,
     TopUpStatement,
     Value,
 )
@@ -40,16 +40,16 @@
 
 @attrs.frozen
 class Mistake:
-    """What is wrong with a statement.
+    """A syntax error in a statement.
 
     Attributes
     ----------
     column
-        Where it stands, from 1.
+        Position of the error, counted from 1.
     expected
-        What could stand there.
+        Keywords and token types that are valid at that position.
     nearest
-        The nearest right word; empty where none is near.
+        The valid word closest to the one found; empty if none is similar.
     """
 
     column: int
@@ -79,7 +79,7 @@
 
 
 def parse(text: str) -> Result[Statement, tuple[Mistake, ...]]:
-    """Return the statement that a text says, or what is wrong with it.
+    """Parse a statement; return it, or the syntax errors found.
 
     Examples
     --------
@@ -95,11 +95,11 @@
     try:
         tree = _parser().parse(text)
     except lark.UnexpectedInput as error:
-        return Error((_mistake(error, text),))
-    return Ok(_Builder().transform(tree))
+        return Error((_mistake_from(error, text),))
+    return Ok(_StatementBuilder().transform(tree))
 
 
-def _mistake(error: lark.UnexpectedInput, text: str) -> Mistake:
+def _mistake_from(error: lark.UnexpectedInput, text: str) -> Mistake:
     if isinstance(error, lark.UnexpectedToken):
         names = error.accepts or error.expected
         word = str(error.token)
@@ -109,20 +109,20 @@
         start = error.pos_in_stream or 0
         word = text[start:].split(maxsplit=1)[0] if text[start:].split() else ""
         column = start + 1
-    expected = tuple(sorted(_readable(name) for name in names))
+    expected = tuple(sorted(_terminal_label(name) for name in names))
     problem = f"{word!r} cannot stand here." if word else "The statement ends early."
-    near = difflib.get_close_matches(word.lower(), expected, n=1)
-    return Mistake(column, problem, expected, near[0] if near else "")
+    matches = difflib.get_close_matches(word.lower(), expected, n=1)
+    return Mistake(column, problem, expected, matches[0] if matches else "")
 
 
-def _readable(terminal: str) -> str:
+def _terminal_label(terminal: str) -> str:
     if terminal == "$END":
         return "the end"
     return terminal.lower()
 
 
-class _Builder(lark.Transformer[Any, Statement]):
-    """Turn a parse tree into a statement."""
+class _StatementBuilder(lark.Transformer[Any, Statement]):
+    """Convert a parse tree into a statement; each method handles a grammar rule."""
 
     def number(self, items: list[Any]) -> int:
         return int(items[0])
@@ -185,31 +185,31 @@
     def evacuate(self, items: list[Any]) -> Evacuate:
         return Evacuate(str(items[0]), items[1] is not None)
 
-    def take_back(self, items: list[Any]) -> TakeBack:
-        return TakeBack(str(items[0]))
+    def take_back(self, items: list[Any]) -> RevokeEvacuation:
+        return RevokeEvacuation(str(items[0]))
 
     def compare(self, items: list[Any]) -> Compare:
         return Compare(int(items[0]), int(items[1]))
 
 
 def to_text(statement: Statement) -> str:
-    """Return a statement as text that parses back to it."""
+    """Format a statement as text that parses back to the same statement."""
     match statement:
         case Show():
             return _show_text(statement)
         case Compare(first, second):
             return f"compare version {first} with {second}"
-        case Evacuate() | TakeBack():
+        case Evacuate() | RevokeEvacuation():
             return _evacuation_text(statement)
         case Release(content):
             return f"release request {content}"
         case _:
-            text = _change_text(statement)
+            text = _configuration_text(statement)
     return f"{text} as {statement.operation}" if statement.operation else text
 
 
-def _change_text(statement: Command) -> str:
-    """Return an order that changes the configuration, without its id."""
+def _configuration_text(statement: Command) -> str:
+    """Format a statement that changes the configuration, without operation id."""
     match statement:
         case TopUpStatement(account, tokens):
             return f"top up {account} by {tokens}"
@@ -225,10 +225,10 @@
             return f"set upstream {upstream} service {service}"
 
 
-def _evacuation_text(statement: Evacuate | TakeBack) -> str:
-    if isinstance(statement, TakeBack):
+def _evacuation_text(statement: Evacuate | RevokeEvacuation) -> str:
+    if isinstance(statement, RevokeEvacuation):
         return f"take back data centre {statement.data_centre}"
-    word = " anyway" if statement.is_certain else ""
+    word = " anyway" if statement.is_forced else ""
     return f"evacuate data centre {statement.data_centre}{word}"
 
 
--- a/lynxchute/operators/quarantine_row.py
+++ b/lynxchute/operators/quarantine_row.py
@@ -1,4 +1,4 @@
-"""The row that names requests in quarantine, as operators see and change it."""
+"""List and release quarantined requests in the store."""
 
 from __future__ import annotations
 
@@ -22,25 +22,26 @@
 )
 from lynxchute.store.rows import ABSENT
 
-# A judge may write the row between the reading and the writing here.
-TRIES = 5
-OUT_OF_REACH = "The store is out of reach. Try again."
+# Attempts per release. The containment judge of a router may update the row between
+# the read and the conditional write.
+MAX_ATTEMPTS = 5
+STORE_UNREACHABLE = "The store is out of reach. Try again."
 
 
 class QuarantineRow:
-    """Read the row of the store, and take requests out of it.
+    """Read the row of quarantined requests, and remove requests from it.
 
     Parameters
     ----------
     store
-        Where it stands.
+        Holds the row.
     """
 
     def __init__(self, store: Store) -> None:
         self._store = store
 
     async def rows(self) -> list[dict[str, Any]]:
-        """Return a row for each request in quarantine."""
+        """Return one result row per quarantined request."""
         record, _ = await self._read()
         now_ms = self._store.clock.earliest_ms(steady_seconds())
         rows = []
@@ -52,27 +53,29 @@
         return rows
 
     async def release(self, content: str) -> Result[str, str]:
-        """Have a request sent to upstreams again; return what was done, or why not.
+        """Release a request; return a confirmation or the reason for failure.
 
-        Where it is not in quarantine there is nothing to do.
+        Releasing a request that is not in quarantine succeeds without a write.
         """
         try:
-            for _ in range(TRIES):
+            for _ in range(MAX_ATTEMPTS):
                 record, version = await self._read()
-                without = _without(record, content)
-                if without == record:
+                remaining = _remove_content(record, content)
+                if remaining == record:
                     return Ok(f"No request {content!r} is in quarantine.")
                 expected = Expected(QUARANTINE_ROW_ID, version)
-                write = Write((expected,), (Put(QUARANTINE_ROW_ID, without.encode()),))
+                write = Write(
+                    (expected,), (Put(QUARANTINE_ROW_ID, remaining.encode()),)
+                )
                 if isinstance(await self._store.write(write), Committed):
                     return Ok("It is sent to upstreams again.")
         except (StoreUnavailable, OutcomeUnknown):
-            return Error(OUT_OF_REACH)
+            return Error(STORE_UNREACHABLE)
         return Error("The row changes all the time. Try again.")
 
     async def _read(self) -> tuple[QuarantineRecord, int]:
         snapshot = await self._store.scan(QUARANTINE_ROW_ID.table)
-        row = _row_of(snapshot.rows)
+        row = _find_row(snapshot.rows)
         if row is None:
             return QuarantineRecord(), ABSENT
         return QuarantineRecord.decode(row.value).default_value(
@@ -80,14 +83,14 @@
         ), row.version
 
 
-def _row_of(rows: tuple[Row, ...]) -> Row | None:
+def _find_row(rows: tuple[Row, ...]) -> Row | None:
     for row in rows:
         if row.id.key == QUARANTINE_ROW_ID.key:
             return row
     return None
 
 
-def _without(record: QuarantineRecord, content: str) -> QuarantineRecord:
+def _remove_content(record: QuarantineRecord, content: str) -> QuarantineRecord:
     return attrs.evolve(
         record,
         quarantined=tuple(q for q in record.quarantined if q.content != content),
--- a/lynxchute/operators/query.py
+++ b/lynxchute/operators/query.py
@@ -1,4 +1,4 @@
-"""Filter, sum and sort rows."""
+"""Filter, group and sort the rows of a collection."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 COUNT = "count"
 
-_COMPARE: dict[str, Callable[[Any, Any], Any]] = {
+_COMPARATORS: dict[str, Callable[[Any, Any], Any]] = {
     "=": operator.eq,
     "!=": operator.ne,
     "<": operator.lt,
@@ -29,30 +29,30 @@
 def run_query(
     show: Show, columns: tuple[str, ...], rows: Iterable[Row]
 ) -> Result[list[Row], tuple[str, ...]]:
-    """Return the rows that a query asks for, or all its mistakes.
+    """Return the rows selected by a query, or all errors found in it.
 
     Parameters
     ----------
     columns
-        The collection's columns.
+        Names of the columns that the collection has.
     """
-    mistakes = _check(show, columns)
+    mistakes = _find_mistakes(show, columns)
     if mistakes:
         return Error(tuple(mistakes))
-    found = [row for row in rows if _fits(row, show.where)]
+    selected = [row for row in rows if _matches_all(row, show.where)]
     if show.group:
-        found = _sum(found, show.group)
+        selected = _group_rows(selected, show.group)
     if show.order:
-        found.sort(key=lambda row: _sortable(row.get(show.order)))
+        selected.sort(key=lambda row: _sort_key(row.get(show.order)))
         if show.descending:
-            found.reverse()
+            selected.reverse()
     if show.limit is not None:
-        found = found[: show.limit]
-    return Ok(found)
+        selected = selected[: show.limit]
+    return Ok(selected)
 
 
-def nearest(word: str, known: Iterable[str]) -> str:
-    """Return advice on a word that is not known."""
+def suggest_name(word: str, known: Iterable[str]) -> str:
+    """Return a hint for an unknown name: the closest match, or all known names."""
     names = sorted(known)
     close = difflib.get_close_matches(word, names, n=1)
     if close:
@@ -60,35 +60,35 @@
     return f"Known: {', '.join(names)}."
 
 
-def _check(show: Show, columns: tuple[str, ...]) -> list[str]:
+def _find_mistakes(show: Show, columns: tuple[str, ...]) -> list[str]:
     mistakes = []
-    grouped = (*columns, COUNT) if show.group else columns
-    places = [
+    sortable = (*columns, COUNT) if show.group else columns
+    references = [
         *((condition.column, columns) for condition in show.where),
         *((name, columns) for name in show.group),
     ]
     if show.order:
-        places.append((show.order, grouped))
-    for name, known in places:
+        references.append((show.order, sortable))
+    for name, known in references:
         if name not in known:
-            advice = nearest(name, known)
+            advice = suggest_name(name, known)
             mistakes.append(f"{show.collection} has no column {name!r}. {advice}")
     return mistakes
 
 
-def _fits(row: Row, conditions: tuple[Condition, ...]) -> bool:
+def _matches_all(row: Row, conditions: tuple[Condition, ...]) -> bool:
     for condition in conditions:
         left = row.get(condition.column)
         try:
-            if not _COMPARE[condition.comparison](left, condition.value):
+            if not _COMPARATORS[condition.comparison](left, condition.value):
                 return False
         except TypeError:
             return False
     return True
 
 
-def _sum(rows: list[Row], group: tuple[str, ...]) -> list[Row]:
-    """Return one row a group, with the sums of its number columns."""
+def _group_rows(rows: list[Row], group: tuple[str, ...]) -> list[Row]:
+    """Return one row per group, with row count and sums of integer columns."""
     sums: dict[tuple[Any, ...], Row] = {}
     for row in rows:
         key = tuple(row.get(name) for name in group)
@@ -101,8 +101,8 @@
     return list(sums.values())
 
 
-def _sortable(value: Any) -> tuple[bool, bool, Any]:
-    """Order mixed values: none first, then numbers, then texts."""
+def _sort_key(value: Any) -> tuple[bool, bool, Any]:
+    """Return a sort key for mixed values: None, then numbers, then strings."""
     if value is None:
         return (False, False, 0)
     if isinstance(value, int | float):
--- a/lynxchute/operators/runner.py
+++ b/lynxchute/operators/runner.py
@@ -1,4 +1,4 @@
-"""Run the statements of operators on the store's rows."""
+"""Execute operators' statements against the store."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 from lynxchute.edge.platform import Platform
 from lynxchute.operators.changes import change_for, differences
 from lynxchute.operators.collections import COLUMNS_BY_COLLECTION, STORE, Collections
-from lynxchute.operators.evacuation_rows import AskRouters, EvacuationRows
-from lynxchute.operators.history import ConfigurationHistory, Order
+from lynxchute.operators.evacuation_rows import EvacuationRows, QueryRouters
+from lynxchute.operators.history import ChangeRequest, ConfigurationHistory
 from lynxchute.operators.language import parse, to_text
 from lynxchute.operators.quarantine_row import QuarantineRow
-from lynxchute.operators.query import nearest, run_query
+from lynxchute.operators.query import run_query, suggest_name
 from lynxchute.operators.statements import (
     Command,
     Compare,
     Evacuate,
     Release,
+    RevokeEvacuation,
     SetDraining,
     Show,
     Statement,
-    TakeBack,
     TopUpStatement,
 )
 from lynxchute.store import StoreUnavailable
 
 RANK_BY_ROLE = {Role.READ: 0, Role.OPERATE: 1, Role.CONFIGURE: 2}
-OPERATION_BYTES = 8
+OPERATION_ID_BYTES = 8
 
 DONE = "done"
 NOT_DONE = "not_done"
@@ -45,16 +45,16 @@
 
 @attrs.frozen
 class Answer:
-    """What an operator is told.
+    """Answer to a statement, as returned to the operator.
 
     Attributes
     ----------
     state
         ``rows``, ``mistakes``, ``done``, ``unknown`` or ``not_done``.
     missing
-        What the rows lack.
+        Names of the sources that could not be read, so that the rows are incomplete.
     taken_at
-        When the rows were gathered, in seconds since 1970.
+        Time at which the rows were read, in Unix seconds.
     """
 
     state: str
@@ -66,58 +66,59 @@
     taken_at: float = attrs.Factory(time.time)
 
     def to_json(self) -> dict[str, Any]:
-        """Return the answer as JSON values."""
+        """Return the answer as a JSON-serialisable dictionary."""
         return {**attrs.asdict(self), "complete": not self.missing}
 
 
-def _nothing_heard(upstream_id: str) -> str:
+def _no_backpressure(upstream_id: str) -> str:
     return ""
 
 
 class StatementRunner:
-    """Run statements for an operator.
+    """Parse, authorise and execute statements.
 
     Parameters
     ----------
     platform
-        Where the rows stand.
-    ask_routers
-        Asks all routers of an evacuated data centre; None where none can be asked.
-    wants_of
-        Returns what the router that answers has heard that an upstream wants, by id;
-        None where no router answers.
+        Names the store and its tables.
+    query_routers
+        Queries all routers for the state of an evacuation; None if there is no access
+        to them.
+    describe_backpressure
+        Returns the backpressure that an upstream, given by id, has signalled to the
+        answering router; None if the statement runs outside a router.
     """
 
     def __init__(
         self,
         platform: Platform,
-        ask_routers: AskRouters | None = None,
-        wants_of: Callable[[str], str] | None = None,
+        query_routers: QueryRouters | None = None,
+        describe_backpressure: Callable[[str], str] | None = None,
     ) -> None:
-        self._evacuations = EvacuationRows(platform, ask_routers)
+        self._evacuations = EvacuationRows(platform, query_routers)
         self._collections = Collections(
-            platform, self._evacuations, wants_of or _nothing_heard
+            platform, self._evacuations, describe_backpressure or _no_backpressure
         )
         self._history = ConfigurationHistory(platform.store)
         self._quarantine = QuarantineRow(platform.store)
 
     async def run(self, text: str, *, operator: str, role: Role) -> Answer:
-        """Return the answer to a statement.
+        """Execute a statement, and return its answer.
 
         Parameters
         ----------
         operator
-            Who asks.
+            Name of the operator, recorded with changes.
         role
-            What that permits.
+            The operator's role, which must permit the statement.
         """
         parsed = parse(text)
         if parsed.is_error():
             return Answer(MISTAKES, "\n".join(str(mistake) for mistake in parsed.error))
         statement: Statement = parsed.ok
-        needed = _role_for(statement)
-        if RANK_BY_ROLE[role] < RANK_BY_ROLE[needed]:
-            detail = f"This needs the role {needed.value!r}; yours is {role.value!r}."
+        required = _required_role(statement)
+        if RANK_BY_ROLE[role] < RANK_BY_ROLE[required]:
+            detail = f"This needs the role {required.value!r}; yours is {role.value!r}."
             return Answer(NOT_DONE, detail)
         if isinstance(statement, Show):
             return await self._show(statement)
@@ -127,16 +128,16 @@
             return await self._release(statement)
         if isinstance(statement, Evacuate):
             return await self._evacuate(statement, operator)
-        if isinstance(statement, TakeBack):
-            return _told(await self._evacuations.take_back(statement.data_centre))
+        if isinstance(statement, RevokeEvacuation):
+            return _answer_from(await self._evacuations.revoke(statement.data_centre))
         return await self._change(statement, operator)
 
     async def _show(self, show: Show) -> Answer:
         columns = COLUMNS_BY_COLLECTION.get(show.collection)
         if columns is None:
-            advice = nearest(show.collection, COLUMNS_BY_COLLECTION)
+            advice = suggest_name(show.collection, COLUMNS_BY_COLLECTION)
             return Answer(MISTAKES, f"No collection {show.collection!r}. {advice}")
-        found = await self._collections.find(show.collection)
+        found = await self._collections.read_rows(show.collection)
         result = run_query(show, columns, found.rows)
         if result.is_error():
             return Answer(MISTAKES, "\n".join(result.error))
@@ -147,11 +148,11 @@
         )
 
     async def _change(self, statement: Command, operator: str) -> Answer:
-        operation = statement.operation or secrets.token_hex(OPERATION_BYTES)
-        order = Order(
+        operation = statement.operation or secrets.token_hex(OPERATION_ID_BYTES)
+        request = ChangeRequest(
             operation, operator, to_text(attrs.evolve(statement, operation=""))
         )
-        result = await self._history.change(change_for(statement), order)
+        result = await self._history.change(change_for(statement), request)
         if result.is_error():
             refused = result.error
             state = UNKNOWN if refused.is_unknown else NOT_DONE
@@ -160,25 +161,25 @@
         detail = f"Version {accepted.version}."
         if accepted.is_repeated:
             detail += " It was done before; it counts once."
-        if accepted.before:
-            detail += f" Came first: {', '.join(accepted.before)}."
+        if accepted.preceding_operations:
+            detail += f" Came first: {', '.join(accepted.preceding_operations)}."
         return Answer(DONE, detail, operation)
 
     async def _release(self, release: Release) -> Answer:
-        return _told(await self._quarantine.release(release.content))
+        return _answer_from(await self._quarantine.release(release.content))
 
     async def _evacuate(self, statement: Evacuate, operator: str) -> Answer:
         try:
             known = await self._collections.data_centre_names()
         except StoreUnavailable:
             return Answer(NOT_DONE, "The store is out of reach. Try again.")
-        done = await self._evacuations.order(
+        result = await self._evacuations.evacuate(
             statement.data_centre,
             known=known,
             operator=operator,
-            is_certain=statement.is_certain,
+            is_forced=statement.is_forced,
         )
-        return _told(done)
+        return _answer_from(result)
 
     async def _compare(self, statement: Compare) -> Answer:
         try:
@@ -199,18 +200,18 @@
         )
 
 
-def _told(done: Result[str, str]) -> Answer:
-    """Return the answer to an order that is no version of the configuration."""
-    if done.is_error():
-        return Answer(NOT_DONE, done.error)
-    return Answer(DONE, done.ok)
+def _answer_from(result: Result[str, str]) -> Answer:
+    """Return the answer for a statement that does not change the configuration."""
+    if result.is_error():
+        return Answer(NOT_DONE, result.error)
+    return Answer(DONE, result.ok)
 
 
-def _role_for(statement: Statement) -> Role:
+def _required_role(statement: Statement) -> Role:
     if isinstance(statement, Show | Compare):
         return Role.READ
     if isinstance(
-        statement, TopUpStatement | SetDraining | Release | Evacuate | TakeBack
+        statement, TopUpStatement | SetDraining | Release | Evacuate | RevokeEvacuation
     ):
         return Role.OPERATE
     return Role.CONFIGURE
--- a/lynxchute/operators/service.py
+++ b/lynxchute/operators/service.py
@@ -1,4 +1,4 @@
-"""Answer operators over HTTP."""
+"""HTTP endpoint for operators' statements."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class OperatorService:
-    """Take statements from operators who bear a key.
+    """Authenticate operators by key, and execute their statements.
 
     Parameters
     ----------
     runner
-        Runs them.
+        Executes the statements.
     configuration
-        Returns the version that names the operators.
+        Returns the configuration in force, which lists the operators and their keys.
     """
 
     def __init__(
@@ -33,8 +33,8 @@
         self._configuration = configuration
 
     async def serve(self, request: Request, respond: Responder) -> None:
-        """Answer one statement, sent as ``{"statement": "…"}``."""
-        # What an operator has ordered is carried to its end.
+        """Handle one statement, sent as ``{"statement": "…"}``."""
+        # The statement runs to completion even if the operator disconnects.
         respond.survives_disconnect = True
         current = self._configuration()
         key = bearer_key(request.headers)
--- a/lynxchute/operators/statements.py
+++ b/lynxchute/operators/statements.py
@@ -1,4 +1,4 @@
-"""The statements of the operators' language."""
+"""Syntax tree of the operators' language, one class per kind of statement."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @attrs.frozen
 class Condition:
-    """A comparison of a column with a value.
+    """A filter that compares a column with a value.
 
     Attributes
     ----------
@@ -24,14 +24,14 @@
 
 @attrs.frozen
 class Show:
-    """Query a collection.
+    """Query the rows of a collection.
 
     Attributes
     ----------
     group
-        Columns by which the number columns are summed.
+        Columns to group by; integer columns are summed per group.
     order
-        The column to sort by; empty for none.
+        Column to sort by; empty for no sorting.
     """
 
     collection: str
@@ -44,7 +44,7 @@
 
 @attrs.frozen
 class TopUpStatement:
-    """Credit a client account."""
+    """Add tokens to the prepaid budget of a client account."""
 
     account: str
     tokens: int
@@ -53,7 +53,7 @@
 
 @attrs.frozen
 class SetDraining:
-    """Drain a VM or an upstream, or undo that."""
+    """Start or stop draining a VM or an upstream."""
 
     kind: str
     name: str
@@ -63,7 +63,7 @@
 
 @attrs.frozen
 class CreateAccount:
-    """Create a client account, or add a key to it."""
+    """Create a client account, or add a key to an existing one."""
 
     account: str
     key_hash: str
@@ -80,7 +80,7 @@
 
 @attrs.frozen
 class SetService:
-    """Say which service an upstream belongs to."""
+    """Move an upstream to another service."""
 
     upstream: str
     service: str
@@ -89,7 +89,7 @@
 
 @attrs.frozen
 class SetWeight:
-    """Say how large a client account's share is where callers compete."""
+    """Set the weight of a client account when capacity is shared under contention."""
 
     account: str
     weight: int
@@ -98,12 +98,12 @@
 
 @attrs.frozen
 class Release:
-    """Send a request in quarantine to upstreams again.
+    """Release a request from quarantine, so that it is sent to upstreams again.
 
     Attributes
     ----------
     content
-        Names what it asks for, as the logs do.
+        Identifier of the request's content, as it appears in the logs.
     """
 
     content: str
@@ -111,21 +111,21 @@
 
 @attrs.frozen
 class Evacuate:
-    """Send nothing new to the upstreams of a data centre.
+    """Stop sending new requests to the upstreams of a data centre.
 
     Attributes
     ----------
-    is_certain
-        Whether it may be the last one that is left.
+    is_forced
+        Whether to evacuate it even if it is the last data centre in use.
     """
 
     data_centre: str
-    is_certain: bool = False
+    is_forced: bool = False
 
 
 @attrs.frozen
-class TakeBack:
-    """Use an evacuated data centre again."""
+class RevokeEvacuation:
+    """Revoke an evacuation, so that the data centre is used again."""
 
     data_centre: str
 
@@ -141,4 +141,4 @@
 Command = (
     TopUpStatement | SetDraining | CreateAccount | DropAccount | SetService | SetWeight
 )
-Statement = Show | Compare | Release | Evacuate | TakeBack | Command
+Statement = Show | Compare | Release | Evacuate | RevokeEvacuation | Command
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""Versions of the configuration under faults, and what operators are shown."""
+"""Configuration history under store faults, roles, and the operators' client."""
 
 import asyncio
 import collections
@@ -16,8 +16,8 @@
 from lynxchute.operators.history import (
     CURRENT_KEY,
     CURRENT_TABLE,
+    ChangeRequest,
     ConfigurationHistory,
-    Order,
 )
 from lynxchute.operators.language import parse
 from lynxchute.operators.runner import StatementRunner
@@ -38,30 +38,33 @@
 from tests.platform_support import PlatformTestCase
 from tests.support import ACCOUNT, AsyncTestCase, until
 
-FATES = ("done", "done", "done", "lost", "late", "refused")
+WRITE_OUTCOMES = ("done", "done", "done", "lost", "late", "refused")
 
 
 class FaultyStore(Store):
-    """Rows in memory; each write meets a fate that the test has drawn."""
+    """In-memory store; the test plans the outcome of each write.
 
-    def __init__(self, fates=(), seed=0):
+    "lost" applies the write but loses the reply, "late" applies it at some later time.
+    """
+
+    def __init__(self, planned_outcomes=(), seed=0):
         self.clock = StoreClock()
         self.rows = {}
         self.version = 0
-        self._fates = list(fates)
+        self._planned_outcomes = list(planned_outcomes)
         self._late = []
         self._random = random.Random(seed)
 
     async def write(self, write):
         await self._pause()
-        fate = self._fates.pop() if self._fates else "done"
-        if fate == "refused":
+        planned = self._planned_outcomes.pop() if self._planned_outcomes else "done"
+        if planned == "refused":
             raise StoreUnavailable("refused")
-        if fate == "late":
+        if planned == "late":
             self._late.append(write)
             raise OutcomeUnknown("late")
         outcome = self._apply(write)
-        if fate == "lost":
+        if planned == "lost":
             raise OutcomeUnknown("lost")
         return outcome
 
@@ -71,7 +74,7 @@
         return Snapshot(tuple(rows), self.version)
 
     async def changes(self, table, *, after, wait):
-        raise StoreUnavailable("nobody follows here")
+        raise StoreUnavailable("this store has no change feed")
 
     def move(self, address):
         pass
@@ -80,7 +83,7 @@
         pass
 
     async def _pause(self):
-        """Let others go first, and late writes come when they come."""
+        """Yield to other tasks, and apply some of the late writes."""
         for _ in range(self._random.randint(0, 3)):
             await asyncio.sleep(0)
         while self._late and self._random.random() < 0.3:
@@ -107,41 +110,43 @@
     return Version.decode(row.value).ok
 
 
-async def order(history, text, operation, operator="o"):
+async def apply_change(history, text, operation, operator="o"):
     change = change_for(parse(text).ok)
-    return await history.change(change, Order(operation, operator, text))
+    return await history.change(change, ChangeRequest(operation, operator, text))
 
 
 class HistoryTest(AsyncTestCase):
     @given(
-        st.lists(st.sampled_from(FATES), max_size=20),
+        st.lists(st.sampled_from(WRITE_OUTCOMES), max_size=20),
         st.lists(
             st.tuples(st.integers(0, 4), st.integers(1, 3)), min_size=1, max_size=12
         ),
         st.integers(0, 99),
     )
     @settings(max_examples=150)
-    def test_each_order_counts_once_whatever_happens(self, fates, orders, seed):
-        """Operators at once top up under a few ids, and repeat what was unsure."""
+    def test_each_operation_is_applied_once_despite_faults(
+        self, planned_outcomes, top_ups, seed
+    ):
+        """Concurrent top-ups under a few ids, retried while the outcome is unknown."""
 
         async def work():
             store = FaultyStore(seed=seed)
             history = ConfigurationHistory(store)
             await history.begin(document())
-            store._fates = list(fates)
+            store._planned_outcomes = list(planned_outcomes)
             outcomes = collections.defaultdict(list)
 
             async def one(number):
                 tokens = 10**number
                 for _ in range(4):
                     text = f"top up a by {tokens}"
-                    result = await order(history, text, f"op{number}")
+                    result = await apply_change(history, text, f"op{number}")
                     outcomes[number].append(result)
                     if result.is_ok():
                         return
 
-            await asyncio.gather(*(one(n) for n, _ in orders))
-            # What is on its way arrives, in any order.
+            await asyncio.gather(*(one(n) for n, _ in top_ups))
+            # Late writes are applied, in any order relative to the scans.
             for _ in range(40):
                 await store.scan("nothing")
             paid = current(store).document.accounts[0].paid - 100
@@ -152,11 +157,11 @@
                     self.assertEqual(1, times)
                 if all(r.is_error() and not r.error.is_unknown for r in results):
                     self.assertEqual(0, times)
-            self._versions_follow(store)
+            self._check_versions_are_consecutive(store)
 
         self.run_async(work())
 
-    def _versions_follow(self, store):
+    def _check_versions_are_consecutive(self, store):
         numbers = []
         for row_id, row in sorted(store.rows.items(), key=lambda item: item[0].key):
             if row_id.table == "configuration-versions":
@@ -164,7 +169,7 @@
         self.assertEqual(list(range(1, len(numbers) + 1)), numbers)
         self.assertEqual(numbers[-1], current(store).number)
 
-    def test_only_one_first_configuration_counts(self):
+    def test_only_one_first_configuration_is_written(self):
         async def work():
             store = FaultyStore()
             first, second = document(), FleetDocument()
@@ -177,14 +182,14 @@
 
         self.run_async(work())
 
-    def test_what_cannot_be_done_says_what_could(self):
+    def test_rejected_changes_explain_why(self):
         async def work():
             store = FaultyStore()
             history = ConfigurationHistory(store)
-            missing = await order(history, "top up a by 1", "x")
+            missing = await apply_change(history, "top up a by 1", "x")
             self.assertIn("no configuration", missing.error.reason)
             await history.begin(document())
-            for text, said in (
+            for text, hint in (
                 ("top up b by 1", "Known: a"),
                 ("top up a by 0", "at least one"),
                 ("drain upstream u", "No upstream"),
@@ -195,20 +200,20 @@
                 ("set account a weight -2", "from 0.01 to 100"),
                 ("set account a weight 1000000", "from 0.01 to 100"),
             ):
-                result = await order(history, text, text)
-                self.assertIn(said, result.error.reason)
+                result = await apply_change(history, text, text)
+                self.assertIn(hint, result.error.reason)
             self.assertEqual(1, current(store).number)
 
         self.run_async(work())
 
 
 class FirstConfigurationTest(AsyncTestCase):
-    def test_a_store_that_refuses_it_is_told_of_and_not_asked_again(self):
+    def test_a_refusal_by_the_store_is_logged_and_not_retried(self):
         class RefusingStore(FaultyStore):
-            asked = 0
+            writes = 0
 
             async def write(self, write):
-                self.asked += 1
+                self.writes += 1
                 raise StoreRefused("the store answered 413")
 
         async def work():
@@ -216,14 +221,14 @@
             first = FirstConfiguration(ConfigurationHistory(store), document())
             with self.assertLogs("absl", logging.ERROR) as logs:
                 await first._run()
-            self.assertEqual(1, store.asked)
+            self.assertEqual(1, store.writes)
             self.assertIn("refused by the store", logs.output[0])
 
         self.run_async(work())
 
 
 class DifferencesTest(testtools.TestCase):
-    def test_each_difference_is_a_row(self):
+    def test_each_differing_item_is_listed_once(self):
         first = document()
         change = change_for(parse("create account b key k").ok)
         second = change(change_for(parse("top up a by 5").ok)(first).ok).ok
@@ -236,7 +241,7 @@
 
 
 class RolesTest(AsyncTestCase):
-    def test_each_role_permits_what_those_before_it_do(self):
+    def test_a_role_below_the_required_one_is_rejected(self):
         async def work():
             runner = StatementRunner(make_platform("127.0.0.1:1"))
             for text, role in (
@@ -252,7 +257,7 @@
 
 
 class UsersPlatformTest(PlatformTestCase):
-    def test_the_client_shows_the_rows_of_the_users_platform(self):
+    def test_the_client_reads_rows_of_the_users_platform(self):
         async def scenario(deployment):
             port = await deployment.store.open_port()
             client = StoreClient(lambda: users_platform(f"127.0.0.1:{port}"))
