--- a/lynxchute/config/__init__.py
+++ b/lynxchute/config/__init__.py
@@ -1,4 +1,4 @@
-"""The fleet's configuration as a router uses it."""
+"""The fleet's configuration, in the form that routers use."""
 
 from lynxchute.config.configuration import (
     ClientAccount,
--- a/lynxchute/config/configuration.py
+++ b/lynxchute/config/configuration.py
@@ -1,4 +1,4 @@
-"""One version of the configuration: routes, services, client accounts, limits."""
+"""Types of a configuration: routes, services, client accounts and limits."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class RequestKind(enum.Enum):
-    """How often a request may run."""
+    """How a request may be run: repeatedly, at most once, or as a stream."""
 
     IDEMPOTENT = "idempotent"
     AT_MOST_ONCE = "at most once"
@@ -21,7 +21,7 @@
 
 @attrs.frozen
 class Target:
-    """A service that a route sends a share of its requests to."""
+    """A service and its weight in the traffic split of a route."""
 
     service: str
     weight: float
@@ -29,28 +29,28 @@
 
 @attrs.frozen
 class Route:
-    """Where the requests under a host and path prefix go, and what they may do.
+    """Rules for the requests to a host and path prefix.
 
     Attributes
     ----------
     timeout
-        Seconds after which a request gets its final answer.
+        Seconds within which a request must be answered in full.
     latency_objective
-        Seconds within which an answer, or a stream's first event, is on time.
+        Target in seconds for an answer, or for the first event of a stream.
     priority
-        Rank of its requests; 0 comes first.
+        Priority of its requests; 0 is the highest.
     max_attempts
-        Upstreams that one request may be sent to.
+        Maximum number of upstreams to which one request is sent.
     is_public
-        Whether it takes requests without a key.
+        Whether requests are accepted without an API key.
     is_generation
-        Whether its requests say what they ask of a model engine.
+        Whether its requests state their model, token counts and prompt parts.
     is_resumable
-        Whether a broken stream may go on at another upstream.
+        Whether a broken stream may be resumed at another upstream.
     max_pause
-        Seconds between two events of a stream that is on time.
+        Target in seconds for the time between two events of a stream.
     cost
-        Tokens that a request costs which asks nothing of a model engine.
+        Tokens charged for a request to a plain service, without a model engine.
     """
 
     name: str
@@ -70,7 +70,7 @@
 
     @property
     def is_repeatable(self) -> bool:
-        """Return whether a request may be run again after it may have run."""
+        """Return whether a request may be retried after it may have been run."""
         if self.kind is RequestKind.STREAM:
             return self.is_resumable
         return self.kind is RequestKind.IDEMPOTENT
@@ -78,35 +78,35 @@
 
 @attrs.frozen
 class EngineTraits:
-    """What the model engines of a service can do.
+    """Capacity of the model engines of a service.
 
     Attributes
     ----------
     slots
-        Requests that run at once.
+        Requests that an engine runs concurrently.
     cache_tokens
-        Tokens that fit into an engine's memory.
+        Capacity of an engine's KV cache, in tokens.
     tokens_per_event
-        Output tokens that one event of a stream holds.
-    max_waiting_questions
-        Questions about cache events that an engine keeps waiting.
+        Output tokens per event of a stream.
+    max_pending_polls
+        Long polls for cache events that an engine holds open at once.
     cache_bytes_per_token
-        Bytes that a token of the cache takes where it is moved.
+        Size in bytes of a cached token when it is copied to another engine.
     link_bytes_per_ms
-        Bytes of cache that an engine sends or takes in a millisecond; 0 where
-        cache is not moved.
+        Bytes of cache that an engine sends or receives per millisecond; 0 if cache is
+        not copied between engines.
     """
 
     slots: int
     cache_tokens: int
     tokens_per_event: int
-    max_waiting_questions: int = 0
+    max_pending_polls: int = 0
     cache_bytes_per_token: float = 0.0
     link_bytes_per_ms: float = 0.0
 
     @property
     def fetch_tokens_per_ms(self) -> float:
-        """Return how many tokens of cache are moved in a millisecond, or 0."""
+        """Return the cached tokens copied per millisecond, or 0 if none are."""
         if not self.cache_bytes_per_token:
             return 0.0
         return self.link_bytes_per_ms / self.cache_bytes_per_token
@@ -114,14 +114,15 @@
 
 @attrs.frozen
 class Service:
-    """A group of upstreams that do the same.
+    """A group of interchangeable upstreams.
 
     Attributes
     ----------
     cold_seconds
-        How long one is cold after a start, in seconds.
+        Warm-up time of an upstream after its start, in seconds.
     cold_per_second
-        Requests that one bears in a second meanwhile; 0 for any number.
+        Requests per second that an upstream can handle during warm-up; 0 means no
+        limit.
     """
 
     name: str
@@ -134,16 +135,16 @@
 
 @attrs.frozen
 class ClientAccount:
-    """Who pays.
+    """A client account, to which requests are billed.
 
     Attributes
     ----------
     priority
-        Rank of its requests where it differs from the route's.
+        Priority of its requests, in place of the route's; None uses the route's.
     prepaid
-        Tokens paid for so far; None where use is not limited.
+        Total of tokens paid for so far; None means unlimited use.
     weight
-        Its share where callers compete, as a multiple of that of the others.
+        Share of scarce capacity, relative to other accounts; 1.0 is the default.
     """
 
     name: str
@@ -154,7 +155,7 @@
 
 @attrs.frozen
 class Operator:
-    """Who may ask for what."""
+    """An operator and the role that its key grants."""
 
     name: str
     role: Role
@@ -162,13 +163,12 @@
 
 @attrs.frozen
 class Limits:
-    """What a caller may send, and how long it may take; times in seconds.
+    """Limits on callers' requests and connections; times are in seconds.
 
     Attributes
     ----------
     max_open_per_account
-        Requests that a router serves at once for one client account; 0 for any
-        number.
+        Concurrent requests per client account at one router; 0 means no limit.
     """
 
     max_header_bytes: int = 16384
@@ -180,16 +180,16 @@
 
 @attrs.frozen
 class Configuration:
-    """One version, as accepted by the store.
+    """One version of the configuration, as read from the store.
 
     Attributes
     ----------
     upstreams
-        Those that operators list; empty where upstreams tell of themselves.
+        Upstreams listed by operators; empty if upstreams register themselves.
     draining_vms
-        VMs whose routers take no new work.
+        VMs whose routers accept no new requests.
     operators_by_key
-        Who may give orders through a router, by the hash of the key.
+        Operators by the hash of their key.
     """
 
     version: int
@@ -204,7 +204,7 @@
 
     @cached_property
     def routes_by_host(self) -> dict[str, list[Route]]:
-        """Return the routes of each host, the longest prefix first."""
+        """Return the routes of each host, sorted from the longest prefix."""
         by_host: dict[str, list[Route]] = {}
         for route in self.routes:
             by_host.setdefault(route.host, []).append(route)
@@ -213,7 +213,7 @@
         return by_host
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route of a host whose prefix begins a path and is longest."""
+        """Return the route of a host with the longest prefix that matches a path."""
         for route in self.routes_by_host.get(host.lower(), ()):
             if path.startswith(route.prefix):
                 return route
@@ -221,5 +221,5 @@
 
     @property
     def checks_keys(self) -> bool:
-        """Return whether requests need a key."""
+        """Return whether requests need an API key, except on public routes."""
         return bool(self.accounts_by_name)
--- a/lynxchute/config/document.py
+++ b/lynxchute/config/document.py
@@ -1,4 +1,4 @@
-"""The configuration as operators write it, and what is wrong with one."""
+"""The configuration as operators write it, and its validation."""
 
 from __future__ import annotations
 
@@ -23,18 +23,18 @@
     usable_weight,
 )
 
-Report = Callable[[str, str, str], None]
+ReportFinding = Callable[[str, str, str], None]
 
 
 class ServiceKind(enum.Enum):
-    """What the upstreams of a service are."""
+    """Whether upstreams are model engines or instances of a plain service."""
 
     ENGINE = "engine"
     PLAIN = "plain"
 
 
 class UpstreamState(enum.Enum):
-    """Whether an upstream may get new work."""
+    """Whether an upstream may receive new requests."""
 
     ACTIVE = "active"
     DRAINING = "draining"
@@ -42,7 +42,7 @@
 
 @attrs.frozen
 class AccountDocument:
-    """A client account."""
+    """A client account with its API keys and paid tokens."""
 
     name: str = option(doc="Name of the client account.")
     key_hashes: tuple[str, ...] = option(
@@ -53,13 +53,13 @@
         default=DEFAULT_WEIGHT,
         low=MIN_WEIGHT,
         high=MAX_WEIGHT,
-        doc="Its share where callers compete, as a multiple of that of the others.",
+        doc="Share of scarce capacity, relative to the other client accounts.",
     )
 
 
 @attrs.frozen
 class OperatorDocument:
-    """An operator."""
+    """An operator with a role and keys."""
 
     name: str = option(doc="Name of the operator.")
     role: Role = option(doc="read, operate or configure.")
@@ -70,29 +70,29 @@
 
 @attrs.frozen
 class ServiceDocument:
-    """A group of upstreams that do the same."""
+    """A group of interchangeable upstreams."""
 
     name: str = option(doc="Name of the service.")
     kind: ServiceKind = option(doc="engine or plain.")
     slots: int = option(
-        default=16, low=1, doc="Requests that each upstream serves at once."
+        default=16, low=1, doc="Requests that each upstream runs concurrently."
     )
     cache_tokens: int = option(
-        default=400_000, low=1, doc="Tokens that fit into an engine's memory."
+        default=400_000, low=1, doc="Capacity of an engine's KV cache, in tokens."
     )
     cold_seconds: float = option(
-        default=0.0, low=0.0, doc="Seconds for which one is cold after a start."
+        default=0.0, low=0.0, doc="Warm-up time of an upstream in seconds."
     )
     cold_per_second: float = option(
         default=0.0,
         low=0.0,
-        doc="Requests a second that a cold one bears; 0 for any number.",
+        doc="Requests per second that a cold upstream can handle; 0 for no limit.",
     )
 
 
 @attrs.frozen
 class UpstreamDocument:
-    """A model engine or a plain service's instance."""
+    """A model engine or an instance of a plain service."""
 
     name: str = option(doc="Name of the upstream.")
     service: str = option(doc="The service that it belongs to.")
@@ -105,58 +105,59 @@
 
 @attrs.frozen
 class RouteDocument:
-    """Where requests for a model or under a path prefix go."""
+    """A route from a model or a path prefix to a service."""
 
     name: str = option(doc="Name of the route.")
-    service: str = option(doc="The service that serves it.")
+    service: str = option(doc="The service that handles its requests.")
     model: str | None = option(default=None, doc="The model, for a model route.")
     prefix: str | None = option(
         default=None, doc="The path prefix, for a route to a plain service."
     )
     repeatable: bool = option(
-        default=False, doc="Whether calls of a plain service may run more than once."
+        default=False,
+        doc="Whether a call of a plain service is idempotent and may be retried.",
     )
     cost: int = option(
         default=1, low=0, doc="Tokens that one call of a plain service costs."
     )
     timeout: float = option(
-        default=60.0, low=0.05, doc="Seconds until a request gets its final answer."
+        default=60.0, low=0.05, doc="Seconds within which a request must be answered."
     )
     latency_objective: float = option(
-        default=1.0, low=0.01, doc="Seconds within which an answer should begin."
+        default=1.0, low=0.01, doc="Target in seconds until an answer begins."
     )
-    priority: int = option(default=1, low=0, doc="Rank; 0 comes first.")
+    priority: int = option(default=1, low=0, doc="Priority; 0 is the highest.")
     max_attempts: int = option(
-        default=2, low=1, doc="Upstreams that one request may be sent to."
+        default=2, low=1, doc="Maximum number of upstreams tried per request."
     )
 
 
 @attrs.frozen
 class LimitDocument:
-    """What a caller may send, and how much at once."""
+    """Limits on callers' requests and connections."""
 
     max_header_bytes: int = option(
-        default=16_384, low=1024, doc="Bytes of a request's head."
+        default=16_384, low=1024, doc="Maximum bytes of a request's head."
     )
     max_body_bytes: int = option(
-        default=1_048_576, low=1024, doc="Bytes of a request's body."
+        default=1_048_576, low=1024, doc="Maximum bytes of a request's body."
     )
     header_timeout: float = option(
-        default=3.0, low=0.05, doc="Seconds that a head may take to arrive."
+        default=3.0, low=0.05, doc="Seconds within which the head must arrive."
     )
     idle_timeout: float = option(
-        default=15.0, low=0.1, doc="Seconds that an idle connection is kept."
+        default=15.0, low=0.1, doc="Seconds after which an idle connection is closed."
     )
     max_open_per_account: int = option(
         default=500,
         low=0,
-        doc="Requests that a router serves at once for one client account; 0 for any.",
+        doc="Concurrent requests per client account at one router; 0 for no limit.",
     )
 
 
 @attrs.frozen
 class FleetDocument:
-    """All that the fleet is told about whom to serve, and where."""
+    """The whole configuration document that operators edit."""
 
     accounts: tuple[AccountDocument, ...] = option(
         factory=tuple, doc="The client accounts."
@@ -170,9 +171,9 @@
     )
     routes: tuple[RouteDocument, ...] = option(factory=tuple, doc="The routes.")
     draining_vms: tuple[str, ...] = option(
-        factory=tuple, doc="VMs whose routers take no new work."
+        factory=tuple, doc="VMs whose routers accept no new requests."
     )
-    limits: LimitDocument = option(factory=LimitDocument, doc="Bounds on callers.")
+    limits: LimitDocument = option(factory=LimitDocument, doc="Limits on callers.")
 
     @cached_property
     def upstreams_by_name(self) -> dict[str, UpstreamDocument]:
@@ -189,29 +190,31 @@
 
 
 def _structure_account(value: Any, cls: type[AccountDocument]) -> AccountDocument:
-    """Return a client account; a weight that is none counts as the usual one.
+    """Return a client account; an invalid weight is replaced by the default.
 
-    So one bad entry keeps no version, and no other account, from being taken.
+    One invalid entry must not prevent the whole version, and with it all other
+    accounts, from being loaded.
     """
     if "weight" in value:
         value = {**value, "weight": usable_weight(value["weight"])}
-    return _ACCOUNTS.structure(value, cls)
+    return _ACCOUNT_CONVERTER.structure(value, cls)
 
 
-_ACCOUNTS = cattrs.Converter()
+_ACCOUNT_CONVERTER = cattrs.Converter()
 _CONVERTER.register_structure_hook(AccountDocument, _structure_account)
 
 
 @attrs.frozen
 class Version:
-    """A version of the configuration as the store keeps it.
+    """A version of the configuration as it is stored.
 
     Attributes
     ----------
     number
-        Grows by one with each change.
+        Version number; each change adds one.
     operation, operator
-        What made it, and who; empty for the one that a fleet begins with.
+        The operation that created the version and its operator; empty for the initial
+        version of a fleet.
     """
 
     number: int
@@ -220,46 +223,48 @@
     operator: str = ""
 
     def encode(self) -> bytes:
-        """Return the value of its row."""
+        """Return the version as JSON for its row in the store."""
         value = _CONVERTER.unstructure(self)
         return json.dumps(value, separators=(",", ":")).encode()
 
     @classmethod
     def decode(cls, value: bytes) -> Result[Version, str]:
-        """Return the version of a row, or what is wrong with the row."""
+        """Return the version in a row, or an error that says why it is invalid."""
         try:
             return Ok(_CONVERTER.structure(json.loads(value), cls))
         except Exception as error:
-            # What a converter raises depends on where the value is wrong.
+            # The converter raises different exception types for different defects.
             return Error(f"the configuration cannot be read: {error!r}")
 
 
 def to_json(document: FleetDocument) -> dict[str, Any]:
-    """Return a document as JSON values."""
-    found: dict[str, Any] = _CONVERTER.unstructure(document)
-    return found
+    """Return a document as JSON-compatible values."""
+    values: dict[str, Any] = _CONVERTER.unstructure(document)
+    return values
 
 
 def hash_key(key: str) -> str:
-    """Return the form in which a key is stored.
+    """Return the SHA-256 hash under which a key is stored.
 
-    Keys are random and long, so that a plain hash cannot be searched.
+    Keys are random and long, so an unsalted hash cannot be reversed by guessing keys.
     """
     return hashlib.sha256(key.encode()).hexdigest()
 
 
-def check_document(document: FleetDocument, report: Report, path: str = "") -> None:
-    """Report what only the whole document can show."""
-    start = f"{path}." if path else ""
+def check_document(
+    document: FleetDocument, report: ReportFinding, path: str = ""
+) -> None:
+    """Report errors that depend on several entries of the document."""
+    path_prefix = f"{path}." if path else ""
     for collection in ("accounts", "operators", "services", "upstreams", "routes"):
-        _check_unique(getattr(document, collection), report, start + collection)
+        _check_unique(getattr(document, collection), report, path_prefix + collection)
     for index, upstream in enumerate(document.upstreams):
-        _check_upstream(upstream, document, report, f"{start}upstreams[{index}]")
+        _check_upstream(upstream, document, report, f"{path_prefix}upstreams[{index}]")
     for index, route in enumerate(document.routes):
-        _check_route(route, document, report, f"{start}routes[{index}]")
+        _check_route(route, document, report, f"{path_prefix}routes[{index}]")
 
 
-def _check_unique(items: tuple[Any, ...], report: Report, path: str) -> None:
+def _check_unique(items: tuple[Any, ...], report: ReportFinding, path: str) -> None:
     seen: set[str] = set()
     for index, item in enumerate(items):
         if item.name in seen:
@@ -272,7 +277,10 @@
 
 
 def _check_upstream(
-    upstream: UpstreamDocument, document: FleetDocument, report: Report, path: str
+    upstream: UpstreamDocument,
+    document: FleetDocument,
+    report: ReportFinding,
+    path: str,
 ) -> None:
     try:
         Address.parse(upstream.address)
@@ -282,11 +290,11 @@
 
 
 def _check_route(
-    route: RouteDocument, document: FleetDocument, report: Report, path: str
+    route: RouteDocument, document: FleetDocument, report: ReportFinding, path: str
 ) -> None:
     if (route.model is None) == (route.prefix is None):
         report(path, "A route has a model or a prefix.", "Give exactly one of them.")
-    if route.prefix is not None and not _is_folder(route.prefix):
+    if route.prefix is not None and not _is_directory(route.prefix):
         report(f"{path}.prefix", "A prefix begins and ends with '/'.", "Add the slash.")
     _check_service(route.service, document, report, path)
     service = document.services_by_name.get(route.service)
@@ -300,12 +308,12 @@
         )
 
 
-def _is_folder(prefix: str) -> bool:
+def _is_directory(prefix: str) -> bool:
     return prefix.startswith("/") and prefix.endswith("/")
 
 
 def _check_service(
-    name: str, document: FleetDocument, report: Report, path: str
+    name: str, document: FleetDocument, report: ReportFinding, path: str
 ) -> None:
     if name in document.services_by_name:
         return
--- a/lynxchute/config/from_document.py
+++ b/lynxchute/config/from_document.py
@@ -1,4 +1,4 @@
-"""Bring a document of the operators into the form that routers use."""
+"""Convert the operators' document into the configuration that routers use."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 )
 from lynxchute.upstreams.upstream import Upstream
 
-# Where chat completions are asked for.
+# Path of all chat completion requests.
 CHAT_PATH = "/v1/chat/completions"
-# Connections to one upstream for each request that it serves at once.
+# Connections allowed to an upstream per request that it runs concurrently.
 CONNECTIONS_PER_SLOT = 4
 
 
 def configuration_of(version: Version) -> Configuration:
-    """Return a version as routers use it."""
+    """Return the configuration of a stored version."""
     document = version.document
     services_by_name = {item.name: _service(item) for item in document.services}
     accounts_by_name: dict[str, ClientAccount] = {}
@@ -56,11 +56,11 @@
 
 
 def _operators_by_key(document: FleetDocument) -> dict[str, Operator]:
-    found = {}
+    operators_by_key = {}
     for item in document.operators:
         for key_hash in item.key_hashes:
-            found[key_hash] = Operator(item.name, item.role)
-    return found
+            operators_by_key[key_hash] = Operator(item.name, item.role)
+    return operators_by_key
 
 
 def _service(item: ServiceDocument) -> Service:
@@ -97,7 +97,7 @@
         kind = RequestKind.IDEMPOTENT if item.repeatable else RequestKind.AT_MOST_ONCE
     return Route(
         name=item.name,
-        # Chat completions all have one path; the model takes the host's place.
+        # All chat completions share one path, so the model name is used as the host.
         host=(item.model or "").lower(),
         prefix=CHAT_PATH if item.model is not None else item.prefix or "/",
         kind=kind,
--- a/lynxchute/config/role.py
+++ b/lynxchute/config/role.py
@@ -1,4 +1,4 @@
-"""What operators may do."""
+"""Roles that limit what operators may do."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Role(enum.Enum):
-    """What an operator's key permits; each role includes those before it."""
+    """Permissions of an operator's key; each role includes those before it."""
 
     READ = "read"
     OPERATE = "operate"
--- a/lynxchute/platform/__init__.py
+++ b/lynxchute/platform/__init__.py
@@ -1,5 +1,5 @@
-"""The users' platform: the only place that knows its names.
+"""Adapters for the deployment platform; only this package knows its names.
 
-Everything is decoded here once, into the product's own types; the rest of
-the project never sees a field, header or path of the platform.
+Fields, headers and paths of the platform are decoded here once into the project's
+own types, and no other package handles them.
 """
--- a/lynxchute/platform/__main__.py
+++ b/lynxchute/platform/__main__.py
@@ -1,4 +1,4 @@
-"""Start a router: `python -m lynxchute.platform`."""
+"""Entry point of a router process: `python -m lynxchute.platform`."""
 
 import gc
 import signal
@@ -10,11 +10,11 @@
 
 
 def main() -> None:
-    """Run a router, deaf to SIGHUP until it has loaded what answers it."""
+    """Run a router; ignore SIGHUP until its handler has been imported."""
     started_at = steady_seconds()
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    # Nothing that is loaded is let go of again: looking for that takes 34 of the 1,105
-    # million instructions of a start.
+    # Garbage collection finds nothing to free during start-up, because imported modules
+    # stay alive; it would take 34 of the 1,105 million instructions of a start.
     gc.disable()
     from lynxchute.listening import listen
     from lynxchute.platform.settings_file import read_settings, settings_path
@@ -26,9 +26,10 @@
             print(f"{path}: {finding}", file=sys.stderr)
         sys.exit(EXIT_SETTINGS)
     settings = result.ok
-    # What serves them takes the second half of the start to load (560 of 1,070 million
-    # instructions), 0.4 s on a VM of half a core: callers who come meanwhile wait for
-    # that instead of being turned away by every VM of a data centre that is just back.
+    # Open the listening socket before the server code is imported. The import takes
+    # 560 of the 1,070 million instructions of a start, 0.4 s on a VM with half a core.
+    # Connections made in that time wait in the backlog; without the socket, every VM of
+    # a data centre that has just come back would refuse them.
     callers = listen(settings.callers)
     from lynxchute.platform.daemon import run
 
--- a/lynxchute/platform/configuration.py
+++ b/lynxchute/platform/configuration.py
@@ -1,4 +1,4 @@
-"""Decode the operator's configuration row."""
+"""Decode the configuration that the operator writes to the store."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def decode_configuration(value: bytes) -> Result[Configuration, str]:
-    """Return the configuration in a row, or what is wrong with it."""
+    """Return the decoded configuration, or an error that says why it is invalid."""
     try:
         return Ok(_configuration(json.loads(value)))
     except (
@@ -72,8 +72,8 @@
         priority=int(item.get("priority") or 0),
         max_attempts=int(item.get("max_attempts") or 1),
         is_public=bool(item.get("public")),
-        # The name speaks of sessions; what it marks is routes whose requests
-        # say their model, token counts and the parts of their prompt.
+        # Despite its name, this key marks routes whose requests carry their model,
+        # token counts and prompt parts in headers.
         is_generation=bool(item.get("sticky_sessions")),
         is_resumable=bool(item.get("stream_resume")),
         max_pause=float(item.get("gap_aim_ms") or 1000.0) / 1000.0,
@@ -102,14 +102,14 @@
 def _engine(item: dict[str, Any]) -> EngineTraits:
     return EngineTraits(
         slots=int(item["slots"]),
-        # Tokens that fit into the engine's memory, running and cached.
+        # Capacity of the engine's KV cache in tokens, for running and cached requests.
         cache_tokens=int(item["kv_tokens"]),
-        # Output tokens in one event of a stream.
+        # Output tokens per event of a stream.
         tokens_per_event=max(int(item.get("stride") or 1), 1),
-        # How many waiting questions for cache events an engine keeps.
-        max_waiting_questions=int(item.get("most") or 0),
+        # Long polls for cache events that an engine holds open at once.
+        max_pending_polls=int(item.get("most") or 0),
         cache_bytes_per_token=float(item.get("kv_bytes") or 0),
-        # Megabits a second are 125 bytes a millisecond.
+        # 1 Mbit/s is 125 bytes per millisecond.
         link_bytes_per_ms=float(item.get("link_mbps") or 0) * 125.0,
     )
 
@@ -125,14 +125,14 @@
 
 
 def _limits(item: dict[str, Any]) -> Limits:
-    usual = Limits()
+    defaults = Limits()
     return Limits(
-        max_header_bytes=int(item.get("max_header_bytes") or usual.max_header_bytes),
-        max_body_bytes=int(item.get("max_body_bytes") or usual.max_body_bytes),
-        header_timeout=_seconds(item.get("header_timeout_ms"), usual.header_timeout),
-        idle_timeout=_seconds(item.get("idle_timeout_ms"), usual.idle_timeout),
+        max_header_bytes=int(item.get("max_header_bytes") or defaults.max_header_bytes),
+        max_body_bytes=int(item.get("max_body_bytes") or defaults.max_body_bytes),
+        header_timeout=_seconds(item.get("header_timeout_ms"), defaults.header_timeout),
+        idle_timeout=_seconds(item.get("idle_timeout_ms"), defaults.idle_timeout),
     )
 
 
-def _seconds(milliseconds: Any, usual: float) -> float:
-    return float(milliseconds) / 1000.0 if milliseconds else usual
+def _seconds(milliseconds: Any, default: float) -> float:
+    return float(milliseconds) / 1000.0 if milliseconds else default
--- a/lynxchute/platform/daemon.py
+++ b/lynxchute/platform/daemon.py
@@ -1,4 +1,4 @@
-"""Run a router on the users' platform."""
+"""Run a router on the deployment platform."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from lynxchute.platform.configuration import decode_configuration
 from lynxchute.platform.dialect import PlatformDialect
 from lynxchute.platform.engines import PlatformEngines
-from lynxchute.platform.settings_file import read_settings, stamp
+from lynxchute.platform.settings_file import file_state, read_settings
 from lynxchute.platform.store import PlatformStore
 from lynxchute.platform.upstreams import decode_upstream
 from lynxchute.telemetry import LogWriter, log_event, log_to_stdout
@@ -26,7 +26,7 @@
 
 
 def make_platform(store: str) -> Platform:
-    """Return the platform's services."""
+    """Return the platform's store, dialect, names and decoders."""
     return Platform(
         store=PlatformStore(store),
         dialect=PlatformDialect(),
@@ -48,7 +48,7 @@
     started_at: float,
     log: LogWriter,
 ) -> None:
-    """Run until told to stop."""
+    """Run the router until it is asked to stop."""
     application = EdgeApplication(
         settings,
         make_platform(settings.store),
@@ -56,7 +56,7 @@
         callers=callers,
         log_lines_dropped=lambda: log.dropped,
     )
-    application.watch_settings(lambda: read_settings(path), lambda: stamp(path))
+    application.watch_settings(lambda: read_settings(path), lambda: file_state(path))
     install_stop_handlers(
         lambda: application.request_stop(StopReason.STOPPED),
         lambda: os._exit(EXIT_KILLED),
@@ -72,13 +72,13 @@
     Parameters
     ----------
     settings
-        What the settings file says.
+        Decoded settings of this process.
     path
-        Where it is.
+        The settings file, which is watched for changes.
     callers
-        Takes callers' connections already.
+        Listening socket for callers' connections.
     started_at
-        When the process began, on the steady clock in seconds.
+        Start of the process, in seconds of the steady clock.
     """
     log = log_to_stdout(vm=settings.vm)
     log_event(
--- a/lynxchute/platform/dialect.py
+++ b/lynxchute/platform/dialect.py
@@ -1,4 +1,4 @@
-"""The platform's headers, towards callers and towards upstreams."""
+"""Decode and encode the platform's HTTP headers for callers and upstreams."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from lynxchute.upstreams.generation import Generation, PromptPart
 from lynxchute.upstreams.statement import Statement
 
-SINGLE = (
+SINGLE_VALUE_HEADERS = (
     names.REQUEST_ID,
     names.DEADLINE,
     names.KEY,
@@ -23,25 +23,25 @@
     names.PROMPT_PARTS,
     names.LAST_EVENT,
 )
-MAX_PARTS = 64
-# The lengths are given on their own, or would break the framing here.
+MAX_PROMPT_PARTS = 64
+# Each hop sets its own message framing; a forwarded length could contradict it.
 NOT_FORWARDED = names.ROUTER_ONLY | {"content-length", "expect"}
 NOT_RETURNED = frozenset({"content-length"})
 MAX_PRIORITY = 9
 
-# Short enough that no number can be larger than any real one.
-NUMBER = re.compile(r"[0-9]{1,12}(\.[0-9]{1,6})?", re.ASCII)
+# The digits are limited, so that no header can carry an unrealistically large number.
+NUMBER_PATTERN = re.compile(r"[0-9]{1,12}(\.[0-9]{1,6})?", re.ASCII)
 TOKEN_COUNTS = re.compile(r"\s*([0-9]{1,9})\s*,\s*([0-9]{1,9})\s*", re.ASCII)
 PROMPT_PART = re.compile(r"\s*([0-9A-Za-z_-]{1,64}):([0-9]{1,9})\s*", re.ASCII)
 
 
 class PlatformDialect(Dialect):
-    """Decode and encode what stands in the platform's headers."""
+    """Translate between the platform's headers and the relay's types."""
 
     def read(self, request: Request) -> Call:
-        """Return what a request asks for."""
+        """Return the decoded call, or raise `BadRequest` for invalid headers."""
         headers = request.headers
-        for name in SINGLE:
+        for name in SINGLE_VALUE_HEADERS:
             if headers.count(name.lower()) > 1:
                 raise BadRequest(400, f"The header {name} stands twice.")
         request_id = headers.get(names.REQUEST_ID.lower(), "")
@@ -52,7 +52,7 @@
             request_id=request_id,
             host=_host_name(headers.get("host", "")),
             key=headers.get(names.KEY.lower(), ""),
-            caller_timeout=_patience(headers),
+            caller_timeout=_caller_timeout(headers),
             last_event_id=headers.get(names.LAST_EVENT.lower(), ""),
             generation=_generation(headers),
         )
@@ -60,33 +60,35 @@
     def upstream_headers(
         self, call: Call, dispatch: Dispatch
     ) -> list[tuple[bytes, bytes]]:
-        """Return the headers of a send, without the body's length."""
+        """Return the headers for one send to an upstream, without Content-Length."""
         dropped = NOT_FORWARDED
         if dispatch.last_event_id:
             dropped = dropped | {names.LAST_EVENT.lower()}
         headers = call.request.headers.end_to_end(dropped)
         left_ms = max(int(dispatch.time_left * 1000), 1)
-        own = [
+        added = [
             (names.DEADLINE, str(left_ms)),
             (names.EXPECTED_UPSTREAM, dispatch.upstream.id),
         ]
         if dispatch.account:
-            own.append((names.ACCOUNT, dispatch.account))
+            added.append((names.ACCOUNT, dispatch.account))
         if call.generation is not None:
-            own.append((names.PRIORITY, str(min(dispatch.priority, MAX_PRIORITY))))
+            added.append((names.PRIORITY, str(min(dispatch.priority, MAX_PRIORITY))))
         if dispatch.fetch_from is not None:
-            own.append((names.FETCH_CACHE, dispatch.fetch_from.address))
+            added.append((names.FETCH_CACHE, dispatch.fetch_from.address))
         if dispatch.last_event_id:
-            own.append((names.LAST_EVENT, dispatch.last_event_id))
-        headers.extend((name.encode(), value.encode("latin-1")) for name, value in own)
+            added.append((names.LAST_EVENT, dispatch.last_event_id))
+        headers.extend(
+            (name.encode(), value.encode("latin-1")) for name, value in added
+        )
         return headers
 
     def matches_request(self, call: Call, head: h11.Response) -> bool:
-        """Return whether an answer is one to this call."""
+        """Return whether an answer carries the id of this call."""
         return is_for_request(head, names.REQUEST_ID, call.request_id)
 
     def response_kind(self, status: int, headers: Headers) -> ResponseKind:
-        """Return what the head of an answer says."""
+        """Return the kind of an answer, by its status and headers."""
         if status == 421:
             return ResponseKind.MOVED
         if names.NOT_RUN.lower() in headers:
@@ -98,11 +100,11 @@
         return ResponseKind.ANSWERED
 
     def statement(self, status: int, headers: Headers) -> Statement:
-        """Return what the head of an answer states of its upstream."""
+        """Return the rate limit, backoff and drain state in the head of an answer."""
         return STATEMENT_HEADERS.decode(status, headers)
 
     def caller_headers(self, headers: Headers) -> list[tuple[bytes, bytes]]:
-        """Return the headers of an upstream's answer that the caller gets."""
+        """Return the headers of an upstream's answer to forward to the caller."""
         return headers.end_to_end(NOT_RETURNED)
 
 
@@ -110,11 +112,11 @@
     return value.partition(":")[0].lower()
 
 
-def _patience(headers: Headers) -> float | None:
+def _caller_timeout(headers: Headers) -> float | None:
     value = headers.get(names.DEADLINE.lower())
     if value is None:
         return None
-    if not NUMBER.fullmatch(value):
+    if not NUMBER_PATTERN.fullmatch(value):
         raise BadRequest(400, f"{names.DEADLINE} is no number.")
     return float(value) / 1000.0
 
@@ -123,25 +125,27 @@
     counts = headers.get(names.TOKENS.lower())
     if counts is None:
         return None
-    # Tokens of the prompt, then the most that the answer may have.
-    found = TOKEN_COUNTS.fullmatch(counts)
-    if found is None:
+    # "PROMPT,MAX_OUTPUT": tokens of the prompt, then the limit for the answer.
+    matched = TOKEN_COUNTS.fullmatch(counts)
+    if matched is None:
         raise BadRequest(400, f"{names.TOKENS} is not two numbers.")
     hint = headers.get(names.LENGTH_HINT.lower(), "")
     return Generation(
         model=headers.get(names.MODEL.lower(), ""),
-        prompt_tokens=int(found[1]),
-        max_output_tokens=int(found[2]),
-        parts=_parts(headers.get(names.PROMPT_PARTS.lower(), "")),
-        expected_output_tokens=int(float(hint)) if NUMBER.fullmatch(hint) else None,
+        prompt_tokens=int(matched[1]),
+        max_output_tokens=int(matched[2]),
+        parts=_prompt_parts(headers.get(names.PROMPT_PARTS.lower(), "")),
+        expected_output_tokens=int(float(hint))
+        if NUMBER_PATTERN.fullmatch(hint)
+        else None,
     )
 
 
-def _parts(value: str) -> tuple[PromptPart, ...]:
+def _prompt_parts(value: str) -> tuple[PromptPart, ...]:
     parts: list[PromptPart] = []
     for item in value.split(",") if value else ():
-        found = PROMPT_PART.fullmatch(item)
-        if found is None or len(parts) == MAX_PARTS:
+        matched = PROMPT_PART.fullmatch(item)
+        if matched is None or len(parts) == MAX_PROMPT_PARTS:
             raise BadRequest(400, f"{names.PROMPT_PARTS} cannot be read.")
-        parts.append(PromptPart(found[1], int(found[2])))
+        parts.append(PromptPart(matched[1], int(matched[2])))
     return tuple(parts)
--- a/lynxchute/platform/names.py
+++ b/lynxchute/platform/names.py
@@ -1,4 +1,4 @@
-"""Names of the platform's headers and calls."""
+"""Names of the platform's headers, paths, tables and fields."""
 
 REQUEST_ID = "X-Request-Id"
 DEADLINE = "X-Deadline-Ms"
@@ -8,7 +8,7 @@
 UPSTREAM_ID = "X-Instance-Id"
 SIGNATURE = "X-Response-Stamp"
 NOT_RUN = "X-Not-Run"
-# How much longer the upstream that answers is cold.
+# Milliseconds until the answering upstream is warm.
 COLD_MS = "X-Cold-Ms"
 MODEL = "X-Model"
 TOKENS = "X-Token-Counts"
@@ -16,16 +16,16 @@
 LENGTH_HINT = "X-Length-Hint"
 PRIORITY = "X-Request-Priority"
 LAST_EVENT = "Last-Event-Id"
-# The address of an engine that hands over what it keeps of the prompt.
+# Address of an engine from which the receiver fetches cached parts of the prompt.
 FETCH_CACHE = "Kv-Fetch"
 RETRY_AFTER = "Retry-After"
-# The requests a second that the upstream that answers takes from all routers.
+# Requests per second that the answering upstream accepts from all routers together.
 UPSTREAM_LIMIT = "Server-Limit"
-# "1" from an upstream that takes no new work.
+# "1" from a draining upstream, which accepts no new requests.
 UPSTREAM_LEAVING = "Server-Leaving"
 
-# Only the router may set these towards an upstream: a caller that sends one
-# could take another account's place, rank or memory.
+# Only the router may set these headers for an upstream. If they were forwarded from a
+# caller, it could use another account's name, priority or cache memory.
 ROUTER_ONLY = frozenset(
     {
         DEADLINE.lower(),
@@ -44,24 +44,24 @@
 
 READY_PATH = "/lynxchute/readyz"
 REPORT_PATH = "/lynxchute/report"
-# What an engine keeps of prompts.
+# Lists the prompt parts in an engine's cache.
 CACHE_LIST = "/lynxchute/kv-list"
 
 ROWS_WRITE = "/lynxchute/rows-tx"
 ROWS_READ = "/lynxchute/rows-get"
 ROWS_FEED = "/lynxchute/rows-feed"
 
-# Tables that the operator and the upstreams write, and the key of the
-# newest configuration in the first of them.
+# The operator writes the first table and upstreams the one below. The key names the
+# row with the newest configuration.
 OPERATOR_TABLE = "op"
 CONFIGURATION_KEY = "config"
-# The rest of the key is the data centre.
+# Row keys for evacuations: this prefix, then the name of the data centre.
 EVACUATION_PREFIX = "evacuate/"
 UPSTREAM_TABLE = "servers"
-# In all that an upstream says of itself: the Unix millisecond of its start.
+# Field of upstream rows and load reports: start time in Unix milliseconds.
 STARTED = "born"
-# The requests that run there, and those that wait.
-RUNNING = "running"
-WAITING = "waiting"
-# The milliseconds for which it is still cold.
+# Fields of load reports: the number of running and of waiting requests.
+RUNNING_FIELD = "running"
+WAITING_FIELD = "waiting"
+# Field of upstream rows and load reports: milliseconds until the upstream is warm.
 COLD_REMAINING = "cold_remaining_ms"
--- a/lynxchute/platform/settings.py
+++ b/lynxchute/platform/settings.py
@@ -1,4 +1,4 @@
-"""Decode the settings file that the platform writes for a process."""
+"""Decode the YAML settings file that the platform writes for each process."""
 
 from __future__ import annotations
 
@@ -20,44 +20,45 @@
 from lynxchute.upstreams.rate_sharing import SHARINGS_BY_NAME, MostlyCentral
 
 SETTINGS_VARIABLE = "LYNXCHUTE_SETTINGS"
-# The port for metrics stands in the deploy file only, which hands it on here.
+# The metrics port is not in the settings file; the deploy file passes it in this
+# variable.
 METRICS_VARIABLE = "LYNXCHUTE_METRICS_PORT"
-# Where the other routers reach this one, as host:port, if a relay stands
-# between them.
+# host:port at which other routers reach this one if a proxy is between them.
 PEERS_VARIABLE = "LYNXCHUTE_PEERS_REACHED_AT"
 
-# Which way says what cold upstreams get; for comparisons on played days.
+# Algorithms for admission to cold upstreams and for sharing upstream rate limits, by
+# name; they are switched to compare algorithms in simulated days.
 COLD_VARIABLE = "LYNXCHUTE_COLD_ADMISSION"
 RATE_VARIABLE = "LYNXCHUTE_RATE_SHARING"
 
-# Features that are on, by their names with commas between, in place of those that the
-# settings ask for; "none" for none of them.
+# Comma-separated names of the enabled features, in place of those that the settings
+# ask for; "none" disables all.
 FEATURES_VARIABLE = "LYNXCHUTE_FEATURES"
 NO_FEATURES = "none"
-# What each entry under `contracts` in the settings asks for. A pool of upstreams is
-# shared by many accounts and routers; pressure is what slow readers do to memory.
-# `demand_lines` is named by hand only: where all routers die, it loses paid tokens.
+# Features that each entry under `contracts` in the settings enables. "pool" is for
+# upstreams shared by many accounts and routers, "pressure" for slow readers that fill
+# the memory. `demand_lines` must be named explicitly, because it loses paid tokens if
+# all routers die.
 FEATURES_BY_CONTRACT = {
     "pool": ("processor_guard", "fair_shares", "learned_speeds", "hedging"),
     "pressure": ("memory_guard",),
 }
 
-# Which of the ports for traffic between the VMs the routers use; counted from
-# the first one.
+# Offset of the routers' port in the range of ports for traffic between VMs.
 PEER_PORT_OFFSET = 0
 
 
 def decode_settings(
     text: str, environment: Mapping[str, str]
 ) -> Result[EdgeSettings, tuple[str, ...]]:
-    """Return the settings of a process, or everything that is wrong with them.
+    """Return the settings of a process, or a list of all errors in them.
 
     Parameters
     ----------
     text
-        The settings file.
+        Content of the settings file.
     environment
-        The variables of the process.
+        Environment variables of the process.
     """
     try:
         document = yaml.load(text, Loader=getattr(yaml, "CSafeLoader", yaml.SafeLoader))
@@ -65,26 +66,26 @@
         return Error((f"this is not YAML: {error}",))
     if not isinstance(document, dict):
         return Error(("the settings are no mapping",))
-    reader = _Reader(document)
+    reader = _SettingsReader(document)
     settings = EdgeSettings(
         vm=reader.text("node_name"),
         data_centre=reader.text("zone"),
         data_centres=tuple(reader.mapping("zones")),
         callers=reader.address("listen", "front"),
-        # Where the platform asks whether this router takes new connections.
+        # The platform's readiness checks arrive here.
         readiness=reader.address("listen", "ready"),
         peers=Address(reader.text("ip"), reader.first_port() + PEER_PORT_OFFSET),
         store=str(reader.address("platform", "address")),
         memory_mb=reader.number("limits", "memory_mb"),
         link_mbps=reader.limit("link_mbps", DEFAULT_LINK_MBPS),
-        # A share of one core, which is so many times as fast as a usual one.
+        # The share of a core, times the core's speed relative to a standard core.
         cores=reader.limit("cpu_share", 1.0) * reader.limit("cores", 1.0),
         metrics=_metrics(reader, environment),
         is_first_start=bool(document.get("bootstrap")),
-        cold_admission=_way(
+        cold_admission=_named_choice(
             reader, environment, COLD_VARIABLE, ADMISSIONS_BY_NAME, FirstRegistered.NAME
         ),
-        rate_sharing=_way(
+        rate_sharing=_named_choice(
             reader, environment, RATE_VARIABLE, SHARINGS_BY_NAME, MostlyCentral.NAME
         ),
         store_spans_parts=reader.flag("platform", "across"),
@@ -97,7 +98,7 @@
     return Ok(settings)
 
 
-def _metrics(reader: _Reader, environment: Mapping[str, str]) -> Address | None:
+def _metrics(reader: _SettingsReader, environment: Mapping[str, str]) -> Address | None:
     port = environment.get(METRICS_VARIABLE, "")
     if not port:
         return None
@@ -107,41 +108,41 @@
     return Address(reader.text("ip"), int(port))
 
 
-def _way(
-    reader: _Reader,
+def _named_choice(
+    reader: _SettingsReader,
     environment: Mapping[str, str],
     variable: str,
     known: Mapping[str, object],
-    usual: str,
+    default: str,
 ) -> str:
-    """Return the name of a decision's way that the environment asks for."""
-    name = environment.get(variable, "") or usual
+    """Return the algorithm name in an environment variable, or the default."""
+    name = environment.get(variable, "") or default
     if name not in known:
         listed = ", ".join(known)
         reader.findings.append(f"the variable {variable} is none of {listed}")
     return name
 
 
-def _features(reader: _Reader, environment: Mapping[str, str]) -> Features:
-    """Return the features that the environment names, or that the contracts ask for."""
-    named = environment.get(FEATURES_VARIABLE, "")
-    wanted: list[str] = []
-    if not named:
-        for contract in reader.texts("contracts"):
-            wanted.extend(FEATURES_BY_CONTRACT.get(contract, ()))
-    elif named != NO_FEATURES:
-        wanted = named.split(",")
+def _features(reader: _SettingsReader, environment: Mapping[str, str]) -> Features:
+    """Return the features enabled by the environment, or else by the contracts."""
+    value = environment.get(FEATURES_VARIABLE, "")
+    requested: list[str] = []
+    if not value:
+        for contract in reader.string_list("contracts"):
+            requested.extend(FEATURES_BY_CONTRACT.get(contract, ()))
+    elif value != NO_FEATURES:
+        requested = value.split(",")
     known = [field.name for field in attrs.fields(Features)]
     listed = ", ".join(known)
-    for name in wanted:
+    for name in requested:
         if name not in known:
             finding = f"{FEATURES_VARIABLE} has {name}, which is none of {listed}"
             reader.findings.append(f"the variable {finding}")
-    return Features(**{name: True for name in known if name in wanted})
+    return Features(**{name: True for name in known if name in requested})
 
 
 def _peers_reached_at(
-    reader: _Reader, environment: Mapping[str, str]
+    reader: _SettingsReader, environment: Mapping[str, str]
 ) -> Address | None:
     text = environment.get(PEERS_VARIABLE, "")
     if not text:
@@ -153,37 +154,37 @@
         return None
 
 
-def _bounds(reader: _Reader) -> DeploymentBounds:
-    usual = DeploymentBounds()
+def _bounds(reader: _SettingsReader) -> DeploymentBounds:
+    defaults = DeploymentBounds()
     return DeploymentBounds(
-        # Seconds that a process may take between SIGTERM and SIGKILL.
-        stop=reader.bound("grace_s", usual.stop),
-        # Seconds after which a leaving upstream must get nothing new.
-        drain=reader.bound("drain_timeout_ms", usual.drain * 1000) / 1000.0,
-        # Seconds until a new configuration must be in force.
-        configuration=reader.bound("config_apply_ms", usual.configuration * 1000)
+        # Seconds between SIGTERM and SIGKILL.
+        stop=reader.bound("grace_s", defaults.stop),
+        # Seconds after which a draining upstream must receive no new requests.
+        drain=reader.bound("drain_timeout_ms", defaults.drain * 1000) / 1000.0,
+        # Seconds within which a new configuration must take effect.
+        configuration=reader.bound("config_apply_ms", defaults.configuration * 1000)
         / 1000.0,
-        # What a cold upstream may get in a second: so many times what it bears, and a
-        # number on top.
-        cold_factor=reader.bound("cold_over", usual.cold_factor),
-        cold_extra=reader.bound("cold_slack", usual.cold_extra),
-        # Second sends that the whole fleet may make in a window: a share of
-        # the requests, and a number on top.
-        retry_share=reader.bound("retry_budget_ratio", usual.retry_share),
-        retry_extra=reader.bound("retry_budget_extra", usual.retry_extra),
-        retry_window=reader.bound("budget_window_s", usual.retry_window),
+        # Requests per second allowed to a cold upstream: a multiple of its rate while
+        # cold, plus a constant.
+        cold_factor=reader.bound("cold_over", defaults.cold_factor),
+        cold_extra=reader.bound("cold_slack", defaults.cold_extra),
+        # Retries allowed to the whole fleet in a window of seconds: a share of the
+        # requests, plus a constant.
+        retry_share=reader.bound("retry_budget_ratio", defaults.retry_share),
+        retry_extra=reader.bound("retry_budget_extra", defaults.retry_extra),
+        retry_window=reader.bound("budget_window_s", defaults.retry_window),
     )
 
 
-class _Reader:
-    """Read a document and collect everything that is missing or odd."""
+class _SettingsReader:
+    """Read typed values from a document and collect errors instead of raising."""
 
     def __init__(self, document: dict[str, Any]) -> None:
         self.findings: list[str] = []
         self._document = document
 
     def value(self, *path: str) -> Any:
-        """Return what stands at a path, or None with a finding."""
+        """Return the value at a path; if it is missing, record that and return None."""
         found: Any = self._document
         for name in path:
             if not isinstance(found, dict) or found.get(name) is None:
@@ -193,16 +194,16 @@
         return found
 
     def text(self, *path: str) -> str:
-        """Return a text."""
+        """Return a required value as a string."""
         return str(self.value(*path) or "")
 
     def mapping(self, *path: str) -> dict[str, Any]:
-        """Return a mapping."""
+        """Return a required mapping, or an empty one for any other type."""
         found = self.value(*path)
         return found if isinstance(found, dict) else {}
 
     def number(self, *path: str) -> float:
-        """Return a number."""
+        """Return a required number, or 0 with a recorded error."""
         found = self.value(*path)
         if isinstance(found, int | float):
             return float(found)
@@ -210,34 +211,34 @@
             self.findings.append(f"{'.'.join(path)} is no number")
         return 0.0
 
-    def texts(self, name: str) -> list[str]:
-        """Return a list of texts; it is empty where nothing says so."""
+    def string_list(self, name: str) -> list[str]:
+        """Return the strings of an optional list."""
         found = self._document.get(name)
         if not isinstance(found, list):
             return []
         return [item for item in found if isinstance(item, str)]
 
     def flag(self, section: str, name: str) -> bool:
-        """Return whether something is on; it is off where nothing says so."""
+        """Return an optional boolean; it is false by default."""
         found = self._document.get(section)
         return isinstance(found, dict) and found.get(name) is True
 
-    def bound(self, name: str, usual: float) -> float:
-        """Return a figure of the deployment, or the usual one where it has none."""
-        return self._number_or("bounds", name, usual)
+    def bound(self, name: str, default: float) -> float:
+        """Return a number from `bounds`, or the default."""
+        return self._number_or("bounds", name, default)
 
-    def limit(self, name: str, usual: float) -> float:
-        """Return what the process has, or what is usual where nothing says so."""
-        return self._number_or("limits", name, usual)
+    def limit(self, name: str, default: float) -> float:
+        """Return a number from `limits`, or the default."""
+        return self._number_or("limits", name, default)
 
-    def _number_or(self, section: str, name: str, usual: float) -> float:
+    def _number_or(self, section: str, name: str, default: float) -> float:
         found = self._document.get(section)
         if not isinstance(found, dict) or found.get(name) is None:
-            return usual
+            return default
         return self.number(section, name)
 
     def address(self, *path: str) -> Address:
-        """Return an address."""
+        """Return a required address, or an empty one with a recorded error."""
         found = self.value(*path)
         if found is None:
             return Address("", 0)
@@ -248,7 +249,7 @@
             return Address("", 0)
 
     def first_port(self) -> int:
-        """Return the first of the ports between the VMs."""
+        """Return the first port of the range for traffic between VMs."""
         found = self.value("internal_ports")
         if isinstance(found, list) and found and isinstance(found[0], int):
             return found[0]
--- a/lynxchute/platform/settings_file.py
+++ b/lynxchute/platform/settings_file.py
@@ -1,4 +1,4 @@
-"""Read the settings file that the environment names."""
+"""Find and read the settings file named by an environment variable."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 def settings_path() -> Path:
-    """Return where the settings file is."""
+    """Return the path of the settings file."""
     return Path(os.environ.get(SETTINGS_VARIABLE, ""))
 
 
 def read_settings(path: Path) -> Result[EdgeSettings, tuple[str, ...]]:
-    """Return the settings in a file, or everything that is wrong with them."""
+    """Return the settings in a file, or a list of all errors in them."""
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -25,8 +25,8 @@
     return decode_settings(text, os.environ)
 
 
-def stamp(path: Path) -> object:
-    """Return what tells one state of a file from the next."""
+def file_state(path: Path) -> object:
+    """Return a value that changes whenever the file changes."""
     try:
         status = path.stat()
     except OSError as error:
--- a/lynxchute/platform/statements.py
+++ b/lynxchute/platform/statements.py
@@ -1,4 +1,4 @@
-"""How the platform's upstreams state what they want."""
+"""Headers in which the platform's upstreams send their rate limit and drain state."""
 
 from lynxchute.platform import names
 from lynxchute.upstreams.statement_headers import StatementHeaders
--- a/lynxchute/platform/store.py
+++ b/lynxchute/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store, as a `Store` of the product."""
+"""Adapter that makes the platform's metadata store a `Store`."""
 
 from __future__ import annotations
 
@@ -26,21 +26,21 @@
     Write,
 )
 
-# The store answers in 4 ms, and in 240 ms where it is sixty times slower.
+# Seconds. The store normally answers in 4 ms, and in 240 ms if sixty times slower.
 ANSWER_TIMEOUT = 1.0
 CONNECT_TIMEOUT = 0.5
-# Rows of one answer, at most; the store's own limit.
-PAGE = 500
+# Maximum rows per response; the store enforces the same limit.
+PAGE_ROWS = 500
 MAX_CONNECTIONS = 8
 
 
 class PlatformStore(Store):
-    """Speak to the platform's store over HTTP with JSON.
+    """Client of the platform's store, with JSON over HTTP.
 
     Parameters
     ----------
     address
-        The store as ``IP:port``.
+        Address of the store, as ``IP:port``.
     """
 
     def __init__(self, address: str) -> None:
@@ -48,7 +48,7 @@
         self._client = HttpClient(address, max_connections=MAX_CONNECTIONS)
 
     async def write(self, write: Write) -> Outcome:
-        """Apply a write."""
+        """Apply a conditional write and return whether it was committed."""
         body = _encode_write(write)
         asked_at = asyncio.get_running_loop().time()
         try:
@@ -63,7 +63,7 @@
             raise StoreUnavailable(str(error)) from error
         if status in (429, 503):
             raise StoreUnavailable(f"the store answered {status}")
-        self._note_time(answer, asked_at)
+        self._record_time(answer, asked_at)
         if status == 200:
             return Committed(int(answer["ver"]))
         if status == 412:
@@ -73,49 +73,49 @@
         raise OutcomeUnknown(f"the store answered {status}")
 
     async def scan(self, table: str, *, part: str = "") -> Snapshot:
-        """Return all rows of a part of a table."""
+        """Read all rows of a table, or of one part of it, in pages."""
         rows: list[Row] = []
         version: int | None = None
-        first = ""
+        start_key = ""
         while True:
-            question = {"table": table, "part": part, "limit": PAGE}
-            if first:
-                question["from"] = first
-            answer = await self._ask(ROWS_READ, question, wait=0.0)
+            query = {"table": table, "part": part, "limit": PAGE_ROWS}
+            if start_key:
+                query["from"] = start_key
+            answer = await self._get(ROWS_READ, query, wait=0.0)
             page = _decode_rows(answer, table)
             rows.extend(page)
             version = int(answer["ver"]) if version is None else version
             if not answer.get("has_more") or not page:
                 return Snapshot(tuple(rows), version)
-            # The lowest key after the last one that came.
-            first = page[-1].id.key + "\0"
+            # The smallest key that sorts after the last one received.
+            start_key = page[-1].id.key + "\0"
 
     async def changes(self, table: str, *, after: int, wait: float) -> Changes:
-        """Return what changed in a table after a version."""
-        question = {
+        """Long-poll for changes to a table after a version, at most `wait` seconds."""
+        query = {
             "table": table,
             "after_revision": after,
             "wait_ms": int(wait * 1000),
         }
-        answer = await self._ask(ROWS_FEED, question, wait=wait)
+        answer = await self._get(ROWS_FEED, query, wait=wait)
         return Changes(tuple(_decode_rows(answer, table)), int(answer["ver"]))
 
     def move(self, address: str) -> None:
-        """Go on with the same store at another address."""
+        """Reconnect to the same store at another address."""
         self._client.close()
         self._client = HttpClient(address, max_connections=MAX_CONNECTIONS)
 
     def close(self) -> None:
-        """Drop the idle connections."""
+        """Close the idle connections."""
         self._client.close()
 
-    async def _ask(
-        self, path: str, question: dict[str, Any], *, wait: float
+    async def _get(
+        self, path: str, query: dict[str, Any], *, wait: float
     ) -> dict[str, Any]:
         asked_at = asyncio.get_running_loop().time()
         try:
             status, answer = await self._client.get_json(
-                f"{path}?{urlencode(question)}", timeouts=_timeouts(wait)
+                f"{path}?{urlencode(query)}", timeouts=_timeouts(wait)
             )
         except ExchangeError as error:
             raise StoreUnavailable(str(error)) from error
@@ -125,14 +125,14 @@
             raise StoreUnavailable(f"the store answered {status}")
         if status != 200 or not isinstance(answer, dict):
             raise StoreRefused(f"the store answered {status}: {answer}")
-        self._note_time(answer, asked_at)
+        self._record_time(answer, asked_at)
         return answer
 
-    def _note_time(self, answer: Any, asked_at: float) -> None:
+    def _record_time(self, answer: Any, asked_at: float) -> None:
         if isinstance(answer, dict) and "now_ms" in answer:
             now = asyncio.get_running_loop().time()
-            told_ms = int(answer["now_ms"])
-            self.clock.observe(told_ms=told_ms, now=now, asked_at=asked_at)
+            now_ms = int(answer["now_ms"])
+            self.clock.observe(told_ms=now_ms, now=now, asked_at=asked_at)
 
 
 def _timeouts(wait: float) -> Timeouts:
@@ -169,7 +169,7 @@
     for item in answer.get("rows", ()):
         row_id = RowId(item.get("table", table), item["key"], item.get("part", ""))
         value = base64.b64decode(item.get("value") or "")
-        # A row with version 0 says that there is none.
+        # The store reports a missing row with version 0.
         deleted = bool(item.get("deleted")) or not item.get("ver")
         rows.append(Row(row_id, value, int(item.get("ver", 0)), deleted))
     return rows
--- a/lynxchute/platform/upstreams.py
+++ b/lynxchute/platform/upstreams.py
@@ -1,4 +1,4 @@
-"""Decode the entries that upstreams write about themselves."""
+"""Decode the rows with which upstreams register themselves in the store."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def decode_upstream(row: Row) -> Result[Upstream, str]:
-    """Return the upstream of a row, or what is wrong with the row."""
+    """Return the upstream in a row, or an error that says why it is invalid."""
     try:
         return Ok(_upstream(row.id.key, RowValue.decode(row.value)))
     except ValueError as error:
@@ -25,17 +25,18 @@
     address = Address.parse(value.text("address"))
     if not address.port:
         raise ValueError("nobody listens at port 0")
-    # Not used here, but an entry without them is no upstream's.
+    # The router uses neither field, but every valid upstream row has both; the lookups
+    # raise if one is missing.
     value.text("version")
     value.count("sequence")
     return Upstream(
-        # The id stands only in the row's key. A process that starts again may have
-        # the one that it had before; its start tells the two apart.
+        # Only the row's key holds the id. A restarted process may reuse its old id; the
+        # start time tells the two processes apart.
         id=upstream_id,
         service=value.text("service"),
         address=str(address),
         data_centre=value.text("zone"),
-        # Any other state takes no new work.
+        # In any state but "ready" an upstream accepts no new requests.
         is_leaving=value.text("state") != READY,
         slots=value.count("slots", least=1),
         warm_up=value.number(names.COLD_REMAINING) / 1000.0,
