--- a/lynxchute/explain/__init__.py
+++ b/lynxchute/explain/__init__.py
@@ -1,1 +1,1 @@
-"""Tell from routers' logs what became of requests, and why."""
+"""Analyse router logs: the outcomes of requests and their causes."""
--- a/lynxchute/explain/command.py
+++ b/lynxchute/explain/command.py
@@ -1,6 +1,6 @@
 """The command ``lynxchute explain``.
 
-Exit statuses: 0 done, 1 nothing found, 2 lines that are no router's.
+Exit statuses: 0 success, 1 request not found, 2 invalid log lines or arguments.
 """
 
 from __future__ import annotations
@@ -16,18 +16,21 @@
 
 from lynxchute.explain.log_lines import LogLine, LogReader
 from lynxchute.explain.losses import Losses
-from lynxchute.explain.payers import Payers, Tally
+from lynxchute.explain.payers import OutcomeTallies, OutcomeTally
 
 EXIT_DONE = 0
-EXIT_NOTHING = 1
-EXIT_STRANGE = 2
-# Rows of a table, those that lost most first; large fleets have hundreds of VMs.
+EXIT_NOT_FOUND = 1
+EXIT_INVALID = 2
+# Maximum rows of a table, sorted by lost and late requests. Large fleets have hundreds
+# of VMs.
 MAX_ROWS = 15
-# What each line says of itself and the story need not repeat.
-NOT_TOLD = frozenset({"time", "level", "event", "vm", "request_id"})
+# Fields left out of the values on a printed line: shown elsewhere or not needed.
+HIDDEN_FIELDS = frozenset({"time", "level", "event", "vm", "request_id"})
 
 
-def _lines(files: list[Path], reader: LogReader, stack: ExitStack) -> Iterator[LogLine]:
+def _read_lines(
+    files: list[Path], reader: LogReader, stack: ExitStack
+) -> Iterator[LogLine]:
     if not files:
         yield from reader.read(sys.stdin, "standard input")
     for file in files:
@@ -35,22 +38,22 @@
         yield from reader.read(opened, str(file))
 
 
-def _tell(lines: Iterator[LogLine], request_id: str, console: Console) -> bool:
-    """Print a request's lines in order; return whether there were any."""
-    found = sorted(
+def _print_request(lines: Iterator[LogLine], request_id: str, console: Console) -> bool:
+    """Print a request's log lines by time; return whether any were found."""
+    matching = sorted(
         (line for line in lines if line.request_id == request_id),
         key=lambda line: line.time,
     )
-    for line in found:
-        since = line.time - found[0].time
-        told = []
+    for line in matching:
+        elapsed = line.time - matching[0].time
+        details = []
         for name, value in line.fields.items():
-            if name not in NOT_TOLD:
-                told.append(f"{name}={value}")
+            if name not in HIDDEN_FIELDS:
+                details.append(f"{name}={value}")
         vm = line.fields.get("vm", "")
-        text = f"{since:8.3f} s  {vm}  {line.event}: {', '.join(told)}"
+        text = f"{elapsed:8.3f} s  {vm}  {line.event}: {', '.join(details)}"
         console.print(text, markup=False, soft_wrap=True)
-    return bool(found)
+    return bool(matching)
 
 
 def _print_losses(losses: Losses, console: Console) -> None:
@@ -63,18 +66,18 @@
         share = count / losses.requests[route]
         table.add_row(route, cause, str(count), f"{share:.1%}")
     console.print(table)
-    moments = Table(title=f"by moment, {losses.step:g} s each")
-    moments.add_column("from second")
-    moments.add_column("requests by cause")
-    first = min(losses.by_moment(), default=0)
-    for moment, causes in losses.by_moment().items():
-        told = ", ".join(f"{cause} {count}" for cause, count in causes.most_common())
-        moments.add_row(str(moment - first), told)
-    console.print(moments)
+    intervals = Table(title=f"by moment, {losses.step:g} s each")
+    intervals.add_column("from second")
+    intervals.add_column("requests by cause")
+    first = min(losses.by_interval(), default=0)
+    for interval, causes in losses.by_interval().items():
+        details = ", ".join(f"{cause} {count}" for cause, count in causes.most_common())
+        intervals.add_row(str(interval - first), details)
+    console.print(intervals)
     console.print(f"{sum(losses.requests.values())} requests in all")
 
 
-def _print_payers(payers: Payers, console: Console) -> None:
+def _print_payers(payers: OutcomeTallies, console: Console) -> None:
     tallies_by_dimension = {
         "data centre": payers.by_data_centre(),
         "VM": payers.by_vm,
@@ -95,10 +98,10 @@
     console.print(f"{payers.probes} probes of the configuration")
 
 
-def _cells(tally: Tally) -> list[str]:
+def _cells(tally: OutcomeTally) -> list[str]:
     causes = tally.lost_by_cause.most_common()
-    told = ", ".join(f"{cause} {count}" for cause, count in causes)
-    return [str(tally.requests), str(tally.late), str(tally.lost), told]
+    details = ", ".join(f"{cause} {count}" for cause, count in causes)
+    return [str(tally.requests), str(tally.late), str(tally.lost), details]
 
 
 def run(
@@ -108,49 +111,49 @@
     payers: bool = False,
     step: float = 4.0,
 ) -> None:
-    """Tell from routers' logs what became of requests.
+    """Explain the outcomes of requests from router logs.
 
     Parameters
     ----------
     file
-        Logs of routers; standard input where none is given.
+        Log files of routers; standard input if none is given.
     request
-        Tell the story of the request with this id.
+        Print all log lines of the request with this id.
     lost
-        Count the requests that were not on time, by route, cause and moment.
+        Count the requests that were not on time, by route, cause and time interval.
     payers
-        Count what became of requests by data centre, VM, client account and route.
+        Count outcomes of requests by data centre, VM, client account and route.
     step
-        Seconds of a moment in the table of those lost.
+        Length of a time interval in the table of lost requests, in seconds.
     """
     console = Console(width=None if sys.stdout.isatty() else 140)
     if not request and not lost and not payers:
         print("say --request ID, --lost or --payers", file=sys.stderr)
-        sys.exit(EXIT_STRANGE)
+        sys.exit(EXIT_INVALID)
     reader = LogReader()
-    is_found = True
+    has_lines = True
     with ExitStack() as stack:
-        lines = _lines(list(file), reader, stack)
+        lines = _read_lines(list(file), reader, stack)
         if request:
-            is_found = _tell(lines, request, console)
+            has_lines = _print_request(lines, request, console)
         elif payers:
-            counts = Payers()
+            counts = OutcomeTallies()
             for line in lines:
-                counts.take(line)
+                counts.add_line(line)
             _print_payers(counts, console)
         else:
             losses = Losses(step=step)
             for line in lines:
-                losses.take(line)
+                losses.add_line(line)
             _print_losses(losses, console)
     for finding in reader.findings:
         print(finding, file=sys.stderr)
-    if reader.strange:
-        print(f"{reader.strange} lines are no router's", file=sys.stderr)
-        sys.exit(EXIT_STRANGE)
-    if not is_found:
+    if reader.invalid_count:
+        print(f"{reader.invalid_count} lines are no router's", file=sys.stderr)
+        sys.exit(EXIT_INVALID)
+    if not has_lines:
         print(f"no line is about request {request}", file=sys.stderr)
-    sys.exit(EXIT_DONE if is_found else EXIT_NOTHING)
+    sys.exit(EXIT_DONE if has_lines else EXIT_NOT_FOUND)
 
 
 def main(arguments: list[str]) -> None:
@@ -159,6 +162,6 @@
     Parameters
     ----------
     arguments
-        What follows ``lynxchute explain``.
+        Arguments after ``lynxchute explain``.
     """
     defopt.run(run, argv=arguments)
--- a/lynxchute/explain/log_lines.py
+++ b/lynxchute/explain/log_lines.py
@@ -1,4 +1,4 @@
-"""Read the lines that routers log."""
+"""Parse router logs, which have one JSON object per line."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 import attrs
 
-# Lines that are not ours and are named one by one; the others are counted.
-MAX_NAMED = 20
+# Invalid lines that are reported one by one; further ones are only counted.
+MAX_FINDINGS = 20
 
 
 @attrs.frozen
@@ -19,9 +19,9 @@
     Attributes
     ----------
     time
-        Seconds on the router's time of day.
+        Wall-clock time of the router, in seconds.
     fields
-        All that the line says.
+        The whole JSON object, with time and event.
     """
 
     time: float
@@ -30,46 +30,45 @@
 
     @property
     def request_id(self) -> str:
-        """Return the request that it is about; empty where it is about none."""
+        """Return the id of the request, or an empty string without one."""
         return str(self.fields.get("request_id", ""))
 
 
 @attrs.define
 class LogReader:
-    """Read lines one by one, and keep what is wrong with some.
+    """Parse lines one by one and record the invalid ones.
 
-    What stands before the JSON object, as collectors of logs write it, is passed
-    over.
+    Text before the JSON object is ignored, since log collectors add a prefix.
 
     Attributes
     ----------
     findings
-        Where lines are not those of a router; at most `MAX_NAMED` are named.
+        Positions of invalid lines; at most `MAX_FINDINGS`.
     strange
-        How many there are in all.
+        Number of all invalid lines.
     """
 
     findings: list[str] = attrs.Factory(list)
-    strange: int = 0
+    invalid_count: int = 0
 
     def read(self, lines: Iterable[str], name: str) -> Iterator[LogLine]:
-        """Yield the lines of a router."""
+        """Yield the valid log lines; `name` is the source shown in findings."""
         for number, text in enumerate(lines, 1):
             if not text.strip():
                 continue
-            line = _decoded(text)
+            line = _decode_line(text)
             if line is None:
-                self._note(f"{name}:{number}: no line of a router")
+                self._record_invalid(f"{name}:{number}: no line of a router")
                 continue
             yield line
 
-    def _note(self, finding: str) -> None:
-        self.strange += 1
-        if len(self.findings) < MAX_NAMED:
+    def _record_invalid(self, finding: str) -> None:
+        self.invalid_count += 1
+        if len(self.findings) < MAX_FINDINGS:
             self.findings.append(finding)
 
 
-def _decoded(text: str) -> LogLine | None:
+def _decode_line(text: str) -> LogLine | None:
     start = text.find("{")
     if start < 0:
         return None
--- a/lynxchute/explain/losses.py
+++ b/lynxchute/explain/losses.py
@@ -1,4 +1,4 @@
-"""Why requests were not on time, counted by route, cause and moment."""
+"""Count requests that were not on time, by route, cause and time interval."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from lynxchute.explain.log_lines import LogLine
 
 ON_TIME = "on time"
-# Searches for tokens that failed are kept until their request ends; as many as are
-# open at once on a large fleet.
-MAX_OPEN = 50_000
+# Failed searches for tokens kept until their request ends. A large fleet has about this
+# many requests open at once.
+MAX_FAILED_SEARCHES = 50_000
 
 
 @attrs.frozen
@@ -21,90 +21,90 @@
     Attributes
     ----------
     moment
-        When it began, in whole steps of the table, in seconds.
+        Start of the time interval in which the request began, in seconds.
     """
 
     route: str
     cause: str
-    moment: int
+    interval_start: int
 
 
 @attrs.define
 class Losses:
-    """Count requests by what became of them.
+    """Counts of requests and of those that were not on time.
 
     Attributes
     ----------
     step
-        Seconds of a moment in the table.
+        Length of a time interval, in seconds.
     requests
-        Requests that ended, by route.
+        Number of ended requests by route.
     counts
-        How many were lost how.
+        Number of lost requests by route, cause and time interval.
     """
 
     step: float = 4.0
     requests: Counter[str] = attrs.Factory(Counter)
     counts: Counter[Loss] = attrs.Factory(Counter)
-    _searches: OrderedDict[str, LogLine] = attrs.Factory(OrderedDict)
+    _failed_searches: OrderedDict[str, LogLine] = attrs.Factory(OrderedDict)
 
-    def take(self, line: LogLine) -> None:
-        """Take one line of a log."""
+    def add_line(self, line: LogLine) -> None:
+        """Count the request that a line ends, or keep a failed token search."""
         if line.event == "no tokens for a request":
-            self._searches[line.request_id] = line
-            if len(self._searches) > MAX_OPEN:
-                self._searches.popitem(last=False)
+            self._failed_searches[line.request_id] = line
+            if len(self._failed_searches) > MAX_FAILED_SEARCHES:
+                self._failed_searches.popitem(last=False)
         elif line.event == "request refused":
             self._count("(not admitted)", f"refused: {line.fields.get('reason')}", line)
         elif line.event == "request ended":
-            search = self._searches.pop(line.request_id, None)
+            failed_search = self._failed_searches.pop(line.request_id, None)
             route = str(line.fields.get("route", ""))
-            self._count(route, cause_of(line, search), line)
+            self._count(route, loss_cause(line, failed_search), line)
 
     def _count(self, route: str, cause: str, line: LogLine) -> None:
         self.requests[route] += 1
         if cause == ON_TIME:
             return
         began = line.time - float(line.fields.get("seconds") or 0.0)
-        moment = int(began // self.step * self.step)
-        self.counts[Loss(route, cause, moment)] += 1
+        interval_start = int(began // self.step * self.step)
+        self.counts[Loss(route, cause, interval_start)] += 1
 
     def by_cause(self) -> Counter[tuple[str, str]]:
-        """Return how many were lost, by route and cause."""
-        found: Counter[tuple[str, str]] = Counter()
+        """Return the number of lost requests by route and cause."""
+        totals: Counter[tuple[str, str]] = Counter()
         for loss, count in self.counts.items():
-            found[loss.route, loss.cause] += count
-        return found
+            totals[loss.route, loss.cause] += count
+        return totals
 
-    def by_moment(self) -> dict[int, Counter[str]]:
-        """Return how many were lost, by moment and cause."""
-        found: dict[int, Counter[str]] = {}
+    def by_interval(self) -> dict[int, Counter[str]]:
+        """Return the number of lost requests by time interval and cause."""
+        totals: dict[int, Counter[str]] = {}
         for loss, count in self.counts.items():
-            found.setdefault(loss.moment, Counter())[loss.cause] += count
-        return dict(sorted(found.items()))
+            totals.setdefault(loss.interval_start, Counter())[loss.cause] += count
+        return dict(sorted(totals.items()))
 
 
-def cause_of(line: LogLine, search: LogLine | None) -> str:
+def loss_cause(line: LogLine, failed_search: LogLine | None) -> str:
     """Return why a request was not on time, or `ON_TIME`.
 
     Parameters
     ----------
     line
-        Its last line.
+        Log line at the end of the request.
     search
-        The search for its tokens that failed, if one did.
+        Log line of the failed search for budget tokens, if there was one.
     """
     outcome = str(line.fields.get("outcome", ""))
     if outcome == "left":
         return "left by its caller"
     if outcome == "served":
-        return _lateness(line)
-    if outcome.startswith("refused: budget") and search is not None:
-        return _token_cause(search)
+        return _lateness_cause(line)
+    if outcome.startswith("refused: budget") and failed_search is not None:
+        return _token_cause(failed_search)
     return outcome
 
 
-def _lateness(line: LogLine) -> str:
+def _lateness_cause(line: LogLine) -> str:
     fields = line.fields
     objective = float(fields.get("objective") or 0.0)
     if not objective:
@@ -121,8 +121,8 @@
     return ON_TIME
 
 
-def _token_cause(search: LogLine) -> str:
-    fields = search.fields
+def _token_cause(failed_search: LogLine) -> str:
+    fields = failed_search.fields
     if int(fields.get("unused") or 0) < int(fields.get("tokens") or 0):
         return "refused: no tokens left"
     if not fields.get("store_answers"):
--- a/lynxchute/explain/payers.py
+++ b/lynxchute/explain/payers.py
@@ -1,4 +1,4 @@
-"""Who pays under load: requests by account, VM, data centre, route and reason."""
+"""Count outcomes of requests by client account, VM, data centre and route."""
 
 from __future__ import annotations
 
@@ -7,27 +7,27 @@
 import attrs
 
 from lynxchute.explain.log_lines import LogLine
-from lynxchute.explain.losses import ON_TIME, cause_of
+from lynxchute.explain.losses import ON_TIME, loss_cause
 
-# Refusals that say nothing of load: the caller asked for what no configuration gives,
-# or asked which configuration is in force.
+# Refusals that are not caused by load: the route or the API key is unknown, or the
+# caller checks which configuration is in effect.
 PROBE_REASONS = frozenset({"no-route", "unauthorized", "configuration-stale"})
-NOT_NAMED = "(not known)"
+UNKNOWN = "(not known)"
 LATE_PREFIX = "late"
 
 
 @attrs.define
-class Tally:
-    """Requests of one account, VM, data centre or route.
+class OutcomeTally:
+    """Outcome counts of one account, VM, data centre or route.
 
     Attributes
     ----------
     requests
-        All that ended.
+        Number of all ended requests.
     late
-        Those served late.
+        Number of requests served late.
     lost_by_cause
-        Those that were refused, left or broken off.
+        Number of requests that were refused, aborted by the caller or cut off.
     """
 
     requests: int = 0
@@ -35,45 +35,45 @@
     lost_by_cause: Counter[str] = attrs.Factory(Counter)
 
     def count(self, cause: str) -> None:
-        """Count a request that ended so."""
+        """Count a request by its loss cause or `ON_TIME`."""
         self.requests += 1
         if cause.startswith(LATE_PREFIX):
             self.late += 1
         elif cause != ON_TIME:
             self.lost_by_cause[cause] += 1
 
-    def add(self, other: Tally) -> None:
-        """Count all that another tally has."""
+    def add(self, other: OutcomeTally) -> None:
+        """Add the counts of another tally."""
         self.requests += other.requests
         self.late += other.late
         self.lost_by_cause.update(other.lost_by_cause)
 
     @property
     def lost(self) -> int:
-        """Return how many were not served."""
+        """Return the number of requests that were not served."""
         return sum(self.lost_by_cause.values())
 
 
 @attrs.define
-class Payers:
-    """Count what became of requests, by each of several dimensions.
+class OutcomeTallies:
+    """Outcome counts along several dimensions.
 
     Attributes
     ----------
     by_vm, by_account, by_route
         Tallies by name.
     probes
-        Requests that tell which configuration is in force; they count nowhere else.
+        Refusals with one of `PROBE_REASONS`; they are not counted elsewhere.
     """
 
-    by_vm: dict[str, Tally] = attrs.Factory(dict)
-    by_account: dict[str, Tally] = attrs.Factory(dict)
-    by_route: dict[str, Tally] = attrs.Factory(dict)
+    by_vm: dict[str, OutcomeTally] = attrs.Factory(dict)
+    by_account: dict[str, OutcomeTally] = attrs.Factory(dict)
+    by_route: dict[str, OutcomeTally] = attrs.Factory(dict)
     probes: int = 0
     _data_centre_by_vm: dict[str, str] = attrs.Factory(dict)
 
-    def take(self, line: LogLine) -> None:
-        """Take one line of a log."""
+    def add_line(self, line: LogLine) -> None:
+        """Count the request that a line ends, or record its VM's data centre."""
         fields = line.fields
         if line.event == "started":
             vm = str(fields.get("vm", ""))
@@ -85,15 +85,15 @@
                 return
             self._count(line, f"refused: {reason}")
         elif line.event == "request ended":
-            self._count(line, cause_of(line, None))
+            self._count(line, loss_cause(line, None))
 
-    def by_data_centre(self) -> dict[str, Tally]:
-        """Return the tallies of VMs together, by the data centre that each named."""
-        found: dict[str, Tally] = {}
+    def by_data_centre(self) -> dict[str, OutcomeTally]:
+        """Return tallies by data centre, summed over its VMs."""
+        totals: dict[str, OutcomeTally] = {}
         for vm, tally in self.by_vm.items():
-            name = self._data_centre_by_vm.get(vm, NOT_NAMED)
-            found.setdefault(name, Tally()).add(tally)
-        return found
+            name = self._data_centre_by_vm.get(vm, UNKNOWN)
+            totals.setdefault(name, OutcomeTally()).add(tally)
+        return totals
 
     def _count(self, line: LogLine, cause: str) -> None:
         for tallies, field in (
@@ -101,5 +101,5 @@
             (self.by_account, "account"),
             (self.by_route, "route"),
         ):
-            name = str(line.fields.get(field) or NOT_NAMED)
-            tallies.setdefault(name, Tally()).count(cause)
+            name = str(line.fields.get(field) or UNKNOWN)
+            tallies.setdefault(name, OutcomeTally()).count(cause)
