--- a/tests/platform_support.py
+++ b/tests/platform_support.py
@@ -1,4 +1,4 @@
-"""A small deployment of the platform's stand-ins with routers in one process."""
+"""Test deployment: routers and simulated platform services in one process."""
 
 import asyncio
 import contextlib
@@ -19,8 +19,8 @@
 KEY = "key-of-kanda"
 ACCOUNT = "kanda"
 DATA_CENTRES = ("a", "b")
-# Below the ports that the kernel gives to connections; each process begins at
-# another one.
+# Below the kernel's ephemeral port range, which outgoing connections use; each test
+# process starts at a different port.
 FIRST_PORT, PORTS = 12_000, 18_000
 _request_numbers = itertools.count(1)
 _ports = itertools.count(os.getpid() * 97)
@@ -98,7 +98,7 @@
 
 
 class PlatformDeployment:
-    """Stand-ins of store and upstreams, and routers in this process."""
+    """Simulated store and upstreams, and routers, all in this process."""
 
     def __init__(
         self,
@@ -184,7 +184,7 @@
 
 
 def free_port():
-    """Return a port that no connection takes by itself until it is used."""
+    """Return a free port outside the ephemeral range."""
     while True:
         port = FIRST_PORT + next(_ports) % PORTS
         with socket.socket() as sock:
@@ -210,7 +210,7 @@
 
 
 class PlatformCaller:
-    """Send requests to one router as the platform's clients do."""
+    """Client of one router that sends the platform's request headers."""
 
     def __init__(self, deployment, vm="a-1", key=KEY):
         address = deployment.settings[vm].callers
@@ -261,7 +261,7 @@
 
 
 async def stream_at_one_engine(deployment):
-    """Begin a long stream; return it, its engine and the other one."""
+    """Start a long stream; return its task, its engine and the other engine."""
     for engine in deployment.engines:
         engine.events, engine.event_delay = 30, 0.02
     stream = asyncio.create_task(PlatformCaller(deployment).stream())
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""What the platform says, decoded, and its store through its faults."""
+"""Tests of the platform's decoders and of its store client under faults."""
 
 import asyncio
 import json
@@ -31,7 +31,7 @@
 from tests.platform_support import HOST, KEY, configuration, route
 from tests.support import AsyncTestCase, until
 
-SETTINGS = """
+SETTINGS_TEXT = """
 node_name: "front-hall-a-1"
 zone: "hall-a"
 zones: {hall-a: "south", hall-b: "south"}
@@ -47,19 +47,19 @@
 
 
 class SettingsTest(testtools.TestCase):
-    def test_fields_are_decoded_once(self):
-        found = decode_settings(SETTINGS, {METRICS_VARIABLE: "9464"}).ok
+    def test_decodes_fields(self):
+        found = decode_settings(SETTINGS_TEXT, {METRICS_VARIABLE: "9464"}).ok
         self.assertEqual("front-hall-a-1", found.vm)
         self.assertEqual(("hall-a", "hall-b"), found.data_centres)
         self.assertEqual("10.1.0.40:7340", str(found.peers))
         self.assertEqual("10.1.0.40:9464", str(found.metrics))
         self.assertEqual("10.200.1.7:8223", found.store)
         self.assertEqual((8.0, 2.0), (found.bounds.stop, found.bounds.drain))
-        # What the file does not bound keeps its usual value.
+        # Bounds missing from the file keep their defaults.
         self.assertEqual(10.0, found.bounds.retry_window)
         self.assertTrue(found.is_first_start)
 
-    def test_all_findings_come_together(self):
+    def test_reports_all_findings_at_once(self):
         text = "node_name: a\nlisten: {front: nowhere}\ninternal_ports: none\n"
         findings = decode_settings(text, {METRICS_VARIABLE: "x"}).error
         self.assertGreater(len(findings), 5)
@@ -67,7 +67,7 @@
 
     @given(st.text(max_size=80))
     @settings(max_examples=150)
-    def test_no_text_breaks_the_decoder(self, text):
+    def test_arbitrary_text_is_an_error(self, text):
         self.assertTrue(decode_settings(text, {}).is_error())
 
 
@@ -89,7 +89,7 @@
         self.assertEqual(1_000_000, found.accounts_by_key[KEY].prepaid)
         self.assertEqual(0.5, found.limits.header_timeout)
 
-    def test_the_longest_prefix_of_the_host_counts(self):
+    def test_longest_prefix_of_the_host_wins(self):
         routes = [
             route("short", "/a/", "app", "safe"),
             route("long", "/a/b/", "app", "safe"),
@@ -101,7 +101,7 @@
         self.assertIsNone(found.find_route(HOST, "/a"))
         self.assertIsNone(found.find_route("no.example", "/a/b/"))
 
-    def test_a_split_names_its_services(self):
+    def test_traffic_split_becomes_weighted_targets(self):
         split = [{"service": "app", "weight": 90}, {"service": "pool", "weight": 10}]
         plain = route("r", "/a/", "", "safe", traffic_split=split)
         found = self.decode(routes=[plain]).ok
@@ -123,11 +123,11 @@
         )
     )
     @settings(max_examples=150)
-    def test_no_document_breaks_the_decoder(self, document):
+    def test_arbitrary_document_never_raises(self, document):
         result = decode_configuration(json.dumps(document).encode())
         self.assertTrue(result.is_ok() or result.error)
 
-    def test_upstreams_that_are_not_ready_are_leaving(self):
+    def test_upstreams_not_ready_are_leaving(self):
         entry = {
             "service": "app",
             "address": "1.2.3.4:5",
@@ -146,11 +146,11 @@
         self.assertTrue(decode_upstream(broken).is_error())
 
 
-OWN = RowId("own", "k")
+ROW_ID = RowId("own", "k")
 
 
 class StoreTest(AsyncTestCase):
-    def with_store(self, scenario):
+    def run_with_store(self, scenario):
         async def work():
             standin = PlatformStoreStandin()
             port = await standin.open_port()
@@ -163,29 +163,29 @@
 
         self.run_async(work())
 
-    def test_writes_hold_their_conditions(self):
+    def test_writes_check_expected_versions(self):
         async def scenario(standin, store, faults):
-            first = Write((Expected(OWN, 0),), (Put(OWN, b"one"),))
+            first = Write((Expected(ROW_ID, 0),), (Put(ROW_ID, b"one"),))
             outcome = await store.write(first)
             self.assertIsInstance(outcome, Committed)
-            again = await store.write(first)
-            self.assertIsInstance(again, Conflict)
-            self.assertEqual(b"one", again.rows_by_id[OWN].value)
+            second = await store.write(first)
+            self.assertIsInstance(second, Conflict)
+            self.assertEqual(b"one", second.rows_by_id[ROW_ID].value)
             other = RowId("own", "missing")
-            both = Write((Expected(OWN, 99), Expected(other, 0)), (Put(other, b""),))
+            both = Write((Expected(ROW_ID, 99), Expected(other, 0)), (Put(other, b""),))
             found = (await store.write(both)).rows_by_id
             self.assertEqual(
-                (outcome.version, None), (found[OWN].version, found[other])
+                (outcome.version, None), (found[ROW_ID].version, found[other])
             )
-            deletion = Write((Expected(OWN, outcome.version),), deletes=(OWN,))
+            deletion = Write((Expected(ROW_ID, outcome.version),), deletes=(ROW_ID,))
             self.assertIsInstance(await store.write(deletion), Committed)
             self.assertIsNone(standin.value("own", "k"))
 
-        self.with_store(scenario)
+        self.run_with_store(scenario)
 
-    def test_each_way_to_fail_says_what_may_have_happened(self):
+    def test_failures_tell_whether_a_write_may_be_applied(self):
         async def scenario(standin, store, faults):
-            write = Write(puts=(Put(OWN, b"x"),))
+            write = Write(puts=(Put(ROW_ID, b"x"),))
             for outage in (Outage.BUSY, Outage.MANY):
                 faults.outage = outage
                 with self.assertRaises(StoreUnavailable):
@@ -206,45 +206,47 @@
             with self.assertRaises(StoreRefused):
                 await store.write(foreign)
 
-        self.with_store(scenario)
+        self.run_with_store(scenario)
 
-    def test_a_store_that_is_not_there_did_nothing(self):
+    def test_refused_connection_means_write_not_applied(self):
         async def work():
             store = PlatformStore("127.0.0.1:9")
             with self.assertRaises(StoreUnavailable):
-                await store.write(Write(puts=(Put(OWN, b"x"),)))
+                await store.write(Write(puts=(Put(ROW_ID, b"x"),)))
 
         self.run_async(work())
 
-    def test_a_late_write_lands_only_while_its_condition_holds(self):
+    def test_late_write_fails_if_its_version_is_outdated(self):
         async def scenario(standin, store, faults):
             faults.late_share, faults.late_seconds = 1.0, 0.1
             with self.assertRaises(OutcomeUnknown):
-                await store.write(Write((Expected(OWN, 0),), (Put(OWN, b"late"),)))
+                await store.write(
+                    Write((Expected(ROW_ID, 0),), (Put(ROW_ID, b"late"),))
+                )
             faults.late_share = 0.0
-            await store.write(Write((Expected(OWN, 0),), (Put(OWN, b"own"),)))
+            await store.write(Write((Expected(ROW_ID, 0),), (Put(ROW_ID, b"own"),)))
             await asyncio.sleep(0.2)
             self.assertEqual(b"own", standin.value("own", "k"))
 
-        self.with_store(scenario)
+        self.run_with_store(scenario)
 
-    def test_long_tables_are_read_page_by_page(self):
+    def test_long_tables_are_scanned_in_pages(self):
         async def scenario(standin, store, faults):
             for number in range(1203):
                 await standin.put("own", f"{number:05}", b"x")
             snapshot = await store.scan("own")
             self.assertEqual(1203, len({row.id.key for row in snapshot.rows}))
 
-        self.with_store(scenario)
+        self.run_with_store(scenario)
 
-    def test_changes_are_told_and_lost_history_is_said(self):
+    def test_returns_changes_or_reports_lost_history(self):
         async def scenario(standin, store, faults):
             before = await standin.put("own", "a", b"1")
-            asked = asyncio.create_task(store.changes("own", after=before, wait=2.0))
+            pending = asyncio.create_task(store.changes("own", after=before, wait=2.0))
             await asyncio.sleep(0.02)
             await standin.put("other", "a", b"no")
             await standin.drop("own", "a")
-            changes = await asked
+            changes = await pending
             self.assertEqual(
                 [("a", True)], [(r.id.key, r.deleted) for r in changes.rows]
             )
@@ -254,9 +256,9 @@
             with self.assertRaises(HistoryLost):
                 await store.changes("own", after=before, wait=0.0)
 
-        self.with_store(scenario)
+        self.run_with_store(scenario)
 
-    def test_the_stores_time_is_never_ahead(self):
+    def test_estimated_store_time_is_never_ahead(self):
         async def scenario(standin, store, faults):
             await store.scan("own")
             loop = asyncio.get_running_loop()
@@ -265,11 +267,11 @@
                 self.assertLessEqual(store.clock.earliest_ms(loop.time()), true_ms + 1)
                 await asyncio.sleep(0.005)
 
-        self.with_store(scenario)
+        self.run_with_store(scenario)
 
 
 class FeedTest(AsyncTestCase):
-    def with_feed(self, scenario):
+    def run_with_feed(self, scenario):
         async def work():
             standin = PlatformStoreStandin()
             port = await standin.open_port()
@@ -293,15 +295,15 @@
 
         self.run_async(work())
 
-    def test_it_follows_puts_and_drops(self):
+    def test_follows_puts_and_deletes(self):
         async def scenario(standin, feed, faults):
             await standin.put("own", "second", b"2")
             await standin.drop("own", "first")
             await until(lambda: [r.id.key for r in feed.live_rows()] == ["second"])
 
-        self.with_feed(scenario)
+        self.run_with_feed(scenario)
 
-    def test_it_lists_again_what_it_missed(self):
+    def test_rescans_after_lost_history(self):
         async def scenario(standin, feed, faults):
             faults.outage = Outage.BUSY
             await until(lambda: feed.unavailable_since is not None)
@@ -312,27 +314,28 @@
             await until(lambda: [r.id.key for r in feed.live_rows()] == ["second"])
             self.assertIsNone(feed.unavailable_since)
 
-        self.with_feed(scenario)
+        self.run_with_feed(scenario)
 
-    def test_whoever_was_away_lists_the_table_and_replays_nothing(self):
+    def test_long_outage_is_followed_by_a_scan_not_a_replay(self):
         async def scenario(standin, feed, faults):
             faults.outage = Outage.BUSY
             await until(lambda: feed.unavailable_since is not None)
             feed.unavailable_since -= MISSED_SECONDS
             for number in range(40):
                 await standin.put("own", "first", b"%d" % number)
-            taken = []
-            feed._on_row = taken.append
+            received = []
+            feed._on_row = received.append
             faults.outage = Outage.NONE
             await until(lambda: feed.rows_by_key["first"].value == b"39")
-            self.assertEqual([b"39"], [row.value for row in taken])
+            self.assertEqual([b"39"], [row.value for row in received])
 
-        self.with_feed(scenario)
+        self.run_with_feed(scenario)
 
-    def test_an_old_page_of_changes_confirms_nothing(self):
+    def test_page_with_changes_does_not_confirm_currency(self):
         async def scenario(standin, feed, faults):
             await until(lambda: feed.confirmed_at > feed.listed_at)
-            # Whoever is told a change asks on before it believes to know them all.
+            # A page with changes does not confirm that the feed is current; the next,
+            # empty one does.
             faults.delay = 0.1
             feed.confirmed_at = float("-inf")
             await standin.put("own", "second", b"2")
@@ -341,14 +344,14 @@
             self.assertTrue(await self.ensure_current(feed, within=0.05, patience=1.0))
             self.assertGreater(feed.confirmed_at, 0.0)
 
-        self.with_feed(scenario)
+        self.run_with_feed(scenario)
 
     def ensure_current(self, feed, within=0.0, max_list_age=9.0, patience=0.05):
         return feed.ensure_current(
             within=within, max_list_age=max_list_age, patience=patience
         )
 
-    def test_only_a_list_proves_what_watchers_do_not_hear(self):
+    def test_scan_finds_changes_hidden_from_the_feed(self):
         async def scenario(standin, feed, faults):
             faults.hides_changes = True
             await standin.put("own", "second", b"2")
@@ -360,9 +363,9 @@
             self.assertTrue(found)
             self.assertEqual(2, len(feed.live_rows()))
 
-        self.with_feed(scenario)
+        self.run_with_feed(scenario)
 
-    def test_a_store_that_is_away_confirms_nothing(self):
+    def test_unavailable_store_confirms_nothing(self):
         async def scenario(standin, feed, faults):
             faults.outage = Outage.SILENT
             feed.confirmed_at = float("-inf")
@@ -370,9 +373,9 @@
             feed.confirmed_at = feed._clock()
             self.assertTrue(await self.ensure_current(feed, within=9.0))
 
-        self.with_feed(scenario)
+        self.run_with_feed(scenario)
 
-    def test_changes_that_an_empty_answer_passed_over_are_not_missed(self):
+    def test_changes_skipped_by_an_empty_answer_arrive_later(self):
         async def scenario(standin, feed, faults):
             faults.hides_changes = True
             await standin.put("own", "second", b"2")
@@ -382,18 +385,18 @@
             faults.hides_changes = False
             await until(lambda: len(feed.live_rows()) == 2, timeout=3)
 
-        self.with_feed(scenario)
+        self.run_with_feed(scenario)
 
-    def test_older_rows_change_nothing(self):
+    def test_ignores_older_rows(self):
         async def scenario(standin, feed, faults):
             version = await standin.put("own", "first", b"new")
             await until(lambda: feed.rows_by_key["first"].version == version)
             feed.apply_rows((Row(RowId("own", "first"), b"old", version - 1),))
             self.assertEqual(b"new", feed.rows_by_key["first"].value)
 
-        self.with_feed(scenario)
+        self.run_with_feed(scenario)
 
-    def test_an_older_list_is_not_taken(self):
+    def test_rejects_an_older_scan(self):
         async def scenario(standin, feed, faults):
             await standin.put("own", "second", b"2")
             await until(lambda: len(feed.live_rows()) == 2)
@@ -402,4 +405,4 @@
                 await feed._list()
             self.assertEqual(2, len(feed.live_rows()))
 
-        self.with_feed(scenario)
+        self.run_with_feed(scenario)
