--- a/tests/platform_support.py
+++ b/tests/platform_support.py
@@ -26,8 +26,8 @@
 _ports = itertools.count(os.getpid() * 97)
 
 
-def route(name, prefix, service, kind, **more):
-    values = {
+def route(name, prefix, service, kind, **options):
+    fields = {
         "name": name,
         "host": HOST,
         "prefix": prefix,
@@ -41,12 +41,12 @@
         "sticky_sessions": False,
         "stream_resume": False,
     }
-    return {**values, **more}
+    return {**fields, **options}
 
 
-def configuration(version=1, prepaid=1_000_000, **more):
+def configuration(version=1, prepaid=1_000_000, **options):
     generation = {"sticky_sessions": True, "gap_aim_ms": 400}
-    values = {
+    fields = {
         "version": version,
         "routes": [
             route("safe", "/safe/", "app", "safe"),
@@ -94,7 +94,7 @@
             {"name": ACCOUNT, "api_keys": [KEY], "priority": 1, "prepaid": prepaid}
         ],
     }
-    return {**values, **more}
+    return {**fields, **options}
 
 
 class PlatformDeployment:
@@ -137,8 +137,8 @@
             await self.start_router(vm)
         await until(lambda: all(self.is_settled(vm) for vm in self._vms))
 
-    async def configure(self, **more):
-        await self.store.configure(configuration(**more))
+    async def configure(self, **options):
+        await self.store.configure(configuration(**options))
 
     async def start_router(self, vm):
         if vm not in self.store_ports:
@@ -197,16 +197,16 @@
 
 
 class PlatformTestCase(AsyncTestCase):
-    def with_platform(self, scenario, timeout=60, **more):
-        async def work():
-            deployment = PlatformDeployment(**more)
+    def with_platform(self, scenario, timeout=60, **options):
+        async def run_scenario():
+            deployment = PlatformDeployment(**options)
             try:
                 await deployment.start()
                 return await scenario(deployment)
             finally:
                 await deployment.stop()
 
-        return self.run_async(work(), timeout)
+        return self.run_async(run_scenario(), timeout)
 
 
 class PlatformCaller:
@@ -218,7 +218,7 @@
         self.client = HttpClient(str(address), timeouts=limits)
         self.key = key
 
-    def headers(self, request_id, deadline_ms=3000, tokens=None, **more):
+    def headers(self, request_id, deadline_ms=3000, tokens=None, **options):
         headers = [("Host", HOST), ("X-Request-Id", request_id)]
         if deadline_ms is not None:
             headers.append(("X-Deadline-Ms", str(deadline_ms)))
@@ -228,22 +228,22 @@
             headers.append(("X-Token-Counts", f"{tokens[0]},{tokens[1]}"))
             headers.append(("X-Model", "m"))
             headers.append(("X-Prompt-Prefix", f"aa:{tokens[0]},b{request_id}:1"))
-        headers.extend(more.get("extra", ()))
+        headers.extend(options.get("extra", ()))
         return headers
 
-    async def send(self, method, path, body=b"", request_id=None, **more):
+    async def send(self, method, path, body=b"", request_id=None, **options):
         request_id = request_id or f"q{next(_request_numbers)}"
         response = await self.client.request(
-            method, path, headers=self.headers(request_id, **more), body=body
+            method, path, headers=self.headers(request_id, **options), body=body
         )
         return response.status, response.headers, await response.body()
 
-    async def stream(self, path="/stream/x", tokens=(100, 60), **more):
-        return await self.send("POST", path, b"prompt", tokens=tokens, **more)
+    async def stream(self, path="/stream/x", tokens=(100, 60), **options):
+        return await self.send("POST", path, b"prompt", tokens=tokens, **options)
 
-    async def fails(self, *arguments, **more):
+    async def fails(self, *arguments, **options):
         with contextlib.suppress(ExchangeError):
-            await self.send(*arguments, **more)
+            await self.send(*arguments, **options)
             return False
         return True
 
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -18,7 +18,7 @@
 from lynxchute.operators import client
 
 
-def request_ended(request_id="q1", at=10.0, **more):
+def request_ended(request_id="q1", at=10.0, **overrides):
     fields = {
         "time": at,
         "event": "request ended",
@@ -33,10 +33,10 @@
         "objective": 1.0,
         "max_pause": 0.3,
     }
-    return json.dumps({**fields, **more})
+    return json.dumps({**fields, **overrides})
 
 
-def search_failed(request_id="q1", at=9.9, **more):
+def search_failed(request_id="q1", at=9.9, **overrides):
     fields = {
         "time": at,
         "event": "no tokens for a request",
@@ -46,7 +46,7 @@
         "unused": 100,
         "store_answers": True,
     }
-    return json.dumps({**fields, **more})
+    return json.dumps({**fields, **overrides})
 
 
 def read(*lines):
@@ -150,9 +150,9 @@
     return json.dumps(fields)
 
 
-def request_refused(reason="overloaded", **more):
+def request_refused(reason="overloaded", **overrides):
     fields = {"event": "request refused", "vm": "a-1", "reason": reason, "time": 10.0}
-    return json.dumps({**fields, **more})
+    return json.dumps({**fields, **overrides})
 
 
 class OutcomeTalliesTest(testtools.TestCase):
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -72,8 +72,8 @@
 
 
 class ConfigurationTest(testtools.TestCase):
-    def decode(self, **more):
-        return decode_configuration(json.dumps(configuration(**more)).encode())
+    def decode(self, **overrides):
+        return decode_configuration(json.dumps(configuration(**overrides)).encode())
 
     def test_routes_services_and_accounts(self):
         found = self.decode(version=4).ok
