--- a/tests/platform_support.py
+++ b/tests/platform_support.py
@@ -1,4 +1,4 @@
-"""A small deployment of the platform's stand-ins with routers in one process."""
+"""Test deployment: routers and simulated platform services in one process."""
 
 import asyncio
 import contextlib
@@ -19,15 +19,15 @@
 KEY = "key-of-kanda"
 ACCOUNT = "kanda"
 DATA_CENTRES = ("a", "b")
-# Below the ports that the kernel gives to connections; each process begins at
-# another one.
+# Below the kernel's ephemeral port range, which outgoing connections use; each test
+# process starts at a different port.
 FIRST_PORT, PORTS = 12_000, 18_000
 _request_numbers = itertools.count(1)
 _ports = itertools.count(os.getpid() * 97)
 
 
-def route(name, prefix, service, kind, **more):
-    values = {
+def route(name, prefix, service, kind, **options):
+    fields = {
         "name": name,
         "host": HOST,
         "prefix": prefix,
@@ -41,12 +41,12 @@
         "sticky_sessions": False,
         "stream_resume": False,
     }
-    return {**values, **more}
+    return {**fields, **options}
 
 
-def configuration(version=1, prepaid=1_000_000, **more):
+def configuration(version=1, prepaid=1_000_000, **options):
     generation = {"sticky_sessions": True, "gap_aim_ms": 400}
-    values = {
+    fields = {
         "version": version,
         "routes": [
             route("safe", "/safe/", "app", "safe"),
@@ -94,11 +94,11 @@
             {"name": ACCOUNT, "api_keys": [KEY], "priority": 1, "prepaid": prepaid}
         ],
     }
-    return {**values, **more}
+    return {**fields, **options}
 
 
 class PlatformDeployment:
-    """Stand-ins of store and upstreams, and routers in this process."""
+    """Simulated store and upstreams, and routers, all in this process."""
 
     def __init__(
         self,
@@ -137,8 +137,8 @@
             await self.start_router(vm)
         await until(lambda: all(self.is_settled(vm) for vm in self._vms))
 
-    async def configure(self, **more):
-        await self.store.configure(configuration(**more))
+    async def configure(self, **options):
+        await self.store.configure(configuration(**options))
 
     async def start_router(self, vm):
         if vm not in self.store_ports:
@@ -184,7 +184,7 @@
 
 
 def free_port():
-    """Return a port that no connection takes by itself until it is used."""
+    """Return a free port outside the ephemeral range."""
     while True:
         port = FIRST_PORT + next(_ports) % PORTS
         with socket.socket() as sock:
@@ -197,20 +197,20 @@
 
 
 class PlatformTestCase(AsyncTestCase):
-    def with_platform(self, scenario, timeout=60, **more):
-        async def work():
-            deployment = PlatformDeployment(**more)
+    def with_platform(self, scenario, timeout=60, **options):
+        async def run_scenario():
+            deployment = PlatformDeployment(**options)
             try:
                 await deployment.start()
                 return await scenario(deployment)
             finally:
                 await deployment.stop()
 
-        return self.run_async(work(), timeout)
+        return self.run_async(run_scenario(), timeout)
 
 
 class PlatformCaller:
-    """Send requests to one router as the platform's clients do."""
+    """Client of one router that sends the platform's request headers."""
 
     def __init__(self, deployment, vm="a-1", key=KEY):
         address = deployment.settings[vm].callers
@@ -218,7 +218,7 @@
         self.client = HttpClient(str(address), timeouts=limits)
         self.key = key
 
-    def headers(self, request_id, deadline_ms=3000, tokens=None, **more):
+    def headers(self, request_id, deadline_ms=3000, tokens=None, **options):
         headers = [("Host", HOST), ("X-Request-Id", request_id)]
         if deadline_ms is not None:
             headers.append(("X-Deadline-Ms", str(deadline_ms)))
@@ -228,22 +228,22 @@
             headers.append(("X-Token-Counts", f"{tokens[0]},{tokens[1]}"))
             headers.append(("X-Model", "m"))
             headers.append(("X-Prompt-Prefix", f"aa:{tokens[0]},b{request_id}:1"))
-        headers.extend(more.get("extra", ()))
+        headers.extend(options.get("extra", ()))
         return headers
 
-    async def send(self, method, path, body=b"", request_id=None, **more):
+    async def send(self, method, path, body=b"", request_id=None, **options):
         request_id = request_id or f"q{next(_request_numbers)}"
         response = await self.client.request(
-            method, path, headers=self.headers(request_id, **more), body=body
+            method, path, headers=self.headers(request_id, **options), body=body
         )
         return response.status, response.headers, await response.body()
 
-    async def stream(self, path="/stream/x", tokens=(100, 60), **more):
-        return await self.send("POST", path, b"prompt", tokens=tokens, **more)
+    async def stream(self, path="/stream/x", tokens=(100, 60), **options):
+        return await self.send("POST", path, b"prompt", tokens=tokens, **options)
 
-    async def fails(self, *arguments, **more):
+    async def fails(self, *arguments, **options):
         with contextlib.suppress(ExchangeError):
-            await self.send(*arguments, **more)
+            await self.send(*arguments, **options)
             return False
         return True
 
@@ -261,7 +261,7 @@
 
 
 async def stream_at_one_engine(deployment):
-    """Begin a long stream; return it, its engine and the other one."""
+    """Start a long stream; return its task, its engine and the other engine."""
     for engine in deployment.engines:
         engine.events, engine.event_delay = 30, 0.02
     stream = asyncio.create_task(PlatformCaller(deployment).stream())
