--- a/lynxchute/store/__init__.py
+++ b/lynxchute/store/__init__.py
@@ -1,4 +1,4 @@
-"""A store of versioned rows that outlasts every VM."""
+"""Client interface of the store of versioned rows, which outlives every VM."""
 
 from lynxchute.store.clock import StoreClock
 from lynxchute.store.feed import TableFeed
--- a/lynxchute/store/counted.py
+++ b/lynxchute/store/counted.py
@@ -1,4 +1,4 @@
-"""A store whose calls are counted and timed."""
+"""A store wrapper that counts and times calls."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 ResultT = TypeVar("ResultT")
 
-END_BY_ERROR: dict[type[Exception], str] = {
+RESULT_BY_ERROR: dict[type[Exception], str] = {
     StoreUnavailable: "unavailable",
     OutcomeUnknown: "unknown",
     HistoryLost: "history lost",
@@ -27,16 +27,17 @@
 
 
 class InstrumentedStore(Store):
-    """Pass calls on to a store, and count how they end.
+    """Forward calls to a store and record their results in metrics.
 
     Parameters
     ----------
     store
-        What answers the calls.
+        The store that handles the calls.
     calls
-        Counts them by call and end.
+        Counter of calls by method and result.
     seconds
-        How long writes and scans take; questions for changes wait by design.
+        Histogram of the duration of writes and scans, in seconds. Calls to `changes`
+        are left out: they are long polls.
     """
 
     def __init__(self, store: Store, calls: Counter, seconds: Histogram) -> None:
@@ -50,20 +51,20 @@
         return await self._timed("write", self._store.write(write))
 
     async def scan(self, table: str, *, part: str = "") -> Snapshot:
-        """Return all rows of a part of a table."""
+        """Return all rows of a table, or of one of its partitions."""
         return await self._timed("scan", self._store.scan(table, part=part))
 
     async def changes(self, table: str, *, after: int, wait: float) -> Changes:
-        """Return what changed in a table after a version."""
+        """Return the changes of a table after a version."""
         answer = self._store.changes(table, after=after, wait=wait)
         return await self._counted("changes", answer)
 
     def move(self, address: str) -> None:
-        """Go on with the same store at another address."""
+        """Use a new address for the same store."""
         self._store.move(address)
 
     def close(self) -> None:
-        """Let go of what the store holds open."""
+        """Close the connections to the store."""
         self._store.close()
 
     async def _timed(self, call: str, answer: Awaitable[ResultT]) -> ResultT:
@@ -74,13 +75,13 @@
             self._seconds.observe(steady_seconds() - started)
 
     async def _counted(self, call: str, answer: Awaitable[ResultT]) -> ResultT:
-        end = "cancelled"
+        outcome = "cancelled"
         try:
             result = await answer
-            end = "answered"
+            outcome = "answered"
             return result
-        except tuple(END_BY_ERROR) as error:
-            end = END_BY_ERROR[type(error)]
+        except tuple(RESULT_BY_ERROR) as error:
+            outcome = RESULT_BY_ERROR[type(error)]
             raise
         finally:
-            self._calls.inc(call, end)
+            self._calls.inc(call, outcome)
--- a/lynxchute/store/feed.py
+++ b/lynxchute/store/feed.py
@@ -1,4 +1,4 @@
-"""Keep a copy of a table in step with the store."""
+"""A local replica of a table, updated from the store's change feed."""
 
 from __future__ import annotations
 
@@ -13,26 +13,28 @@
 from lynxchute.store.rows import Changes, Row
 from lynxchute.store.store import HistoryLost, Store, StoreUnavailable
 
-# Whoever was away for so many seconds has missed changes, and lists the table: a list
-# holds each row once, where the history holds all its values; sixty configurations of
-# 60 KB take six seconds over a link of 5 Mbit/s, the newest one a tenth. After a
-# shorter silence there is little to miss, and a list would fill such a link.
+# After an outage of more than this many seconds the table is listed instead of
+# replaying the history: a listing holds each row once, the history holds all its
+# values. Sixty configurations of 60 KB take six seconds over a link of 5 Mbit/s, the
+# newest one a tenth of that. After a shorter outage few changes were missed, and a
+# listing would fill such a link.
 MISSED_SECONDS = 3.0
 
 
 @attrs.frozen
 class FeedTimes:
-    """How a feed asks.
+    """Polling intervals of a feed.
 
     Attributes
     ----------
     wait
-        Seconds that the store may hold a question while nothing changes.
+        Long-poll timeout in seconds: the store answers after this time even if nothing
+        has changed.
     pause
-        Seconds between two questions, so that several changes come in one
-        answer.
+        Seconds to wait after an answer with changes, so that further changes are
+        batched into one answer.
     retry
-        Seconds until the next question after a failure.
+        Seconds until the next request after a failure.
     """
 
     wait: float = 2.0
@@ -41,41 +43,46 @@
 
 
 class TableFeed(BackgroundTask):
-    """Copy a table of the store and follow its changes.
+    """Replicate a table of the store and follow its changes.
 
-    Versions of a row only grow here, whatever order answers come in.
+    The version of a row never decreases, whatever order answers arrive in. Times are
+    seconds on the monotonic clock.
 
     Parameters
     ----------
     store
-        Where the table stands.
+        The store that has the table.
     table
-        Its name.
+        The name of the table.
     times
-        How to ask.
+        The polling intervals.
     on_row
-        Called with each row that has changed, one after the other; one that it
-        cannot take costs no other row.
-    on_page
-        Called after the rows of an answer have been taken.
+        Called with each changed row in turn. When it raises an exception for one row,
+        the other rows are still passed to it.
+    on_batch
+        Called after all rows of an answer have been passed to `on_row`.
+    clock
+        Returns the time on the monotonic clock.
 
     Attributes
     ----------
     rows_by_key
-        The table as far as it is known.
+        The replica, including deleted rows.
     version
-        The version of the store up to which changes are known.
-    heard_at
-        When the store last answered, on the steady clock in seconds.
-    lost_at
-        When it stopped answering; None while it answers.
-    regained_at
-        When it began to answer again.
+        The version of the store up to which changes have been applied.
+    last_answer_at
+        When the store last answered; None until it has.
+    unavailable_since
+        When the store stopped answering; None while it answers.
+    recovered_at
+        When the store last began to answer again; 0 if it never stopped.
     confirmed_at
-        When the store was last asked for changes and had none, or for the whole
-        table: what stood there then is known here.
+        Send time of the last request for changes that had none, or of the last
+        listing. The replica includes all changes up to then.
     listed_at
-        When the whole table was last asked for.
+        Send time of the last listing of the whole table.
+    synced
+        Set once the whole table has been listed for the first time.
     """
 
     def __init__(
@@ -92,7 +99,7 @@
         self.table = table
         self.rows_by_key: dict[str, Row] = {}
         self.version = 0
-        self.heard_at: float | None = None
+        self.last_answer_at: float | None = None
         self.unavailable_since: float | None = None
         self.recovered_at = 0.0
         self.confirmed_at = float("-inf")
@@ -101,41 +108,43 @@
         self._store = store
         self._times = times
         self._on_row = on_row
-        self._on_page = on_batch
+        self._on_batch = on_batch
         self._clock = clock
-        self._listed = False
-        self._confirming: asyncio.Task[bool] | None = None
+        self._is_listed = False
+        self._refreshing: asyncio.Task[bool] | None = None
 
     def seconds_since_answer(self, now: float) -> float:
-        """Return the seconds since the store last answered this feed."""
-        return float("inf") if self.heard_at is None else now - self.heard_at
+        """Return the seconds since the last answer; infinity before the first one."""
+        return (
+            float("inf") if self.last_answer_at is None else now - self.last_answer_at
+        )
 
     async def ensure_current(
         self, *, within: float, max_list_age: float, patience: float
     ) -> bool:
-        """Return whether the table is known as it stood a moment ago.
+        """Refresh the replica where it is stale; return whether it is current.
 
-        An answer with changes proves nothing of the kind, since it may hold the
-        first of many. One without any does, but while the store's watchers hear
-        nothing; only a list proves it then.
+        An answer with changes does not prove that the replica is current, since more
+        changes may follow. An empty answer does, except while the store's watchers
+        miss changes; then only a listing does.
 
         Parameters
         ----------
         within
-            Seconds that the last answer without changes may be old.
-        list_within
-            Seconds that the last list may be old.
+            Maximum age of the last answer without changes, in seconds.
+        max_list_age
+            Maximum age of the last listing, in seconds.
         patience
-            Seconds that asking may take.
+            Timeout for the requests to the store, in seconds.
         """
-        if self._confirming is None or self._confirming.done():
-            asking = self._confirm(within, max_list_age, patience)
-            self._confirming = asyncio.create_task(asking)
-        # All who wait share one question: one after the other they would wait for
-        # each other's time to run out while the store is away.
-        return await asyncio.shield(self._confirming)
-
-    async def _confirm(
+        if self._refreshing is None or self._refreshing.done():
+            refresh = self._refresh(within, max_list_age, patience)
+            self._refreshing = asyncio.create_task(refresh)
+        # Concurrent callers share one refresh: in sequence, each would wait for the
+        # timeouts of those before it while the store is unavailable.
+        return await asyncio.shield(self._refreshing)
+
+    async def _refresh(
         self, within: float, max_list_age: float, patience: float
     ) -> bool:
         now = self._clock()
@@ -144,10 +153,10 @@
                 if self.listed_at <= now - max_list_age:
                     await self._list()
                 while self.confirmed_at <= now - within:
-                    await self._ask(0.0)
+                    await self._fetch_changes(0.0)
         except HistoryLost:
-            # The table is listed again; what it says then is still to come.
-            self._listed = False
+            # The background loop lists the table again; until then it is stale.
+            self._is_listed = False
             return False
         except (StoreUnavailable, TimeoutError) as error:
             logging.info(
@@ -158,7 +167,7 @@
         return True
 
     def apply_rows(self, rows: tuple[Row, ...]) -> None:
-        """Take rows that the store had, however they came here."""
+        """Apply rows of the store, from any source and in any order."""
         changed = []
         for row in rows:
             known = self.rows_by_key.get(row.id.key)
@@ -166,31 +175,31 @@
                 continue
             self.rows_by_key[row.id.key] = row
             changed.append(row)
-        self._tell(changed)
+        self._notify(changed)
 
     def live_rows(self) -> list[Row]:
-        """Return the rows that have not been dropped."""
+        """Return the rows that are not deleted."""
         return [row for row in self.rows_by_key.values() if not row.deleted]
 
     async def stop(self) -> None:
-        """End at once."""
+        """Stop at once."""
         await super().stop()
-        if self._confirming is not None:
-            self._confirming.cancel()
+        if self._refreshing is not None:
+            self._refreshing.cancel()
 
     async def _run(self) -> None:
         while True:
             try:
                 await self._step()
             except StoreUnavailable as error:
-                self._note_lost(error)
+                self._record_failure(error)
                 await asyncio.sleep(self._times.retry)
             except HistoryLost:
                 logging.info(
                     "change history lost; listing the table again",
                     extra={"fields": {"table": self.table, "version": self.version}},
                 )
-                self._listed = False
+                self._is_listed = False
             except Exception:
                 logging.exception("feed of table %s failed; retrying", self.table)
                 await asyncio.sleep(self._times.retry)
@@ -200,23 +209,25 @@
             self.unavailable_since is not None
             and self._clock() - self.unavailable_since > MISSED_SECONDS
         ):
-            self._listed = False
-        if not self._listed:
+            self._is_listed = False
+        if not self._is_listed:
             await self._list()
-        # After a silence, hear at once that the store is back.
+        # After an outage, do not long-poll: the answer shows at once that the store is
+        # back.
         wait = self._times.wait if self.unavailable_since is None else 0.0
-        changes = await self._ask(wait)
+        changes = await self._fetch_changes(wait)
         if self._times.pause and changes.rows:
             await asyncio.sleep(self._times.pause)
 
-    async def _ask(self, wait: float) -> Changes:
-        """Ask for changes and take them."""
+    async def _fetch_changes(self, wait: float) -> Changes:
+        """Request changes and apply them."""
         asked_at = self._clock()
         changes = await self._store.changes(self.table, after=self.version, wait=wait)
-        self._note_heard()
-        # An empty answer may bear a version beyond changes that it does not
-        # tell, while the store's watchers hear nothing; only rows are proof.
-        # After a quiet spell the history is gone, and the table is listed.
+        self._record_answer()
+        # While the store's watchers miss changes, an empty answer may carry a version
+        # beyond changes that it does not include, so only rows advance the version.
+        # After a long time without rows, the store no longer has the history after this
+        # version, and the table is listed.
         for row in changes.rows:
             self.version = max(self.version, row.version)
         self.apply_rows(changes.rows)
@@ -227,34 +238,34 @@
     async def _list(self) -> None:
         asked_at = self._clock()
         snapshot = await self._store.scan(self.table)
-        self._note_heard()
+        self._record_answer()
         if snapshot.version < self.version:
             raise StoreUnavailable("the store answered with an older state")
-        self._drop_missing(snapshot.rows, snapshot.version)
+        self._delete_missing(snapshot.rows, snapshot.version)
         self.version = snapshot.version
-        self._listed = True
+        self._is_listed = True
         self.listed_at = asked_at
         self.confirmed_at = max(self.confirmed_at, asked_at)
         self.apply_rows(snapshot.rows)
         self.synced.set()
 
-    def _drop_missing(self, rows: tuple[Row, ...], version: int) -> None:
-        """Take rows that a list no longer has as dropped."""
+    def _delete_missing(self, rows: tuple[Row, ...], version: int) -> None:
+        """Mark rows as deleted that a listing no longer includes."""
         present = {row.id.key for row in rows}
-        dropped = []
+        deleted = []
         for key, row in self.rows_by_key.items():
             if key in present or row.deleted or row.version > version:
                 continue
-            dropped.append(attrs.evolve(row, version=version, deleted=True))
-        for row in dropped:
+            deleted.append(attrs.evolve(row, version=version, deleted=True))
+        for row in deleted:
             self.rows_by_key[row.id.key] = row
-        self._tell(dropped)
+        self._notify(deleted)
 
-    def _tell(self, rows: list[Row]) -> None:
-        """Hand rows on, each by itself.
+    def _notify(self, rows: list[Row]) -> None:
+        """Pass rows to the callbacks, each row by itself.
 
-        They count as known from now on, and are not handed on again: whatever one
-        of them makes fail, the others of its page must be taken.
+        The rows are already part of the replica and are not passed on again, so an
+        exception for one row must not skip the other rows of its batch.
         """
         if not rows:
             return
@@ -266,13 +277,13 @@
                     "row %s of table %s could not be applied", row.id.key, self.table
                 )
         try:
-            self._on_page()
+            self._on_batch()
         except Exception:
             logging.exception("batch callback of table %s failed", self.table)
 
-    def _note_heard(self) -> None:
+    def _record_answer(self) -> None:
         now = self._clock()
-        self.heard_at = now
+        self.last_answer_at = now
         if self.unavailable_since is None:
             return
         silent = round(now - self.unavailable_since, 3)
@@ -283,7 +294,7 @@
             extra={"fields": {"table": self.table, "silent_s": silent}},
         )
 
-    def _note_lost(self, error: Exception) -> None:
+    def _record_failure(self, error: Exception) -> None:
         if self.unavailable_since is not None:
             return
         self.unavailable_since = self._clock()
--- a/lynxchute/store/row_value.py
+++ b/lynxchute/store/row_value.py
@@ -1,4 +1,4 @@
-"""Read the JSON object in a row, whoever has written it."""
+"""Strict decoding of the JSON object in a row, which any program may have written."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class RowValueError(ValueError):
-    """Report a row whose value is not of the shape that its table has."""
+    """Raised when a row's value does not match the schema of its table."""
 
 
 _REQUIRED: Any = object()
@@ -18,10 +18,10 @@
 
 @attrs.frozen
 class RowValue:
-    """The JSON object that is a row's value.
+    """Typed access to the JSON object in a row.
 
-    Fields are taken by type, never converted: a row may come from another writer,
-    and what it says by mistake must not be believed by half.
+    Fields must have the expected type; nothing is converted. Other programs write
+    rows too, and converting a mistaken value would accept a wrong one.
 
     Examples
     --------
@@ -34,67 +34,74 @@
 
     @classmethod
     def decode(cls, value: bytes) -> RowValue:
-        """Return the object in a row.
+        """Parse the value of a row.
 
         Raises
         ------
-        ValueUnreadable
-            Where there is none.
+        RowValueError
+            When the value is not a JSON object.
         """
         try:
             fields = json.loads(value)
         except (ValueError, RecursionError) as error:
-            raise RowValueError(f"no JSON: {error!r}") from error
+            raise RowValueError(f"invalid JSON: {error!r}") from error
         if not isinstance(fields, dict):
-            raise RowValueError("no JSON object")
+            raise RowValueError("value is not a JSON object")
         return cls(fields)
 
     def text(self, name: str) -> str:
-        """Return a text that is not empty."""
+        """Return a non-empty string field."""
         value = self.fields.get(name)
         if not isinstance(value, str) or not value:
-            raise RowValueError(f"{name!r} is no text")
+            raise RowValueError(f"{name!r} is not a non-empty string")
         return value
 
     def flag(self, name: str, *, default: bool) -> bool:
-        """Return a truth value."""
+        """Return a boolean field, or the default when it is missing."""
         value = self.fields.get(name, default)
         if not isinstance(value, bool):
-            raise RowValueError(f"{name!r} is neither true nor false")
+            raise RowValueError(f"{name!r} is not a boolean")
         return value
 
     def count(self, name: str, *, default: Any = _REQUIRED, least: int = 0) -> Any:
-        """Return a whole number, or the default where there is none."""
+        """Return an integer field, or the default when it is missing or null."""
         value = self.fields.get(name)
         if value is None and default is not _REQUIRED:
             return default
         return whole_number(value, name, least=least)
 
     def number(self, name: str) -> float:
-        """Return a finite number that is not negative."""
+        """Return a finite, non-negative number field."""
         value = self.fields.get(name)
         if isinstance(value, bool) or not isinstance(value, int | float):
-            raise RowValueError(f"{name!r} is no number")
+            raise RowValueError(f"{name!r} is not a number")
         try:
-            found = float(value)
+            number = float(value)
         except OverflowError as error:
             raise RowValueError(f"{name!r} is too large") from error
-        if not math.isfinite(found) or found < 0:
-            raise RowValueError(f"{name!r} is {value}")
-        return found
+        if not math.isfinite(number) or number < 0:
+            raise RowValueError(f"{name!r} is negative or not finite: {value}")
+        return number
 
     def mapping(self, name: str) -> dict[str, Any]:
-        """Return an object within the object."""
+        """Return a nested JSON object."""
         value = self.fields.get(name)
         if not isinstance(value, dict):
-            raise RowValueError(f"{name!r} is no object")
+            raise RowValueError(f"{name!r} is not a JSON object")
         return value
 
 
 def whole_number(value: Any, name: str, *, least: int = 0) -> int:
-    """Return a value that must be a whole number, neither text nor truth value."""
+    """Return a value unchanged if it is an integer of at least `least`.
+
+    Raises
+    ------
+    RowValueError
+        When the value is smaller or of another type; booleans and strings are not
+        accepted as integers.
+    """
     if isinstance(value, bool) or not isinstance(value, int):
-        raise RowValueError(f"{name!r} is no whole number")
+        raise RowValueError(f"{name!r} is not an integer")
     if value < least:
-        raise RowValueError(f"{name!r} is {value}")
+        raise RowValueError(f"{name!r} is too small: {value}")
     return value
--- a/lynxchute/store/rows.py
+++ b/lynxchute/store/rows.py
@@ -1,20 +1,21 @@
-"""Rows of the store, and the writes that change them."""
+"""Rows, writes and their results."""
 
 from __future__ import annotations
 
 import attrs
 
+# The version that `Expected` uses for a row that must not exist.
 ABSENT = 0
 
 
 @attrs.frozen
 class RowId:
-    """Where a row stands.
+    """The table, key and partition of a row.
 
     Attributes
     ----------
     part
-        Rows of one part are changed together at the least cost.
+        The partition; a write to rows of one partition is the cheapest.
     """
 
     table: str
@@ -24,14 +25,14 @@
 
 @attrs.frozen
 class Row:
-    """A row as the store has it.
+    """A version of a row.
 
     Attributes
     ----------
     version
-        Grows with each change anywhere in the store.
+        The store-wide version of the change; it grows with each change to any row.
     deleted
-        Whether this is the news that the row was dropped.
+        Whether the change deleted the row.
     """
 
     id: RowId
@@ -42,7 +43,7 @@
 
 @attrs.frozen
 class Expected:
-    """A row that must still have a version; `ABSENT` means that there is none."""
+    """A precondition of a write: the row has this version, or is `ABSENT`."""
 
     id: RowId
     version: int
@@ -50,7 +51,7 @@
 
 @attrs.frozen
 class Put:
-    """A row's new value."""
+    """The new value of a row in a write."""
 
     id: RowId
     value: bytes
@@ -58,7 +59,7 @@
 
 @attrs.frozen
 class Write:
-    """Changes that take effect together or not at all."""
+    """A set of changes that are applied atomically, if all preconditions hold."""
 
     expected: tuple[Expected, ...] = ()
     puts: tuple[Put, ...] = ()
@@ -67,19 +68,19 @@
 
 @attrs.frozen
 class Committed:
-    """Say that a write took effect, and which version its rows now have."""
+    """The result of a write that was applied, with the new version of its rows."""
 
     version: int
 
 
 @attrs.frozen
 class Conflict:
-    """Say that a write had no effect.
+    """The result of a write that was not applied since a precondition failed.
 
     Attributes
     ----------
     rows_by_id
-        The rows that it expected, as they stand; None where there is none.
+        The current rows of all preconditions; None for a row that does not exist.
     """
 
     rows_by_id: dict[RowId, Row | None]
@@ -90,13 +91,13 @@
 
 @attrs.frozen
 class Snapshot:
-    """The rows of a part of a table.
+    """The rows of a table, or of one of its partitions.
 
     Attributes
     ----------
     version
-        The store's newest version when the first of them were read; changes
-        after it may or may not be in the rows.
+        The newest version of the store when the first rows were read. Later changes
+        may or may not be included in the rows.
     """
 
     rows: tuple[Row, ...]
@@ -105,12 +106,12 @@
 
 @attrs.frozen
 class Changes:
-    """What has changed in a table since a version.
+    """The changes of a table after a version.
 
     Attributes
     ----------
     version
-        The version to ask from next.
+        The version from which to request the next changes.
     """
 
     rows: tuple[Row, ...]
--- a/lynxchute/store/store.py
+++ b/lynxchute/store/store.py
@@ -1,4 +1,4 @@
-"""What the routers need of a store."""
+"""The store interface that routers depend on."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 
 class StoreUnavailable(Exception):
-    """Report that the store did nothing: it was not reached, or declined."""
+    """Raised when the store did nothing: it was unreachable or refused the call."""
 
 
 class OutcomeUnknown(Exception):
-    """Report that a write may have taken effect, or may still do so.
+    """Raised when a write may have been applied, or may still be applied.
 
     Parameters
     ----------
-    is_silent
-        Whether the store gave no sign of itself; else only the answer was lost.
+    is_unresponsive
+        Whether the store did not respond at all; otherwise only the answer was lost.
     """
 
     def __init__(self, reason: str, *, is_unresponsive: bool = False) -> None:
@@ -27,20 +27,20 @@
 
 
 class HistoryLost(Exception):
-    """Report that changes since a version are no longer known; list again."""
+    """Raised when the store no longer has all changes after a version; list again."""
 
 
 class StoreRefused(Exception):
-    """Report a call that the store will never take, which is a fault here."""
+    """Raised when the store rejects a call as invalid: a bug in this program."""
 
 
 class Store(ABC):
-    """A store of versioned rows with transactions and a feed of changes.
+    """A store of versioned rows with transactions and a change feed.
 
     Attributes
     ----------
     clock
-        What is known of the store's own time.
+        The estimate of the store's time, updated by its answers.
     """
 
     clock: StoreClock
@@ -52,42 +52,44 @@
         Raises
         ------
         StoreUnavailable
-            Where it certainly had no effect and never will.
+            When the write was not applied and never will be.
         OutcomeUnknown
-            Where it may have taken effect, or may do so later while what it
-            expects still holds.
+            When the write may have been applied, or may still be applied as long as
+            its preconditions hold.
         """
 
     @abstractmethod
     async def scan(self, table: str, *, part: str = "") -> Snapshot:
-        """Return all rows of a part of a table.
+        """Return all rows of a table, or of one of its partitions.
 
         Raises
         ------
         StoreUnavailable
-            Where no answer came.
+            When the store gave no answer.
         """
 
     @abstractmethod
     async def changes(self, table: str, *, after: int, wait: float) -> Changes:
-        """Return what changed in a table after a version.
+        """Return the changes of a table after a version.
 
         Parameters
         ----------
+        after
+            The version after which changes are returned.
         wait
-            Seconds that the store waits for a change before it says that
-            there is none.
+            Seconds that the store waits for a change before it returns an empty
+            answer.
 
         Raises
         ------
         StoreUnavailable
-            Where no answer came.
+            When the store gave no answer.
         HistoryLost
-            Where the store has forgotten changes since that version.
+            When the store no longer has all changes after that version.
         """
 
     def move(self, address: str) -> None:
-        """Go on with the same store at another address."""
+        """Use a new address for the same store."""
 
     def close(self) -> None:
-        """Let go of what the store holds open."""
+        """Close the connections to the store."""
