--- a/lynxchute/fleet/__init__.py
+++ b/lynxchute/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The fleet's other routers: who they are, and what they ask of one another."""
+"""Membership of the router fleet and messages between routers."""
--- a/lynxchute/fleet/backpressure_messages.py
+++ b/lynxchute/fleet/backpressure_messages.py
@@ -1,4 +1,4 @@
-"""What the routers tell one another of upstreams that are throttled."""
+"""Messages between routers about upstreams that limit their request rate."""
 
 from __future__ import annotations
 
@@ -9,18 +9,20 @@
 
 @attrs.frozen
 class BackpressureReport:
-    """What a router has last heard of an upstream's limit.
+    """The rate limit of an upstream, as last reported to the sending router.
 
     Attributes
     ----------
+    upstream
+        The id of the upstream.
     process
-        The upstream's process that stated it.
+        The upstream process that stated the limit.
     limit
-        Requests a second from all routers; None where it has ended.
+        Requests a second from all routers together; None when the limit has ended.
     heard_ms
-        When that was heard, on the store's clock in milliseconds; 0 for never.
+        When the router received it, on the store's clock in milliseconds; 0 for never.
     is_leaving
-        Whether it has said that it takes no new work.
+        Whether the upstream has announced that it takes no new work.
     """
 
     upstream: str
@@ -32,12 +34,16 @@
 
 @attrs.frozen
 class PermitReply:
-    """Say whether the request may be sent.
+    """The decision on a permit request.
 
     Attributes
     ----------
+    is_admitted
+        Whether the request may be sent.
     again_s
-        Seconds in which no other one may, where it may not.
+        When it may not: seconds during which no other request may be sent either.
+    backpressure
+        Known rate limits of the service's upstreams.
     """
 
     is_admitted: bool
@@ -47,7 +53,7 @@
 
 @attrs.frozen
 class PermitRequest(Message[PermitReply]):
-    """Let one request through to an upstream that names a limit."""
+    """Ask for a permit to send one request to an upstream with a rate limit."""
 
     NAME = "permit"
     REPLY = PermitReply
--- a/lynxchute/fleet/client.py
+++ b/lynxchute/fleet/client.py
@@ -1,4 +1,4 @@
-"""Ask other routers."""
+"""HTTP client for messages to other routers."""
 
 from __future__ import annotations
 
@@ -20,49 +20,49 @@
 ReplyT = TypeVar("ReplyT")
 SECRET_HEADER = "Lynxchute-Fleet"
 
-# An answer within a region takes a few ms; a router that took five times as
-# long as usual for its work would still be in time.
+# A reply within a region takes a few ms; these timeouts leave room for a router that
+# takes five times as long as usual.
 TIMEOUTS = Timeouts(
     connect=0.12, first_byte=0.6, between_bytes=0.6, keepalive_expiry=20.0
 )
 
 
 class PeerUnreachable(Exception):
-    """Report that a router gave no answer; it may have taken the message."""
+    """Raised when a router gave no valid reply; it may have processed the message."""
 
 
 class Peers(ABC):
-    """The fleet's other routers."""
+    """Interface for sending messages to other routers."""
 
     @abstractmethod
     async def ask(self, vm: str, message: Message[ReplyT]) -> ReplyT:
-        """Return a router's answer.
+        """Send a message to the router on a VM and return its reply.
 
         Raises
         ------
         PeerUnreachable
-            Where none came.
+            When the router gave no valid reply.
         """
 
 
 class HttpPeers(Peers):
-    """Reach the routers over HTTP.
+    """Send messages to other routers over HTTP.
 
     Parameters
     ----------
     members
-        Who they are; how they answer is noted there.
+        The registered routers; successes and failures are recorded there.
     secret
-        Returns what proves that a message comes from the fleet.
+        Returns the shared secret that authenticates the fleet's messages.
     clock
-        Seconds on the steady clock.
+        Returns the seconds on the monotonic clock.
     meter
-        Tells how long messages wait for the VM's link.
+        Measures how long messages are queued for the VM's network link.
 
     Attributes
     ----------
     address_of
-        Returns where a router is reached from here.
+        Returns the address at which this router connects to another one.
     """
 
     def __init__(
@@ -79,10 +79,12 @@
         self._clients = ClientPool(TIMEOUTS, meter)
 
     async def ask(self, vm: str, message: Message[ReplyT]) -> ReplyT:
-        """Return a router's answer."""
+        """Send a message to the router on a VM and return its reply."""
         member = self._members.by_vm.get(vm)
         if member is None or not self._secret():
-            raise PeerUnreachable(f"{vm} is not known")
+            raise PeerUnreachable(
+                f"{vm} is not registered, or the fleet secret is not known yet"
+            )
         try:
             status, value = await self._clients.get(self.address_of(member)).post_json(
                 PREFIX + message.NAME,
@@ -90,7 +92,7 @@
                 headers=[(SECRET_HEADER, self._secret())],
             )
             if status != 200:
-                raise PeerUnreachable(f"{vm} answered {status}")
+                raise PeerUnreachable(f"{vm} answered with status {status}")
             reply = cast(ReplyT, from_json(value, message.REPLY))
         except (ExchangeError, MessageDecodeError, PeerUnreachable) as error:
             if self._members.record_failure(vm, self._clock()):
@@ -100,5 +102,5 @@
         return reply
 
     def close(self) -> None:
-        """Drop the idle connections."""
+        """Close the idle connections."""
         self._clients.close()
--- a/lynxchute/fleet/members.py
+++ b/lynxchute/fleet/members.py
@@ -1,4 +1,4 @@
-"""The routers of the fleet, and which of them can be reached."""
+"""The registered routers, their reachability and their order by key."""
 
 from __future__ import annotations
 
@@ -12,33 +12,34 @@
 from lynxchute.rendezvous import ranked
 from lynxchute.store.row_value import RowValue
 
-# Seconds until a router that gave no answer is tried again, doubled each time
-# it gives none.
-FIRST_PAUSE = 0.5
-MAX_PAUSE = 4.0
-# What a router that serves many others should have: a fleet's homes and its
-# scheduler carry the messages of a hundred routers, some 2 Mbit/s of them,
-# beside their own callers.
-AMPLE_LINK_MBPS = 100.0
-AMPLE_CORES = 1.0
-# Routers of this share of the greatest strength or more serve the others.
-STRONG_SHARE = 0.5
+# Seconds until a router that did not answer is tried again; doubled with each further
+# failure.
+INITIAL_BACKOFF = 0.5
+MAX_BACKOFF = 4.0
+# Link and cores of a VM that has full capacity to serve other routers. The home of an
+# account and the scheduler handle the messages of a hundred routers, some 2 Mbit/s,
+# besides the requests of their own callers.
+FULL_LINK_MBPS = 100.0
+FULL_CORES = 1.0
+# Routers with at least this fraction of the greatest strength are preferred for serving
+# others.
+PREFERRED_STRENGTH_RATIO = 0.5
 
 
 @attrs.frozen
 class Member:
-    """A router as it registered itself.
+    """The registration of a router.
 
     Attributes
     ----------
     incarnation
-        Names the run of its process.
+        Identifies the run of its process.
     address
-        Where it listens for other routers.
+        The address at which it listens for other routers.
     is_leaving
-        Whether it takes nothing new.
+        Whether it is shutting down and takes no new work.
     strength
-        What its VM can carry for others: 1 for one that has plenty.
+        Capacity of its VM to serve other routers, from 0 to 1.
     """
 
     vm: str
@@ -49,12 +50,12 @@
     strength: float = 1.0
 
     def encode(self) -> bytes:
-        """Return the value of the router's row."""
+        """Return the router's row value, as JSON."""
         return json.dumps(attrs.asdict(self), separators=(",", ":")).encode()
 
     @classmethod
     def decode(cls, value: bytes) -> Result[Member, str]:
-        """Return the router of a row, or what is wrong with the row."""
+        """Decode a row value; return an error message if it is invalid."""
         try:
             row = RowValue.decode(value)
             return Ok(
@@ -68,19 +69,19 @@
                 )
             )
         except ValueError as error:
-            return Error(f"a router's row cannot be read: {error}")
+            return Error(f"invalid router row: {error}")
 
 
 @attrs.define
-class Reach:
-    """Whether a router can be reached, as far as this one has tried.
+class Backoff:
+    """Backoff state of a router that did not answer.
 
     Attributes
     ----------
     failures
-        Questions in a row that gave no answer.
+        Consecutive messages without a valid reply.
     retry_at
-        When it is tried again, in seconds.
+        When the next attempt is due, in seconds on the monotonic clock.
     """
 
     failures: int = 0
@@ -88,37 +89,43 @@
 
 
 def relay_capacity(*, link_mbps: float, cores: float) -> float:
-    """Return what a VM can carry for others, from 0 to 1.
+    """Return the capacity of a VM to serve other routers, from 0 to 1.
 
     Parameters
     ----------
     link_mbps
-        What its link carries, in Mbit/s.
+        Bandwidth of its network link in Mbit/s.
     cores
-        What it has of processors.
+        Number of processor cores.
 
     Examples
     --------
-    >>> relay_capacity(link_mbps=1000.0, cores=2.0), relay_capacity(link_mbps=5.0, cores=2.0)
-    (1.0, 0.05)
+    >>> relay_capacity(link_mbps=1000.0, cores=2.0)
+    1.0
+    >>> relay_capacity(link_mbps=5.0, cores=2.0)
+    0.05
     """
-    return min(link_mbps / AMPLE_LINK_MBPS, cores / AMPLE_CORES, 1.0)
+    return min(link_mbps / FULL_LINK_MBPS, cores / FULL_CORES, 1.0)
 
 
 class Members:
-    """The registered routers by VM.
+    """The registered routers, this one included.
+
+    Times are seconds on the monotonic clock.
 
     Parameters
     ----------
     own
         This router.
     reachability
-        Which data centres can be reached.
+        Tracks which data centres are unreachable.
 
     Attributes
     ----------
+    by_vm
+        The registered routers by VM.
     changes
-        How often anything that registered routers say of themselves has changed.
+        Counts changes of registrations; cached ranks depend on it.
     """
 
     def __init__(self, own: Member, reachability: Reachability | None = None) -> None:
@@ -126,41 +133,45 @@
         self.reachability = reachability or Reachability(own.data_centre)
         self.by_vm: dict[str, Member] = {own.vm: own}
         self.changes = 0
-        self._reach_by_vm: dict[str, Reach] = {}
-        self._ranks = (0, dict[str, int | None]())
+        self._backoff_by_vm: dict[str, Backoff] = {}
+        self._rank_cache = (0, dict[str, int | None]())
 
     def mark_leaving(self) -> Member:
-        """Note that this router takes nothing new; return what it says now."""
+        """Mark this router as leaving and return its new registration."""
         self.own = attrs.evolve(self.own, is_leaving=True)
         self.by_vm[self.own.vm] = self.own
         self.changes += 1
         return self.own
 
     def put(self, member: Member) -> None:
-        """Take what a router says of itself."""
+        """Add a router, or update its registration."""
         if member.vm == self.own.vm:
             return
         known = self.by_vm.get(member.vm)
         if known is None or known.incarnation != member.incarnation:
-            self._reach_by_vm.pop(member.vm, None)
+            self._backoff_by_vm.pop(member.vm, None)
         if known != member:
             self.changes += 1
         self.by_vm[member.vm] = member
 
     def remove(self, vm: str) -> None:
-        """Drop a router that is registered no more."""
+        """Remove a router that is no longer registered."""
         if vm != self.own.vm:
             self.changes += self.by_vm.pop(vm, None) is not None
-            self._reach_by_vm.pop(vm, None)
+            self._backoff_by_vm.pop(vm, None)
 
     @property
     def count(self) -> int:
-        """Return how many routers are registered and stay."""
+        """Return the number of registered routers that are not leaving."""
         return sum(1 for member in self.by_vm.values() if not member.is_leaving)
 
     def is_reachable(self, vm: str) -> bool:
-        """Return whether a router has answered the last question, if any."""
-        if vm in self._reach_by_vm:
+        """Return whether a router counts as reachable.
+
+        It does unless it failed to answer the last message, or its data centre is
+        unreachable.
+        """
+        if vm in self._backoff_by_vm:
             return False
         member = self.by_vm.get(vm)
         return member is None or not self.reachability.is_unreachable(
@@ -168,53 +179,56 @@
         )
 
     def retries_due(self, now: float) -> list[str]:
-        """Return the routers that gave no answer and are due to be tried."""
-        found = []
-        for vm, reach in self._reach_by_vm.items():
-            if now >= reach.retry_at:
-                found.append(vm)
-        return found
+        """Return the unreachable routers whose backoff has ended."""
+        due = []
+        for vm, backoff in self._backoff_by_vm.items():
+            if now >= backoff.retry_at:
+                due.append(vm)
+        return due
 
     def record_success(self, vm: str) -> None:
-        """Note that a router answered."""
-        self._reach_by_vm.pop(vm, None)
+        """Record that a router answered."""
+        self._backoff_by_vm.pop(vm, None)
         member = self.by_vm.get(vm)
         if member is not None:
             self.reachability.record_response(member.data_centre)
 
     def record_failure(self, vm: str, now: float) -> bool:
-        """Note that a router gave no answer; return whether that is news."""
+        """Record that a router did not answer.
+
+        Returns True for the first failure since its last answer.
+        """
         member = self.by_vm.get(vm)
         if member is not None:
             self.reachability.record_timeout(member.data_centre, vm, now)
-        reach = self._reach_by_vm.setdefault(vm, Reach())
-        reach.failures += 1
-        pause = FIRST_PAUSE * 2 ** min(reach.failures - 1, 8)
-        reach.retry_at = now + min(pause, MAX_PAUSE)
-        return reach.failures == 1
+        backoff = self._backoff_by_vm.setdefault(vm, Backoff())
+        backoff.failures += 1
+        delay = INITIAL_BACKOFF * 2 ** min(backoff.failures - 1, 8)
+        backoff.retry_at = now + min(delay, MAX_BACKOFF)
+        return backoff.failures == 1
 
     def homes(self, account: str) -> list[str]:
-        """Return the VMs of this data centre to ask for an account's tokens.
+        """Return the VMs of this data centre that may hold an account's tokens.
 
-        The first one is the account's home here; the next ones stand in for
-        it. Routers that leave or cannot be reached are left out.
+        The first one is the account's home in this data centre; the others are its
+        fallbacks, in order. Leaving and unreachable routers are left out.
         """
-        return self.preference_order(account, self._asked_in(self.own.data_centre))
+        return self.preference_order(account, self._candidates_in(self.own.data_centre))
 
     def remote_homes(self, account: str) -> list[str]:
-        """Return the account's home in each other data centre."""
-        found = []
+        """Return the account's home in each of the other data centres."""
+        vms = []
         data_centres = {member.data_centre for member in self.by_vm.values()}
         for data_centre in sorted(data_centres - {self.own.data_centre}):
-            found.extend(
-                self.preference_order(account, self._asked_in(data_centre))[:1]
+            vms.extend(
+                self.preference_order(account, self._candidates_in(data_centre))[:1]
             )
-        return found
+        return vms
 
     def owner_of(self, key: str) -> str:
-        """Return the VM that does one thing for the whole fleet.
+        """Return the VM that owns a fleet-wide task, chosen by rendezvous hashing.
 
-        All routers that see the same others name the same one.
+        Routers that see the same reachable members choose the same owner.
         """
         vms = []
         for member in self.by_vm.values():
@@ -223,19 +237,19 @@
         return self.preference_order(key, vms)[0] if vms else self.own.vm
 
     def own_rank(self, key: str) -> int | None:
-        """Return this router's place among all that are registered, from 0.
+        """Return this router's rank for a key among all registered routers, from 0.
 
-        Those that cannot be reached count: they may well be at work. It has none once
-        it takes nothing new.
+        Unreachable routers count, since they may well be serving. The rank is None
+        once this router is leaving.
         """
-        changes, rank_by_key = self._ranks
+        changes, rank_by_key = self._rank_cache
         if changes != self.changes or key not in rank_by_key:
-            # Asked for with each request to a throttled upstream; to put 195 routers in
-            # order takes 0.09 ms.
+            # Cached since each request to a throttled upstream needs the rank, and
+            # ordering 195 routers takes 0.09 ms.
             if changes != self.changes:
                 rank_by_key = {}
             rank_by_key[key] = self._own_rank(key)
-            self._ranks = (self.changes, rank_by_key)
+            self._rank_cache = (self.changes, rank_by_key)
         return rank_by_key[key]
 
     def _own_rank(self, key: str) -> int | None:
@@ -247,15 +261,15 @@
     def preference_order(self, key: str, vms: list[str]) -> list[str]:
         """Return VMs in the order in which they should serve a key.
 
-        Those whose links or processors are weak come last.
+        The order comes from rendezvous hashing; VMs with little capacity come last.
         """
         strengths = [self.by_vm[vm].strength for vm in vms]
-        least = max(strengths, default=0.0) * STRONG_SHARE
-        strong = [vm for vm in vms if self.by_vm[vm].strength >= least]
-        weak = [vm for vm in vms if self.by_vm[vm].strength < least]
+        threshold = max(strengths, default=0.0) * PREFERRED_STRENGTH_RATIO
+        strong = [vm for vm in vms if self.by_vm[vm].strength >= threshold]
+        weak = [vm for vm in vms if self.by_vm[vm].strength < threshold]
         return ranked(key, strong) + ranked(key, weak)
 
-    def _asked_in(self, data_centre: str) -> list[str]:
+    def _candidates_in(self, data_centre: str) -> list[str]:
         vms = []
         for member in self.by_vm.values():
             if member.data_centre != data_centre or member.is_leaving:
--- a/lynxchute/fleet/message.py
+++ b/lynxchute/fleet/message.py
@@ -1,4 +1,4 @@
-"""A question of one router to another, as JSON."""
+"""Base class and JSON encoding of the messages between routers."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class Message(Generic[ReplyT]):
-    """A question of one router to another.
+    """A request from one router to another.
 
     Attributes
     ----------
     NAME
-        The path that it is sent to.
+        The last part of the URL path that it is sent to.
     REPLY
-        The class of the answer.
+        The class of the reply.
     """
 
     NAME: ClassVar[str]
@@ -29,30 +29,30 @@
 
 @attrs.frozen
 class Ack:
-    """Say that a message was taken."""
+    """A reply that only acknowledges a message."""
 
 
 _CONVERTER = cattrs.Converter(forbid_extra_keys=False)
 
 
 class MessageDecodeError(ValueError):
-    """Report a message that is not of its class."""
+    """Raised when a message does not match its class."""
 
 
 def to_json(message: Any) -> Any:
-    """Return a message as JSON values."""
+    """Convert a message to JSON values."""
     return _CONVERTER.unstructure(message)
 
 
 def from_json(value: Any, cls: type[Any]) -> Any:
-    """Return the message of a class.
+    """Convert JSON values to a message of a class.
 
     Raises
     ------
-    MessageUnreadable
-        Where the values are not of that class.
+    MessageDecodeError
+        When the values do not match the class.
     """
     try:
         return _CONVERTER.structure(value, cls)
     except Exception as error:
-        raise MessageDecodeError(f"no {cls.__name__}: {error!r}") from error
+        raise MessageDecodeError(f"invalid {cls.__name__}: {error!r}") from error
--- a/lynxchute/fleet/messages.py
+++ b/lynxchute/fleet/messages.py
@@ -1,4 +1,4 @@
-"""What the routers ask one another."""
+"""Messages between routers: reservations, loans, placement and runs."""
 
 from __future__ import annotations
 
@@ -20,12 +20,18 @@
 
 
 class ReserveOutcome(enum.Enum):
-    """What came of a reservation.
+    """The outcome of a reservation.
 
     Attributes
     ----------
+    RESERVED
+        The tokens are reserved.
+    EXHAUSTED
+        The budget has too few tokens left.
     UNREACHABLE
-        There are tokens, but none that can be had now.
+        There may be tokens left, but they cannot be obtained now.
+    CLOSED
+        The router makes no more reservations.
     SILENT
         The router that was asked did not answer.
     """
@@ -39,13 +45,15 @@
 
 @attrs.frozen
 class ReserveReply:
-    """The answer to a reservation, and what it rests on.
+    """The reply to a reservation.
 
     Attributes
     ----------
+    detail
+        Details of the outcome, for logs.
     unused
-        Tokens of the budget that the fleet is known not to have used, where the
-        answer is no; those set aside for open requests are among them.
+        For a refusal: tokens of the budget that the fleet is known not to have used,
+        including those reserved for open requests.
     """
 
     outcome: ReserveOutcome
@@ -55,12 +63,12 @@
 
 @attrs.frozen
 class ReserveRequest(Message[ReserveReply]):
-    """Set tokens aside for a request.
+    """Reserve tokens for a request.
 
     Attributes
     ----------
     reservation_id
-        The same each time that one reservation is asked for, and no other's.
+        Idempotency key: the same for all attempts at one reservation, and unique to it.
     """
 
     NAME = "reserve"
@@ -73,7 +81,7 @@
 
 @attrs.frozen
 class Settlement:
-    """What a request has used of its reservation, in tokens."""
+    """The tokens that a request has used of its reservation."""
 
     reservation_id: str
     used: int
@@ -81,7 +89,7 @@
 
 @attrs.frozen
 class CancelledLoan:
-    """A loan whose answer did not come: the borrower has none of it."""
+    """A loan whose reply was lost, so that the borrower did not receive the tokens."""
 
     loan_id: str
     account: str
@@ -89,7 +97,7 @@
 
 @attrs.frozen
 class SettleRequest(Message[Ack]):
-    """Take what requests have used, and back what was lent in vain."""
+    """Settle reservations, and cancel loans whose replies were lost."""
 
     NAME = "settle"
     REPLY = Ack
@@ -100,16 +108,16 @@
 
 @attrs.frozen
 class LendReply:
-    """The answer to a loan.
+    """The reply to a loan request.
 
     Attributes
     ----------
     lent
-        Tokens that are the borrower's from now on.
+        Tokens that the borrower owns from now on.
     released
-        Tokens that the lender has given back to the store for it to take.
+        Tokens that the lender has returned to the store, for the borrower to claim.
     unused
-        What the lender still has of the budget, with what is set aside for
+        Tokens of the budget that the lender still has, including those reserved for
         open requests.
     """
 
@@ -120,19 +128,21 @@
 
 @attrs.frozen
 class LendRequest(Message[LendReply]):
-    """Lend tokens.
+    """Ask for a loan of tokens.
 
     Attributes
     ----------
+    loan_id
+        Idempotency key of the loan.
     needed
-        What a request lacks.
+        Tokens that a request lacks.
     wanted
-        What the borrower would like, to ask less often.
+        Tokens that the borrower would take, so that it borrows less often.
     by_store
-        Whether the borrower can take what is given back to the store.
+        Whether the borrower can claim tokens that are returned to the store.
     kept_by
-        The VM that keeps it for requests that are yet to come; empty where it is
-        for one that waits.
+        The VM that holds the tokens for future requests; empty when a waiting request
+        needs them.
     """
 
     NAME = "lend"
@@ -148,12 +158,12 @@
 
 @attrs.frozen
 class TransferRequest(Message[Ack]):
-    """Take tokens that the sender had borrowed and does not need.
+    """Transfer tokens that the sender has borrowed and does not need.
 
     Attributes
     ----------
     gift_id
-        Names the gift; it is taken once however often it is sent.
+        Idempotency key: the transfer is applied once however often it is sent.
     """
 
     NAME = "give"
@@ -166,14 +176,16 @@
 
 @attrs.frozen
 class FinalUseReport(Message[Ack]):
-    """Keep what a router that stops has used, for the next run on its VM.
+    """Report the token use of a stopping router, for the next run on its VM.
 
-    It is sent where the store could not be told.
+    It is sent when the router could not write its use to the store.
 
     Attributes
     ----------
+    incarnation
+        Identifies the run that stops.
     used_by_account
-        Tokens of its own grants; the router uses no more of them.
+        Tokens used of its own grants; the router uses no more of them.
     """
 
     NAME = "final-use"
@@ -186,14 +198,14 @@
 
 @attrs.frozen
 class FinalUseReply:
-    """What a stopped run had used; None where this router was not told."""
+    """The final token use of a stopped run; None when it was not reported here."""
 
     used_by_account: dict[str, int] | None
 
 
 @attrs.frozen
 class FinalUseRequest(Message[FinalUseReply]):
-    """Ask what an earlier run on a VM had used when it stopped."""
+    """Ask for the final token use of an earlier run on a VM."""
 
     NAME = "final-use-of"
     REPLY = FinalUseReply
@@ -204,30 +216,32 @@
 
 @attrs.frozen
 class PlacementReply:
-    """The engine for a generation; empty where none is known.
+    """The placement of a generation on an engine.
 
     Attributes
     ----------
+    upstream
+        The chosen engine; empty when there is none.
     fetch_from
-        The engine that should hand over what it keeps of the prompt, if any.
+        The engine from which to fetch cached state of the prompt; empty when none.
     expected_ms
-        When its first event is expected, in milliseconds.
+        Milliseconds until the first event is expected.
     is_counted
-        Whether the request is among those that the engine may get when it is cold.
+        Whether the request counts towards the rate limit of a cold engine.
     is_admitted
-        Whether it is among those that all routers together may send there, where the
-        engine names a limit.
+        Whether the request is within the rate limit that the engine has stated for all
+        routers together.
     backpressure
-        What was heard of the service's engines that are throttled.
+        Known rate limits of the service's engines.
     is_refused
-        Whether there are engines and none may get the request now.
+        Whether there are engines, but none may get the request now.
     wait_ms
-        Milliseconds after which to ask again, where it waits for its turn.
+        For a queued request: milliseconds until the router should ask again.
     ahead
-        How many wait before it.
+        Number of requests before it in the queue.
     retry_ms
-        Milliseconds after which its caller should come back, where its turn comes too
-        late.
+        For a request that would be served too late: milliseconds until its caller
+        should retry.
     """
 
     upstream: str
@@ -244,29 +258,30 @@
 
 @attrs.frozen
 class PlacementRequest(Message[PlacementReply]):
-    """Choose an engine for a generation.
+    """Ask for an engine for a generation.
 
     Attributes
     ----------
     data_centre
-        Where the asking router is.
+        The data centre of the asking router.
     passed_over
-        The engines of the service that it would not send to.
+        Engines of the service that the asking router excludes.
     parts
-        Ids and tokens of the prompt's parts.
+        Ids and token counts of the prompt's parts.
     router
-        Names the run of the asking process.
+        Identifies the run of the asking router's process.
     expected_output_tokens
-        The caller's guess at the tokens of the answer; None where it makes none.
+        The caller's estimate of the output tokens; None when it gives none.
     first_event_ms, pause_ms
-        What the answer must keep to, in milliseconds: the time until its first
-        event, and the longest pause between two.
+        Latency objectives of the answer in milliseconds: the time to its first event,
+        and the longest pause between two events.
     own_turns
-        Engines that name a limit, and to which the asking router may send by itself.
+        Engines with a stated rate limit to which the asking router may send within its
+        own share of it.
     backpressure
-        What was heard of the service's engines that are throttled.
+        Known rate limits of the service's engines.
     claim
-        Who asks and for how long it can wait; None where it cannot.
+        Who asks and how long it can wait in a queue; None when it cannot wait.
     """
 
     NAME = "place"
@@ -289,14 +304,16 @@
 
 
 class RunStage(enum.Enum):
-    """How far a run has come.
+    """The stage of a run on an engine.
 
     Attributes
     ----------
+    BEGUN
+        It has produced its first event.
     PAUSED
-        Its stream has paused for longer than is on time.
+        Its stream has paused for longer than its latency objective allows.
     UNPLACED
-        Its router got no answer in time and has placed it by itself.
+        Its router got no placement in time and has placed the run itself.
     """
 
     BEGUN = "begun"
@@ -308,14 +325,14 @@
 
 @attrs.frozen
 class RunUpdate:
-    """What has become of a run on an engine.
+    """A change in the stage of a run.
 
     Attributes
     ----------
     upstream
-        The engine; empty where the router does not know it.
+        The engine; empty when the router does not know it.
     took_ms
-        Milliseconds from the send to the first event, where that is the news.
+        Milliseconds from the send to the first event, when the run has begun.
     """
 
     run_id: str
@@ -326,7 +343,7 @@
 
 @attrs.frozen
 class RunUpdateRequest(Message[Ack]):
-    """Take news of runs that were placed."""
+    """Report the progress of runs that were placed."""
 
     NAME = "news"
     REPLY = Ack
@@ -336,7 +353,7 @@
 
 @attrs.frozen
 class PingRequest(Message[Ack]):
-    """Ask whether a router answers again."""
+    """Check whether a router is reachable again."""
 
     NAME = "ping"
     REPLY = Ack
@@ -344,16 +361,16 @@
 
 @attrs.frozen
 class EvacuationReply:
-    """What a router knows of a data centre.
+    """A router's state regarding the evacuation of a data centre.
 
     Attributes
     ----------
     has_heard
-        Whether it sends nothing new there.
+        Whether the router knows of the evacuation and sends nothing new there.
     open_requests
-        Its requests that still run there.
+        Number of its requests that still run there.
     cold_seconds
-        How long the last of the upstreams there stays cold, as far as it knows.
+        Seconds until the last upstream there is expected to be warm.
     """
 
     has_heard: bool
@@ -363,7 +380,7 @@
 
 @attrs.frozen
 class EvacuationRequest(Message[EvacuationReply]):
-    """Ask whether a router has heard that a data centre is evacuated."""
+    """Ask a router whether it follows the evacuation of a data centre."""
 
     NAME = "evacuation"
     REPLY = EvacuationReply
--- a/lynxchute/fleet/quarantine_messages.py
+++ b/lynxchute/fleet/quarantine_messages.py
@@ -1,4 +1,4 @@
-"""What the routers tell one another of requests that end upstreams."""
+"""Messages between routers about requests that crash upstreams."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 @attrs.frozen
 class CrashEvidence(Message[Ack]):
-    """Take what runs say of requests that may end upstreams.
+    """Report evidence about requests that may crash upstreams.
 
     Attributes
     ----------
     broken
-        Runs that broke off when their upstream ended.
+        Runs that were cut off when their upstream crashed.
     survived
-        Contents of suspected requests that an upstream has outlived.
+        Content ids of suspected requests after which an upstream stayed up.
     quarantined
-        What another judge had told that does not stand in the store yet.
+        Entries from another judge that are not in the store yet.
     """
 
     NAME = "evidence"
@@ -32,7 +32,15 @@
 
 @attrs.frozen
 class QuarantineUpdate(Message[Ack]):
-    """Send some requests to no upstream, and others again."""
+    """Put requests into quarantine, so that no upstream gets them, or release them.
+
+    Attributes
+    ----------
+    quarantined
+        Requests that must not be sent to any upstream.
+    cleared
+        Content ids of requests that may be sent again.
+    """
 
     NAME = "quarantine"
     REPLY = Ack
--- a/lynxchute/fleet/registry.py
+++ b/lynxchute/fleet/registry.py
@@ -1,4 +1,4 @@
-"""Register this router in the store and follow who else is registered."""
+"""Registration of this router in the store, and discovery of the others."""
 
 from __future__ import annotations
 
@@ -30,41 +30,46 @@
 SECRET_KEY = "secret"
 ROUTER_PREFIX = "router/"
 
-# Routers come and go seldom, and so do requests in quarantine; but a router whose
-# connection to the store has gone silent, or that was cut off, must hear of these
-# within three seconds, and gives a question up a second after its wait. With a wait of
-# 5 s it could send what ends upstreams for six. The price is 0.47 calls a second more.
+# Registrations and quarantined requests seldom change. But a router that was cut off,
+# or whose connection to the store stopped responding, must learn of both within three
+# seconds, and a poll times out one second after its wait. With a wait of 5 s it could
+# send requests that crash upstreams for 6 s. The shorter wait costs 0.47 more calls a
+# second.
 FEED_TIMES = FeedTimes(wait=1.5, pause=0.2)
 RETRY_SECONDS = 0.3
-# Seconds between questions to routers that gave no answer.
+# Seconds between checks for unreachable routers that are due for a ping.
 PING_SECONDS = 1.0
 SECRET_BYTES = 24
-# Seconds in which the VMs of a new fleet all start.
+# Seconds within which all VMs of a new fleet start.
 FIRST_START_SECONDS = 1.5
 
 
 class Registry(BackgroundTask):
-    """Keep this router registered, and the members in step with the store.
+    """Register this router and keep the members in sync with the store.
 
     Parameters
     ----------
     store
-        Where routers register.
+        The store in which routers register.
     members
-        Whom it tells of the others.
+        The registered routers, which this class updates.
     is_first_start
-        Whether the whole fleet is starting, in any order.
+        Whether the whole fleet is starting for the first time, in any order.
 
     Attributes
     ----------
     secret
-        What the fleet's messages bear; empty until the store has told it.
+        The shared secret in the fleet's messages; empty until read from the store.
     settled
-        Set once the others are known, as far as they had registered.
+        Set once the routers that had registered by then are known.
     listeners
-        Called after routers have come or gone.
-    takers_by_key
-        Who takes other rows of the table, by their keys.
+        Called after each batch of changed rows.
+    peers
+        Sends pings to unreachable routers; None until it is set.
+    handlers_by_key
+        Handlers of further rows of the table, by row key.
+    feed
+        The replica of the table.
     """
 
     def __init__(self, store: Store, members: Members, *, is_first_start: bool) -> None:
@@ -78,25 +83,25 @@
             store,
             TABLE,
             times=FEED_TIMES,
-            on_row=self._take,
-            on_batch=self._note_change,
+            on_row=self._handle_row,
+            on_batch=self._notify_listeners,
         )
         self._store = store
         self._members = members
         self._is_first_start = is_first_start
 
     async def start(self) -> None:
-        """Begin to follow and register."""
+        """Start following the table and register this router."""
         await self.feed.start()
         await super().start()
 
     async def stop(self) -> None:
-        """Stop following."""
+        """Stop following the table."""
         await super().stop()
         await self.feed.stop()
 
     async def announce(self, member: Member) -> bool:
-        """Write what this router says of itself; return whether it stands."""
+        """Write a router's registration; return whether it is stored."""
         row_id = RowId(TABLE, ROUTER_PREFIX + member.vm)
         try:
             await self._store.write(Write(puts=(Put(row_id, member.encode()),)))
@@ -121,10 +126,10 @@
         self.settled.set()
         while True:
             await asyncio.sleep(PING_SECONDS)
-            await self._ping_silent()
+            await self._ping_unreachable()
 
     async def _propose_secret(self) -> None:
-        """Write a secret where there is none; the first one written counts."""
+        """Create the fleet secret unless one exists; the first one written is used."""
         row_id = RowId(TABLE, SECRET_KEY)
         proposed = secrets.token_hex(SECRET_BYTES)
         write = Write((Expected(row_id, ABSENT),), (Put(row_id, proposed.encode()),))
@@ -141,8 +146,8 @@
         if row is not None:
             self.secret = row.value.decode()
 
-    async def _ping_silent(self) -> None:
-        """Ask routers that gave no answer, so that no request has to try."""
+    async def _ping_unreachable(self) -> None:
+        """Ping unreachable routers, so that no request has to try them."""
         if self.peers is None:
             return
         loop = asyncio.get_running_loop()
@@ -150,11 +155,11 @@
             try:
                 await self.peers.ask(vm, PingRequest())
             except PeerUnreachable:
-                # That it is still silent was noted by the peers.
+                # The peer client has recorded the failure.
                 continue
             log_event("router answers again", peer=vm)
 
-    def _take(self, row: Row) -> None:
+    def _handle_row(self, row: Row) -> None:
         if row.id.key == SECRET_KEY and not row.deleted:
             self.secret = row.value.decode()
             return
@@ -162,13 +167,13 @@
             self.handlers_by_key[row.id.key](row)
             return
         if row.id.key.startswith(ROUTER_PREFIX):
-            self._take_router(row)
+            self._handle_router_row(row)
 
-    def _note_change(self) -> None:
+    def _notify_listeners(self) -> None:
         for listener in self.listeners:
             listener()
 
-    def _take_router(self, row: Row) -> None:
+    def _handle_router_row(self, row: Row) -> None:
         vm = row.id.key.removeprefix(ROUTER_PREFIX)
         if row.deleted:
             self._members.remove(vm)
--- a/lynxchute/fleet/relayed_store.py
+++ b/lynxchute/fleet/relayed_store.py
@@ -1,4 +1,4 @@
-"""Reach the store through another router while it cannot be reached from here."""
+"""A store client that falls back to other routers while the store is unreachable."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from lynxchute.fleet.server import PeerServer
 from lynxchute.fleet.store_messages import (
     StoreChangesRequest,
-    StoreEnd,
     StoreReply,
     StoreScanRequest,
+    StoreStatus,
     StoreWriteRequest,
     wire_rows,
 )
@@ -37,37 +37,36 @@
 
 ResultT = TypeVar("ResultT")
 
-# Routers that are asked in turn: where the store turns some away or some are
-# cut off, one of a few has it; where it is down, none has.
-MAX_ASKED = 3
-# Seconds until others are asked again after none of them had the store.
-NOBODY_PAUSE = 0.5
-# Seconds from one direct try to the next, about as long as one takes that is not
-# answered. A router that dies before it has written its line again loses most of its
-# grants, so that an outage should last no longer than it does.
-DIRECT_AGAIN = 0.5
-# Seconds between two questions for changes through another router, which does
-# not hold them back until there is one.
-CHANGES_STEP = 0.25
-# Seconds that a call for another router may take: less than the other waits
-# for this router's answer, so that a store which hangs is not taken for it.
-SERVE_SECONDS = 0.4
+# Routers tried in turn as relays. When the store refuses some routers or some are cut
+# off, one of a few still reaches it; when the store is down, none does.
+MAX_RELAYS_TRIED = 3
+# Seconds until relays are tried again after none of them reached the store.
+RELAYS_RETRY_SECONDS = 0.5
+# Seconds between direct attempts during an outage, about as long as an unanswered one
+# takes. A router that dies before it has rewritten its limit line loses most of its
+# grants, so the outage should not last longer here than at the store.
+DIRECT_RETRY_SECONDS = 0.5
+# Seconds between requests for changes through a relay, which does not long-poll.
+RELAYED_POLL_SECONDS = 0.25
+# Timeout in seconds for a relayed call. It is shorter than the other router's timeout,
+# so that a hanging store is not mistaken for an unreachable relay.
+RELAYED_CALL_TIMEOUT = 0.4
 
 
 class RelayedStore(Store):
-    """Call the store directly, or through a router that still reaches it.
+    """Call the store directly, or through another router that still reaches it.
 
-    Nothing is remembered or invented on the way: every answer is the store's
-    own, with its versions and its time.
+    Relays neither cache nor make up answers: each answer comes from the store, with
+    its versions and its time.
 
     Parameters
     ----------
     direct
-        The store as it is reached from here.
+        The direct client of the store.
     members, peers
-        The other routers.
+        The other routers, and the client for messages to them.
     clock
-        Seconds on the steady clock.
+        Returns the seconds on the monotonic clock.
     """
 
     def __init__(
@@ -82,31 +81,31 @@
         self._members = members
         self._peers = peers
         self._now = clock
-        self._direct_at = 0.0
-        self._others_at = 0.0
-        self._is_away = False
-        self._via = ""
+        self._direct_tried_at = 0.0
+        self._relays_retry_at = 0.0
+        self._is_cut_off = False
+        self._relay_vm = ""
 
     def serve(self, server: PeerServer) -> None:
-        """Call the store for other routers."""
-        server.handlers_by_class[StoreWriteRequest] = self._serve_write
-        server.handlers_by_class[StoreScanRequest] = self._serve_scan
-        server.handlers_by_class[StoreChangesRequest] = self._serve_changes
+        """Register the handlers that call the store for other routers."""
+        server.handlers_by_class[StoreWriteRequest] = self._handle_write
+        server.handlers_by_class[StoreScanRequest] = self._handle_scan
+        server.handlers_by_class[StoreChangesRequest] = self._handle_changes
 
     async def write(self, write: Write) -> Outcome:
         """Apply a write."""
-        if not self._is_away:
+        if not self._is_cut_off:
             try:
-                return await self._note_direct(self._direct.write(write))
+                return await self._call_directly(self._direct.write(write))
             except OutcomeUnknown as error:
-                # It may have taken effect, so that it must not be repeated.
+                # The write may have been applied, so it must not be retried.
                 if error.is_unresponsive:
-                    self._note_away()
+                    self._record_outage()
                 raise
             except StoreUnavailable:
-                self._note_away()
-        reply = await self._ask_others(StoreWriteRequest.of(write))
-        if reply.end is StoreEnd.DONE:
+                self._record_outage()
+        reply = await self._call_relays(StoreWriteRequest.of(write))
+        if reply.end is StoreStatus.DONE:
             return Committed(reply.version)
         rows_by_id: dict[RowId, Row | None] = {item.id: None for item in write.expected}
         for row in reply.rows:
@@ -114,104 +113,106 @@
         return Conflict(rows_by_id)
 
     async def scan(self, table: str, *, part: str = "") -> Snapshot:
-        """Return all rows of a part of a table."""
-        if self._may_try_directly():
+        """Return all rows of a table, or of one of its partitions."""
+        if self._may_call_directly():
             try:
-                return await self._note_direct(self._direct.scan(table, part=part))
+                return await self._call_directly(self._direct.scan(table, part=part))
             except StoreUnavailable:
-                self._note_away()
-        reply = await self._ask_others(StoreScanRequest(table, part))
+                self._record_outage()
+        reply = await self._call_relays(StoreScanRequest(table, part))
         return Snapshot(tuple(row.decoded() for row in reply.rows), reply.version)
 
     async def changes(self, table: str, *, after: int, wait: float) -> Changes:
-        """Return what changed in a table after a version."""
-        if self._may_try_directly():
-            patience = 0.0 if self._is_away else wait
+        """Return the changes of a table after a version."""
+        if self._may_call_directly():
+            direct_wait = 0.0 if self._is_cut_off else wait
             try:
-                return await self._note_direct(
-                    self._direct.changes(table, after=after, wait=patience)
+                return await self._call_directly(
+                    self._direct.changes(table, after=after, wait=direct_wait)
                 )
             except StoreUnavailable:
-                self._note_away()
-        reply = await self._ask_others(StoreChangesRequest(table, after))
-        if reply.end is StoreEnd.HISTORY_LOST:
+                self._record_outage()
+        reply = await self._call_relays(StoreChangesRequest(table, after))
+        if reply.end is StoreStatus.HISTORY_LOST:
             raise HistoryLost
         if not reply.rows:
-            await asyncio.sleep(min(wait, CHANGES_STEP))
+            await asyncio.sleep(min(wait, RELAYED_POLL_SECONDS))
         return Changes(tuple(row.decoded() for row in reply.rows), reply.version)
 
     def move(self, address: str) -> None:
-        """Go on with the same store at another address."""
+        """Use a new address for the same store."""
         self._direct.move(address)
 
     def close(self) -> None:
-        """Let go of what the store holds open."""
+        """Close the connections to the store."""
         self._direct.close()
 
-    # Directly.
+    # Direct calls.
 
-    def _may_try_directly(self) -> bool:
-        if not self._is_away:
+    def _may_call_directly(self) -> bool:
+        if not self._is_cut_off:
             return True
-        if self._now() - self._direct_at < DIRECT_AGAIN:
+        if self._now() - self._direct_tried_at < DIRECT_RETRY_SECONDS:
             return False
-        self._direct_at = self._now()
+        self._direct_tried_at = self._now()
         return True
 
-    async def _note_direct(self, answer: Awaitable[ResultT]) -> ResultT:
+    async def _call_directly(self, answer: Awaitable[ResultT]) -> ResultT:
         try:
             result = await answer
         except HistoryLost:
-            # That is an answer: the table can be listed now.
-            self._note_reached()
+            # The store answered, so the table can be listed directly.
+            self._record_reached()
             raise
-        self._note_reached()
+        self._record_reached()
         return result
 
-    def _note_reached(self) -> None:
-        if self._is_away:
-            log_event("store reached directly again", before=self._via)
-        self._is_away = False
-        self._via = ""
+    def _record_reached(self) -> None:
+        if self._is_cut_off:
+            log_event("store reached directly again", before=self._relay_vm)
+        self._is_cut_off = False
+        self._relay_vm = ""
 
-    def _note_away(self) -> None:
-        self._is_away = True
-        self._direct_at = self._now()
+    def _record_outage(self) -> None:
+        self._is_cut_off = True
+        self._direct_tried_at = self._now()
 
-    # Through others.
+    # Calls through relays.
 
-    async def _ask_others(self, message: Message[StoreReply]) -> StoreReply:
-        """Return the answer of the first router that has the store.
+    async def _call_relays(self, message: Message[StoreReply]) -> StoreReply:
+        """Return the reply of the first relay that reaches the store.
 
         Raises
         ------
         StoreUnavailable
-            Where none has, or the one that has says that nothing was done.
+            When no relay reaches the store, and nothing was done.
         OutcomeUnknown
-            Where a write may have taken effect.
+            When a write may have been applied.
         """
-        if self._now() < self._others_at:
-            raise StoreUnavailable("neither the store nor a router that has it answers")
-        for vm in self._candidates():
+        if self._now() < self._relays_retry_at:
+            raise StoreUnavailable(
+                "neither the store nor a router that reaches it answers"
+            )
+        for vm in self._relay_candidates():
             asked_at = self._now()
             try:
                 reply = await self._peers.ask(vm, message)
             except PeerUnreachable as error:
                 if isinstance(message, StoreWriteRequest):
-                    raise OutcomeUnknown(f"through {vm}: {error}") from error
+                    raise OutcomeUnknown(f"relayed through {vm}: {error}") from error
                 continue
-            if reply.end is StoreEnd.UNKNOWN:
-                raise OutcomeUnknown(f"through {vm}")
-            if reply.end is StoreEnd.UNAVAILABLE:
+            if reply.end is StoreStatus.UNKNOWN:
+                raise OutcomeUnknown(f"relayed through {vm}")
+            if reply.end is StoreStatus.UNAVAILABLE:
                 continue
-            self._note_reply(vm, reply, asked_at)
+            self._record_relay(vm, reply, asked_at)
             return reply
-        self._via = ""
-        self._others_at = self._now() + NOBODY_PAUSE
-        raise StoreUnavailable("no router that was asked has the store")
+        self._relay_vm = ""
+        self._relays_retry_at = self._now() + RELAYS_RETRY_SECONDS
+        raise StoreUnavailable("no router that was tried reaches the store")
 
-    def _candidates(self) -> list[str]:
-        """Return the routers to ask: the last one that had the store first."""
+    def _relay_candidates(self) -> list[str]:
+        """Return the VMs to try as relays, the last one that worked first."""
         own = self._members.own
         vms = []
         for member in self._members.by_vm.values():
@@ -220,62 +221,64 @@
             if self._members.is_reachable(member.vm):
                 vms.append(member.vm)
         order = self._members.preference_order(f"store for {own.vm}", vms)
-        if self._via in order:
-            order.remove(self._via)
-            order.insert(0, self._via)
-        return order[:MAX_ASKED]
+        if self._relay_vm in order:
+            order.remove(self._relay_vm)
+            order.insert(0, self._relay_vm)
+        return order[:MAX_RELAYS_TRIED]
 
-    def _note_reply(self, vm: str, reply: StoreReply, asked_at: float) -> None:
+    def _record_relay(self, vm: str, reply: StoreReply, asked_at: float) -> None:
         if reply.told_ms:
             self.clock.observe(
                 told_ms=reply.told_ms, now=self._now(), asked_at=asked_at
             )
-        if self._via != vm:
-            self._via = vm
+        if self._relay_vm != vm:
+            self._relay_vm = vm
             log_event("store reached through another router", peer=vm)
 
-    # For others.
+    # Handlers of relayed calls.
 
-    async def _serve_write(self, request: StoreWriteRequest) -> StoreReply:
-        if self._is_away:
-            return StoreReply(StoreEnd.UNAVAILABLE)
+    async def _handle_write(self, request: StoreWriteRequest) -> StoreReply:
+        if self._is_cut_off:
+            return StoreReply(StoreStatus.UNAVAILABLE)
         try:
-            async with asyncio.timeout(SERVE_SECONDS):
+            async with asyncio.timeout(RELAYED_CALL_TIMEOUT):
                 outcome = await self._direct.write(request.decoded())
         except StoreUnavailable:
-            return StoreReply(StoreEnd.UNAVAILABLE)
+            return StoreReply(StoreStatus.UNAVAILABLE)
         except (OutcomeUnknown, TimeoutError):
-            return StoreReply(StoreEnd.UNKNOWN)
+            return StoreReply(StoreStatus.UNKNOWN)
         told_ms = self.clock.last_reported_ms
         if isinstance(outcome, Committed):
-            return StoreReply(StoreEnd.DONE, version=outcome.version, told_ms=told_ms)
+            return StoreReply(
+                StoreStatus.DONE, version=outcome.version, told_ms=told_ms
+            )
         rows = wire_rows(outcome.rows_by_id.values())
-        return StoreReply(StoreEnd.CONFLICT, rows, told_ms=told_ms)
+        return StoreReply(StoreStatus.CONFLICT, rows, told_ms=told_ms)
 
-    async def _serve_scan(self, request: StoreScanRequest) -> StoreReply:
-        return await self._serve_rows(
+    async def _handle_scan(self, request: StoreScanRequest) -> StoreReply:
+        return await self._read_rows(
             lambda: self._direct.scan(request.table, part=request.part)
         )
 
-    async def _serve_changes(self, request: StoreChangesRequest) -> StoreReply:
-        return await self._serve_rows(
+    async def _handle_changes(self, request: StoreChangesRequest) -> StoreReply:
+        return await self._read_rows(
             lambda: self._direct.changes(request.table, after=request.after, wait=0.0)
         )
 
-    async def _serve_rows(
+    async def _read_rows(
         self, call: Callable[[], Awaitable[Snapshot | Changes]]
     ) -> StoreReply:
-        if self._is_away:
-            return StoreReply(StoreEnd.UNAVAILABLE)
+        if self._is_cut_off:
+            return StoreReply(StoreStatus.UNAVAILABLE)
         try:
-            async with asyncio.timeout(SERVE_SECONDS):
+            async with asyncio.timeout(RELAYED_CALL_TIMEOUT):
                 found = await call()
         except (StoreUnavailable, TimeoutError):
-            return StoreReply(StoreEnd.UNAVAILABLE)
+            return StoreReply(StoreStatus.UNAVAILABLE)
         except HistoryLost:
-            return StoreReply(StoreEnd.HISTORY_LOST)
+            return StoreReply(StoreStatus.HISTORY_LOST)
         return StoreReply(
-            StoreEnd.DONE,
+            StoreStatus.DONE,
             wire_rows(found.rows),
             found.version,
             self.clock.last_reported_ms,
--- a/lynxchute/fleet/server.py
+++ b/lynxchute/fleet/server.py
@@ -1,4 +1,4 @@
-"""Answer the fleet's other routers."""
+"""HTTP server for messages from other routers."""
 
 from __future__ import annotations
 
@@ -24,28 +24,30 @@
     not_found,
 )
 
-Answer = Callable[[Any], Awaitable[Any]]
+Handler = Callable[[Any], Awaitable[Any]]
 
 
 class PeerServer:
-    """Hand each message of another router to what answers its class.
+    """Dispatch each message from another router to the handler of its class.
 
     Parameters
     ----------
     secret
-        Returns what proves that a message comes from the fleet; empty while
-        it is not known.
+        Returns the shared secret that authenticates the fleet's messages; empty
+        while it is not known.
     meter
-        Counts what goes over the VM's link.
+        Counts the bytes that pass over the VM's network link.
 
     Attributes
     ----------
-    answers_by_class
-        Who answers which message.
+    handlers_by_class
+        The handlers by class of message.
+    server
+        The underlying HTTP server.
     """
 
     def __init__(self, secret: Callable[[], str], meter: LinkMeter) -> None:
-        self.handlers_by_class: dict[type[Message[Any]], Answer] = {}
+        self.handlers_by_class: dict[type[Message[Any]], Handler] = {}
         self.server = HttpServer(self._handle, meter=meter)
         self._secret = secret
 
@@ -63,7 +65,8 @@
             message = from_json(request.json(), cls)
         except MessageDecodeError as error:
             raise BadRequest(422, str(error)) from error
-        # What was decided is decided, also where the asker no longer waits.
+        # The handler must finish even if the sender disconnects: its decision, such as
+        # a reservation, takes effect all the same.
         respond.survives_disconnect = True
         reply = await self.handlers_by_class[cls](message)
         await respond.json(200, to_json(reply))
--- a/lynxchute/fleet/store_messages.py
+++ b/lynxchute/fleet/store_messages.py
@@ -1,4 +1,4 @@
-"""Calls to the store that one router makes for another."""
+"""Messages for store calls that one router makes for another."""
 
 from __future__ import annotations
 
@@ -12,15 +12,21 @@
 from lynxchute.store import Expected, Put, Row, RowId, Write
 
 
-class StoreEnd(enum.Enum):
-    """How a call to the store ended.
+class StoreStatus(enum.Enum):
+    """The result of a relayed store call.
 
     Attributes
     ----------
+    DONE
+        The call succeeded.
+    CONFLICT
+        A precondition of a write failed.
     UNAVAILABLE
         The store did nothing.
     UNKNOWN
-        A write may have taken effect, or may yet.
+        A write may have been applied, or may still be applied.
+    HISTORY_LOST
+        The store no longer has all changes after the version.
     """
 
     DONE = "done"
@@ -32,7 +38,7 @@
 
 @attrs.frozen
 class WireId:
-    """Where a row stands."""
+    """A row id in a message."""
 
     table: str
     key: str
@@ -40,17 +46,17 @@
 
     @classmethod
     def of(cls, row_id: RowId) -> WireId:
-        """Return the id as it is sent."""
+        """Encode a row id."""
         return cls(row_id.table, row_id.key, row_id.part)
 
     def decoded(self) -> RowId:
-        """Return the id as the store's users know it."""
+        """Return the row id."""
         return RowId(self.table, self.key, self.part)
 
 
 @attrs.frozen
 class WireRow:
-    """A row; its value in base64."""
+    """A row in a message; its value is in base64."""
 
     id: WireId
     value: str
@@ -59,28 +65,33 @@
 
     @classmethod
     def of(cls, row: Row) -> WireRow:
-        """Return the row as it is sent."""
-        return cls(WireId.of(row.id), _text(row.value), row.version, row.deleted)
+        """Encode a row."""
+        return cls(WireId.of(row.id), _base64(row.value), row.version, row.deleted)
 
     def decoded(self) -> Row:
-        """Return the row as the store's users know it."""
+        """Return the row with its value decoded."""
         value = base64.b64decode(self.value)
         return Row(self.id.decoded(), value, self.version, self.deleted)
 
 
 @attrs.frozen
 class StoreReply:
-    """What came of a call.
+    """The result of a relayed store call.
 
     Attributes
     ----------
+    end
+        The status of the call.
+    rows
+        The rows read, or the current rows after a conflict.
     version
-        The version that a write made, or up to which rows are told.
+        The version of the rows written, or up to which rows were read.
     told_ms
-        The store's time as it was last told to the router that called it.
+        The store's time that it last reported to the relaying router, in milliseconds
+        on its clock; 0 if unknown.
     """
 
-    end: StoreEnd
+    end: StoreStatus
     rows: tuple[WireRow, ...] = ()
     version: int = 0
     told_ms: int = 0
@@ -88,14 +99,16 @@
 
 @attrs.frozen
 class StoreWriteRequest(Message[StoreReply]):
-    """Apply a write.
+    """Relay a write.
 
     Attributes
     ----------
     expected
-        Rows and the versions that they must still have.
+        Row ids and the versions that the rows must have.
     puts
-        Rows and their new values, in base64.
+        Row ids and new values, in base64.
+    deletes
+        Ids of the rows to delete.
     """
 
     NAME = "store-write"
@@ -107,15 +120,15 @@
 
     @classmethod
     def of(cls, write: Write) -> StoreWriteRequest:
-        """Return the request for a write."""
+        """Encode a write."""
         return cls(
             tuple((WireId.of(item.id), item.version) for item in write.expected),
-            tuple((WireId.of(put.id), _text(put.value)) for put in write.puts),
+            tuple((WireId.of(put.id), _base64(put.value)) for put in write.puts),
             tuple(WireId.of(row_id) for row_id in write.deletes),
         )
 
     def decoded(self) -> Write:
-        """Return the write."""
+        """Return the write with its values decoded."""
         return Write(
             tuple(Expected(row_id.decoded(), v) for row_id, v in self.expected),
             tuple(
@@ -128,7 +141,7 @@
 
 @attrs.frozen
 class StoreScanRequest(Message[StoreReply]):
-    """Return all rows of a part of a table."""
+    """Relay a scan of a table, or of one of its partitions."""
 
     NAME = "store-scan"
     REPLY = StoreReply
@@ -139,7 +152,7 @@
 
 @attrs.frozen
 class StoreChangesRequest(Message[StoreReply]):
-    """Return what has changed in a table after a version, without waiting."""
+    """Relay a request for changes of a table after a version, without long-polling."""
 
     NAME = "store-changes"
     REPLY = StoreReply
@@ -149,9 +162,9 @@
 
 
 def wire_rows(rows: Iterable[Row | None]) -> tuple[WireRow, ...]:
-    """Return rows as they are sent; those that do not exist are left out."""
+    """Encode rows; None values, for rows that do not exist, are left out."""
     return tuple(WireRow.of(row) for row in rows if row is not None)
 
 
-def _text(value: bytes) -> str:
+def _base64(value: bytes) -> str:
     return base64.b64encode(value).decode("ascii")
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -1,4 +1,4 @@
-"""Entries that another writer leaves in the tables that routers follow."""
+"""Tests of invalid rows from other writers in the tables that routers replicate."""
 
 import json
 
@@ -42,10 +42,9 @@
 }
 MEMBER = Member("a-1", "a", "run-1", "127.0.0.1:7680")
 HOLDER = {"incarnation": "r", "sequence": 3, "shares": {"kanda": [90, 10, 1, 2, 5]}}
-# Values that a field may have by mistake; the longest number is longer than any
-# that JSON decoders turn into a float.
-ODD = [None, True, -1, 0, 0.5, "", "x", [], {}, [1], {"a": 1}, 10**400, 1e308]
-ODD_TEXTS = ["1e999", "-1e999", "NaN", "Infinity", "[" * 100_000, '{"a":' * 100_000]
+# Mistaken values of a field; the longest integer is too large to convert to a float.
+BAD_VALUES = [None, True, -1, 0, 0.5, "", "x", [], {}, [1], {"a": 1}, 10**400, 1e308]
+BAD_TEXTS = ["1e999", "-1e999", "NaN", "Infinity", "[" * 100_000, '{"a":' * 100_000]
 
 json_values = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=8),
@@ -66,12 +65,12 @@
 
 
 def mutations(good):
-    """Yield what becomes of good values when one field is lost or replaced."""
+    """Yield encodings of an object with one field removed or replaced."""
     for name in good:
         yield json.dumps({k: v for k, v in good.items() if k != name}).encode()
-        for odd in ODD:
-            yield json.dumps({**good, name: odd}).encode()
-        for text in ODD_TEXTS:
+        for bad in BAD_VALUES:
+            yield json.dumps({**good, name: bad}).encode()
+        for text in BAD_TEXTS:
             rest = {k: v for k, v in good.items() if k != name}
             head = json.dumps(rest)[:-1]
             yield f'{head}, "{name}": {text}}}'.encode()
@@ -167,7 +166,7 @@
             self.assertTrue(decoded.is_error(), change)
 
     def test_endless_numbers_and_deep_values_are_told_not_raised(self):
-        for text in ODD_TEXTS:
+        for text in BAD_TEXTS:
             value = entry()[:-1] + f', "slots": {text}}}'.encode()
             self.assertTrue(decode_upstream(row(value)).is_error())
 
@@ -195,22 +194,22 @@
 
 class FeedTest(TestCase):
     def test_a_row_that_a_listener_cannot_take_costs_no_other_row(self):
-        taken, pages = [], []
+        applied, batches = [], []
 
-        def apply_rows(item):
+        def on_row(item):
             if item.id.key == "bad":
-                raise ValueError("cannot be taken")
-            taken.append(item.id.key)
+                raise ValueError("invalid row")
+            applied.append(item.id.key)
 
         feed = TableFeed(
             None,
             "t",
             times=FeedTimes(),
-            on_row=apply_rows,
-            on_batch=lambda: pages.append(len(taken)),
+            on_row=on_row,
+            on_batch=lambda: batches.append(len(applied)),
         )
         feed.apply_rows((row(b"", "a"), row(b"", "bad"), row(b"", "b")))
-        self.assertEqual((["a", "b"], [2]), (taken, pages))
+        self.assertEqual((["a", "b"], [2]), (applied, batches))
 
 
 class WatcherTest(TestCase):
@@ -222,7 +221,7 @@
             make_platform("127.0.0.1:1"), self.directory, ClientPool(), bound=2.0
         )
 
-    def apply_rows(self, *rows):
+    def apply(self, *rows):
         self.watcher.feed.apply_rows(rows)
 
     def abort(self):
@@ -231,16 +230,16 @@
     def test_good_entries_behind_a_bad_one_are_known(self):
         bad = entry()[:-1] + b', "slots": 1e999}'
         deep = b"[" * 100_000
-        self.apply_rows(row(bad, "i-0"), row(deep, "i-1"), row(entry(), "i-2"))
+        self.apply(row(bad, "i-0"), row(deep, "i-1"), row(entry(), "i-2"))
         self.assertEqual(["i-2"], list(self.directory.entries_by_id))
 
     def test_an_entry_overwritten_by_what_cannot_be_read_takes_no_work(self):
         for version, value in enumerate((b"\xff", b"{}", entry(address=5)), 2):
-            self.apply_rows(row(entry(), version=version * 2))
+            self.apply(row(entry(), version=version * 2))
             found = self.directory.entries_by_id["i-1"]
             found.open_sends.add(OpenSend(self, lambda: True))
             self.assertTrue(found.takes_work)
-            self.apply_rows(row(value, version=version * 2 + 1))
+            self.apply(row(value, version=version * 2 + 1))
             self.assertFalse(found.takes_work)
         self.assertEqual([], self.aborted)
 
@@ -253,7 +252,7 @@
                 if decode_upstream(row(value)).is_error():
                     await store.put("servers", f"a-{number:04d}", value)
             await store.put("servers", "zz", b"\x00\xff")
-            # A late one shows that all before it have been taken.
+            # Once a later row is known, all rows before it have been processed.
             await deployment.apps[0].register(store)
             router = deployment.routers["a-1"]
             await until(lambda: "zz" in router.upstreams.feed.rows_by_key)
--- a/tests/test_relayed_fuzz.py
+++ b/tests/test_relayed_fuzz.py
@@ -1,4 +1,4 @@
-"""The store through other routers, fuzzed with one-way cuts and lost answers."""
+"""Fuzz tests of relayed store calls, with asymmetric partitions and lost answers."""
 
 import asyncio
 import enum
@@ -32,8 +32,8 @@
 TABLE = "t"
 
 
-class Way(enum.Enum):
-    """What becomes of a question on its way there, and of its answer."""
+class Link(enum.Enum):
+    """The state of a link: whether requests and their answers get through."""
 
     UP = "up"
     REFUSED = "refused"
@@ -41,10 +41,10 @@
     ANSWER_LOST = "answer lost"
 
 
-WAYS = st.sampled_from([Way.UP, Way.UP, Way.UP, *Way])
+LINKS = st.sampled_from([Link.UP, Link.UP, Link.UP, *Link])
 STEPS = st.one_of(
-    st.tuples(st.just("store"), st.sampled_from(VMS), WAYS),
-    st.tuples(st.just("peer"), st.permutations(VMS), WAYS),
+    st.tuples(st.just("store"), st.sampled_from(VMS), LINKS),
+    st.tuples(st.just("peer"), st.permutations(VMS), LINKS),
     st.tuples(st.just("write"), st.sampled_from(VMS), st.integers(0, 2)),
     st.tuples(st.just("stale write"), st.sampled_from(VMS), st.integers(0, 2)),
     st.tuples(st.just("scan"), st.sampled_from(VMS), st.none()),
@@ -54,20 +54,20 @@
 )
 
 
-class Truth:
-    """The store itself; counts how often each value was written."""
+class ReferenceStore:
+    """The reference store; counts how often each value was written."""
 
     def __init__(self):
         self.rows = MemoryRows()
-        self.times_by_value = {}
-        self.forgotten = 0
+        self.writes_by_value = {}
+        self.pruned_version = 0
 
     def write(self, write):
         outcome = self.rows.write(write)
         if isinstance(outcome, Committed):
             for put in write.puts:
-                times = self.times_by_value.get(put.value, 0)
-                self.times_by_value[put.value] = times + 1
+                writes = self.writes_by_value.get(put.value, 0)
+                self.writes_by_value[put.value] = writes + 1
         return outcome
 
     def scan(self):
@@ -75,55 +75,55 @@
         return Snapshot(tuple(rows), self.rows.version)
 
 
-class CutStore(Store):
-    """A router's own way to the store."""
+class FaultyStore(Store):
+    """A router's direct connection to the store, which may fail."""
 
-    def __init__(self, truth):
+    def __init__(self, reference):
         self.clock = StoreClock()
-        self.way = Way.UP
-        self._truth = truth
+        self.link = Link.UP
+        self._reference = reference
 
     async def write(self, write):
         await asyncio.sleep(0)
-        if self.way is Way.REFUSED:
+        if self.link is Link.REFUSED:
             raise StoreUnavailable("refused")
-        if self.way is Way.LOST:
+        if self.link is Link.LOST:
             raise OutcomeUnknown("lost", is_unresponsive=True)
-        outcome = self._truth.write(write)
-        if self.way is Way.ANSWER_LOST:
+        outcome = self._reference.write(write)
+        if self.link is Link.ANSWER_LOST:
             raise OutcomeUnknown("answer lost", is_unresponsive=True)
         return outcome
 
     async def scan(self, table, *, part=""):
         self._read()
-        return self._truth.scan()
+        return self._reference.scan()
 
     async def changes(self, table, *, after, wait):
         self._read()
-        if after < self._truth.forgotten:
+        if after < self._reference.pruned_version:
             raise HistoryLost
-        rows = [row for row in self._truth.scan().rows if row.version > after]
-        return Changes(tuple(rows), self._truth.rows.version)
+        rows = [row for row in self._reference.scan().rows if row.version > after]
+        return Changes(tuple(rows), self._reference.rows.version)
 
     def _read(self):
-        if self.way is not Way.UP:
-            raise StoreUnavailable(self.way.value)
+        if self.link is not Link.UP:
+            raise StoreUnavailable(self.link.value)
 
 
-class CutPeers(DirectPeers):
-    """The ways from one router to the others, each with a state of its own."""
+class FaultyPeers(DirectPeers):
+    """The links from one router to the others, each with a state of its own."""
 
-    def __init__(self, own, stores_by_vm, ways):
+    def __init__(self, own, stores_by_vm, links):
         super().__init__(stores_by_vm)
         self._own = own
-        self._ways = ways
+        self._links = links
 
     async def ask(self, vm, message):
-        way = self._ways.get((self._own, vm), Way.UP)
-        if way in (Way.REFUSED, Way.LOST):
+        link = self._links.get((self._own, vm), Link.UP)
+        if link in (Link.REFUSED, Link.LOST):
             raise PeerUnreachable(vm)
         reply = await super().ask(vm, message)
-        if way is Way.ANSWER_LOST:
+        if link is Link.ANSWER_LOST:
             raise PeerUnreachable(vm)
         return reply
 
@@ -132,43 +132,43 @@
     def __init__(self, case):
         self.case = case
         self.now = 100.0
-        self.truth = Truth()
-        self.ways = {}
-        self.direct = {vm: CutStore(self.truth) for vm in VMS}
+        self.reference = ReferenceStore()
+        self.links = {}
+        self.direct = {vm: FaultyStore(self.reference) for vm in VMS}
         self.stores = {}
         for vm in VMS:
             members = Members(Member(vm, vm[0], vm, "x:1"))
             for other in VMS:
                 members.put(Member(other, other[0], other, "x:1"))
-            peers = CutPeers(vm, self.stores, self.ways)
+            peers = FaultyPeers(vm, self.stores, self.links)
             self.stores[vm] = RelayedStore(
                 self.direct[vm], members, peers, lambda: self.now
             )
         self.refused = []
-        self.unsure = []
-        self.values = 0
+        self.unknown = []
+        self.value_count = 0
 
-    async def step(self, kind, who, what):
+    async def step(self, kind, vm, what):
         if kind == "store":
-            self.direct[who].way = what
+            self.direct[vm].link = what
         elif kind == "peer":
-            self.ways[who[0], who[1]] = what
+            self.links[vm[0], vm[1]] = what
         elif kind == "wait":
             self.now += what
         elif kind == "forget":
-            self.truth.forgotten = self.truth.rows.version
+            self.reference.pruned_version = self.reference.rows.version
         elif kind == "scan":
-            await self.scan(who)
+            await self.scan(vm)
         elif kind == "changes":
-            await self.changes(who, what)
+            await self.changes(vm, what)
         else:
-            await self.write(who, f"k{what}", stale=kind == "stale write")
+            await self.write(vm, f"k{what}", stale=kind == "stale write")
 
     async def write(self, vm, key, *, stale):
-        self.values += 1
-        value = f"v{self.values}".encode()
+        self.value_count += 1
+        value = f"v{self.value_count}".encode()
         row_id = RowId(TABLE, key)
-        row = self.truth.rows.get(row_id)
+        row = self.reference.rows.get(row_id)
         version = (row.version if row else 0) + (1 if stale else 0)
         write = Write((Expected(row_id, version),), (Put(row_id, value),))
         try:
@@ -177,37 +177,37 @@
             self.refused.append(value)
             return
         except OutcomeUnknown:
-            self.unsure.append(value)
+            self.unknown.append(value)
             return
-        now = self.truth.rows.get(row_id)
+        now = self.reference.rows.get(row_id)
         if isinstance(outcome, Conflict):
             self.case.assertEqual({row_id: now}, outcome.rows_by_id)
             self.refused.append(value)
             return
         self.case.assertEqual((value, outcome.version), (now.value, now.version))
-        self.case.assertEqual(1, self.truth.times_by_value[value])
+        self.case.assertEqual(1, self.reference.writes_by_value[value])
 
     async def scan(self, vm):
         try:
             found = await self.stores[vm].scan(TABLE)
         except StoreUnavailable:
             return
-        self.case.assertEqual(self.truth.scan(), found)
+        self.case.assertEqual(self.reference.scan(), found)
 
     async def changes(self, vm, after):
         try:
             found = await self.stores[vm].changes(TABLE, after=after, wait=0.0)
         except (StoreUnavailable, HistoryLost):
             return
-        rows = [row for row in self.truth.scan().rows if row.version > after]
+        rows = [row for row in self.reference.scan().rows if row.version > after]
         self.case.assertEqual(tuple(rows), found.rows)
 
     def check(self):
-        times = self.truth.times_by_value
+        writes = self.reference.writes_by_value
         for value in self.refused:
-            self.case.assertNotIn(value, times)
-        for value in self.unsure:
-            self.case.assertLessEqual(times.get(value, 0), 1)
+            self.case.assertNotIn(value, writes)
+        for value in self.unknown:
+            self.case.assertLessEqual(writes.get(value, 0), 1)
 
 
 class RelayedFuzzTest(AsyncTestCase):
@@ -226,10 +226,10 @@
         async def work():
             fleet = Fleet(self)
             for vm in ("a-1", "b-1"):
-                fleet.direct[vm].way = Way.REFUSED
+                fleet.direct[vm].link = Link.REFUSED
             for vm in VMS:
                 await fleet.write(vm, "k0", stale=False)
-            self.assertEqual(([], []), (fleet.refused, fleet.unsure))
-            self.assertEqual(3, len(fleet.truth.times_by_value))
+            self.assertEqual(([], []), (fleet.refused, fleet.unknown))
+            self.assertEqual(3, len(fleet.reference.writes_by_value))
 
         self.run_async(work())
--- a/tests/test_relayed_store.py
+++ b/tests/test_relayed_store.py
@@ -1,4 +1,4 @@
-"""The store, reached through other routers."""
+"""Tests of store calls that are relayed through other routers."""
 
 import asyncio
 
@@ -61,7 +61,7 @@
 
 
 class DirectPeers(Peers):
-    """Carry messages between stores of one process, as JSON."""
+    """Pass messages between stores in one process, encoded as JSON."""
 
     def __init__(self, stores_by_vm):
         self.stores_by_vm = stores_by_vm
@@ -72,14 +72,14 @@
         self.asked.append((vm, type(message)))
         if vm in self.silent:
             raise PeerUnreachable(vm)
-        server = Collector()
+        server = FakeServer()
         self.stores_by_vm[vm].serve(server)
-        question = from_json(to_json(message), type(message))
-        reply = await server.handlers_by_class[type(message)](question)
+        request = from_json(to_json(message), type(message))
+        reply = await server.handlers_by_class[type(message)](request)
         return from_json(to_json(reply), type(message).REPLY)
 
 
-class Collector:
+class FakeServer:
     def __init__(self):
         self.handlers_by_class = {}
 
@@ -141,7 +141,7 @@
             with self.assertRaises(OutcomeUnknown):
                 await stores["a-1"].write(WRITE)
             self.assertEqual([], peers.asked)
-            # The next one goes through another router, which dies meanwhile.
+            # The next write goes through a relay, which dies meanwhile.
             peers.silent = {"a-2", "a-3"}
             with self.assertRaises(OutcomeUnknown):
                 await stores["a-1"].write(WRITE)
@@ -167,7 +167,7 @@
             for _ in range(5):
                 with self.assertRaises(StoreUnavailable):
                     await stores["a-1"].write(WRITE)
-            # Both others once, and then nobody for a while.
+            # Both relays were tried once; then none until the retry delay has passed.
             self.assertEqual(2, len(peers.asked))
             self.assertEqual([], [w for s in direct.values() for w in s.writes])
 
@@ -178,7 +178,7 @@
             direct["a-1"].failure = StoreUnavailable("away")
             await stores["a-1"].write(WRITE)
             direct["a-1"].failure = None
-            stores["a-1"]._direct_at -= 10.0
+            stores["a-1"]._direct_tried_at -= 10.0
             await stores["a-1"].changes("t", after=0, wait=0.0)
             peers.asked.clear()
             await stores["a-1"].write(WRITE)
@@ -191,7 +191,7 @@
             direct["a-1"].failure = StoreUnavailable("away")
             await stores["a-1"].write(WRITE)
             direct["a-1"].failure = None
-            stores["a-1"]._direct_at -= 0.5
+            stores["a-1"]._direct_tried_at -= 0.5
             await stores["a-1"].scan("t")
             peers.asked.clear()
             await stores["a-1"].write(WRITE)
@@ -206,11 +206,11 @@
                 other.failure = StoreUnavailable("away")
             with self.assertRaises(StoreUnavailable):
                 await store.write(WRITE)
-            store._direct_at -= 10.0
+            store._direct_tried_at -= 10.0
             direct["a-1"].failure = HistoryLost()
             with self.assertRaises(HistoryLost):
                 await store.changes("t", after=1, wait=0.0)
-            # The table can be listed at once, though no other has the store.
+            # The table can be listed directly, though no relay reaches the store.
             direct["a-1"].failure = None
             peers.asked.clear()
             self.assertEqual(9, (await store.scan("t")).version)
@@ -225,7 +225,7 @@
 
 
 class CutOffRouterTest(PlatformTestCase):
-    """One router has lost the store; the others have it."""
+    """One router is cut off from the store; the others reach it."""
 
     def test_it_serves_on_and_learns_what_is_new(self):
         async def scenario(deployment):
@@ -241,7 +241,7 @@
                     ),
                     timeout=8,
                 )
-                # More than any line allows without the store.
+                # Uses more tokens than any limit line allows without the store.
                 caller = PlatformCaller(deployment, "a-1")
                 for _ in range(8):
                     status, _, _ = await caller.stream(tokens=(20_000, 60))
