--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# The daily verbs. Each target makes the environment that it needs.
+# Everyday commands. Each target creates the environment that it needs.
 PYTHON ?= python3
 VENV := .venv
 BIN := $(VENV)/bin
