--- a/lynxchute/bench/slopes.py
+++ b/lynxchute/bench/slopes.py
@@ -31,7 +31,7 @@
     UpstreamDocument,
     Version,
 )
-from lynxchute.config.from_document import configuration_of
+from lynxchute.config.from_document import build_configuration
 from lynxchute.event_loop import run as run_loop
 from lynxchute.fleet.client import HttpPeers
 from lynxchute.fleet.members import Member, Members
@@ -274,7 +274,7 @@
     """Return the processor time to bring a version into force."""
     value = version_with(upstreams).encode()
     begun = time.process_time()
-    configuration_of(Version.decode(value).ok)
+    build_configuration(Version.decode(value).ok)
     return (time.process_time() - begun) * 1e6
 
 
--- a/lynxchute/config/configuration.py
+++ b/lynxchute/config/configuration.py
@@ -220,6 +220,6 @@
         return None
 
     @property
-    def checks_keys(self) -> bool:
+    def is_key_required(self) -> bool:
         """Return whether requests need an API key, except on public routes."""
         return bool(self.accounts_by_name)
--- a/lynxchute/config/from_document.py
+++ b/lynxchute/config/from_document.py
@@ -31,7 +31,7 @@
 CONNECTIONS_PER_SLOT = 4
 
 
-def configuration_of(version: Version) -> Configuration:
+def build_configuration(version: Version) -> Configuration:
     """Return the configuration of a stored version."""
     document = version.document
     services_by_name = {item.name: _service(item) for item in document.services}
--- a/lynxchute/operators/collections.py
+++ b/lynxchute/operators/collections.py
@@ -114,7 +114,11 @@
         try:
             return CollectionRows(await self._readers_by_collection[collection]())
         except StoreUnavailable as error:
-            log_event("rows not read", collection=collection, reason=str(error))
+            log_event(
+                "reading rows for a query failed",
+                collection=collection,
+                reason=str(error),
+            )
             return CollectionRows([], (STORE,))
 
     async def data_centre_names(self) -> set[str]:
@@ -266,7 +270,9 @@
         for row in snapshot.rows:
             decoded = Version.decode(row.value)
             if decoded.is_error():
-                log_event("version not understood", problem=decoded.error)
+                log_event(
+                    "configuration version cannot be decoded", problem=decoded.error
+                )
                 continue
             version = decoded.ok
             rows.append(
--- a/lynxchute/operators/evacuation_reports.py
+++ b/lynxchute/operators/evacuation_reports.py
@@ -85,7 +85,9 @@
             try:
                 return await self._peers.ask(vm, EvacuationRequest(data_centre))
             except PeerUnreachable as error:
-                log_event("evacuation not told", peer=vm, reason=str(error))
+                log_event(
+                    "evacuation status request failed", peer=vm, reason=str(error)
+                )
                 return None
 
     async def _handle_request(self, request: EvacuationRequest) -> EvacuationReply:
--- a/lynxchute/operators/history.py
+++ b/lynxchute/operators/history.py
@@ -134,7 +134,7 @@
     def __init__(self, store: Store) -> None:
         self._store = store
 
-    async def begin(self, document: FleetDocument) -> bool:
+    async def initialize(self, document: FleetDocument) -> bool:
         """Write the first version if the store has none, and return True.
 
         Raises
--- a/lynxchute/operators/language.py
+++ b/lynxchute/operators/language.py
@@ -55,12 +55,12 @@
     column: int
     problem: str
     expected: tuple[str, ...] = ()
-    nearest: str = ""
+    suggestion: str = ""
 
     def __str__(self) -> str:
         text = f"column {self.column}: {self.problem}"
-        if self.nearest:
-            text += f" Did you mean {self.nearest!r}?"
+        if self.suggestion:
+            text += f" Did you mean {self.suggestion!r}?"
         if self.expected:
             text += f" Expected: {', '.join(self.expected)}."
         return text
--- a/lynxchute/platform/engines.py
+++ b/lynxchute/platform/engines.py
@@ -10,10 +10,10 @@
 from lynxchute.platform.names import (
     CACHE_LIST,
     COLD_MS,
-    COLD_REMAINING,
+    COLD_REMAINING_FIELD,
     REPORT_PATH,
     RUNNING_FIELD,
-    STARTED,
+    START_TIME_FIELD,
     WAITING_FIELD,
 )
 from lynxchute.platform.statements import STATEMENT_HEADERS
@@ -55,8 +55,8 @@
     cold_ms = _cold_ms(headers)
     try:
         value = RowValue.decode(report)
-        reported_ms = value.count(COLD_REMAINING, default=0)
-        started_ms = value.count(STARTED, default=None)
+        reported_ms = value.count(COLD_REMAINING_FIELD, default=0)
+        started_ms = value.count(START_TIME_FIELD, default=None)
     except RowValueError:
         return Probe(cold_seconds=cold_ms / 1000.0)
     cold_seconds = max(cold_ms, reported_ms) / 1000.0
--- a/lynxchute/platform/names.py
+++ b/lynxchute/platform/names.py
@@ -59,9 +59,9 @@
 EVACUATION_PREFIX = "evacuate/"
 UPSTREAM_TABLE = "servers"
 # Field of upstream rows and load reports: start time in Unix milliseconds.
-STARTED = "born"
+START_TIME_FIELD = "born"
 # Fields of load reports: the number of running and of waiting requests.
 RUNNING_FIELD = "running"
 WAITING_FIELD = "waiting"
 # Field of upstream rows and load reports: milliseconds until the upstream is warm.
-COLD_REMAINING = "cold_remaining_ms"
+COLD_REMAINING_FIELD = "cold_remaining_ms"
--- a/lynxchute/platform/upstreams.py
+++ b/lynxchute/platform/upstreams.py
@@ -39,6 +39,6 @@
         # In any state but "ready" an upstream accepts no new requests.
         is_leaving=value.text("state") != READY,
         slots=value.count("slots", least=1),
-        warm_up=value.number(names.COLD_REMAINING) / 1000.0,
-        started_ms=value.count(names.STARTED, default=None),
+        warm_up=value.number(names.COLD_REMAINING_FIELD) / 1000.0,
+        started_ms=value.count(names.START_TIME_FIELD, default=None),
     )
--- a/lynxchute/relay/admission.py
+++ b/lynxchute/relay/admission.py
@@ -182,7 +182,7 @@
     if route is None:
         title = f"No route leads to {call.host}{call.request.path}."
         return Refusal(Reason.NO_ROUTE, title)
-    if route.is_public or not configuration.checks_keys:
+    if route.is_public or not configuration.is_key_required:
         return None
     if call.key not in configuration.accounts_by_key:
         return Refusal(Reason.BAD_KEY, "No client account has this API key.")
--- a/lynxchute/router.py
+++ b/lynxchute/router.py
@@ -16,7 +16,7 @@
 from lynxchute.clock import steady_seconds
 from lynxchute.config import Configuration
 from lynxchute.config.document import FleetDocument, Version
-from lynxchute.config.from_document import CHAT_PATH, configuration_of
+from lynxchute.config.from_document import CHAT_PATH, build_configuration
 from lynxchute.edge.application import EdgeApplication
 from lynxchute.edge.platform import Platform
 from lynxchute.http import ClientPool, Request, Responder
@@ -77,7 +77,7 @@
     if decoded.is_error():
         return Error(decoded.error)
     try:
-        return Ok(configuration_of(decoded.ok))
+        return Ok(build_configuration(decoded.ok))
     except KeyError as error:
         return Error(f"the configuration names no service {error}")
 
@@ -137,7 +137,7 @@
     async def _run(self) -> None:
         while True:
             try:
-                await self._history.begin(self._document)
+                await self._history.initialize(self._document)
                 return
             except (StoreUnavailable, OutcomeUnknown) as error:
                 log_event("first configuration not written yet", reason=str(error))
--- a/lynxchute/standins/platform_upstream.py
+++ b/lynxchute/standins/platform_upstream.py
@@ -182,11 +182,11 @@
             "version": "v1",
             "slots": 64,
             "state": self.state,
-            names.COLD_REMAINING: self._cold_ms,
+            names.COLD_REMAINING_FIELD: self._cold_ms,
             "sequence": 1,
         }
         if self.started_ms is not None:
-            entry[names.STARTED] = self.started_ms
+            entry[names.START_TIME_FIELD] = self.started_ms
         await store.put(UPSTREAM_TABLE, self.id, json.dumps(entry).encode())
 
     async def _accept(
@@ -272,7 +272,7 @@
         held = [["", part_id, tokens, "m"] for part_id, tokens in self.cache.items()]
         told: dict[str, object] = {"epoch": 1, "next": 0, "held": held, "sequence": 1}
         if self.started_ms is not None:
-            told[names.STARTED] = self.started_ms
+            told[names.START_TIME_FIELD] = self.started_ms
         body = json.dumps(told).encode()
         headers = [
             ("Content-Length", str(len(body))),
--- a/tests/platform_support.py
+++ b/tests/platform_support.py
@@ -241,14 +241,14 @@
     async def stream(self, path="/stream/x", tokens=(100, 60), **options):
         return await self.send("POST", path, b"prompt", tokens=tokens, **options)
 
-    async def fails(self, *arguments, **options):
+    async def send_fails(self, *arguments, **options):
         with contextlib.suppress(ExchangeError):
             await self.send(*arguments, **options)
             return False
         return True
 
 
-def ids_of(body):
+def event_ids(body):
     return [
         int(line[4:]) for line in body.decode().split("\n") if line.startswith("id: ")
     ]
@@ -260,7 +260,7 @@
             await asyncio.sleep(0.01)
 
 
-async def stream_at_one_engine(deployment):
+async def start_long_stream(deployment):
     """Start a long stream; return its task, its engine and the other engine."""
     for engine in deployment.engines:
         engine.events, engine.event_delay = 30, 0.02
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -93,7 +93,7 @@
 
     def test_a_typo_suggests_the_nearest_word(self):
         (mistake,) = parse("show budgets odrer by free").error
-        self.assertEqual((14, "order"), (mistake.column, mistake.nearest))
+        self.assertEqual((14, "order"), (mistake.column, mistake.suggestion))
 
     def test_all_mistakes_of_a_query_are_reported_together(self):
         show = Show("budgets", (Condition("fre", "=", 1),), (), "chraged")
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -15,7 +15,7 @@
     PlatformCaller,
     PlatformDeployment,
     PlatformTestCase,
-    ids_of,
+    event_ids,
 )
 from tests.router_process import RouterProcess
 from tests.support import AsyncTestCase, until
@@ -72,7 +72,7 @@
             caller = deployment.caller()
             await until(lambda: deployment.router.events("grants changed"))
             status, _, body = await caller.stream()
-            self.assertEqual((200, [1, 2, 3, 4, 5, 6]), (status, ids_of(body)))
+            self.assertEqual((200, [1, 2, 3, 4, 5, 6]), (status, event_ids(body)))
             self.assertEqual(200, (await caller.send("POST", "/unsafe/x"))[0])
             self.assertEqual(404, (await caller.send("GET", "/none/x"))[0])
             await until(lambda: len(deployment.router.events("request ended")) == 2)
@@ -120,7 +120,7 @@
             self.assertEqual(200, late[0])
             self.assertEqual("close", late[1]["connection"])
             status, _, body = await stream
-            self.assertEqual((200, 40), (status, len(ids_of(body))))
+            self.assertEqual((200, 40), (status, len(event_ids(body))))
             self.assertEqual(0, await process.wait())
             self.assertTrue(deployment.router.events("budgets given back"))
             granted = json.loads(deployment.store.value("budget-totals", "kanda"))
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -22,8 +22,8 @@
     PlatformCaller,
     PlatformTestCase,
     configuration,
-    ids_of,
-    stream_at_one_engine,
+    event_ids,
+    start_long_stream,
 )
 from tests.support import until
 
@@ -259,20 +259,20 @@
             self.assertEqual(len(deployment.upstreams), router.directory.count())
             caller = PlatformCaller(deployment)
             status, _, body = await caller.stream()
-            self.assertEqual((200, 6), (status, len(ids_of(body))))
+            self.assertEqual((200, 6), (status, len(event_ids(body))))
             self.assertEqual(200, (await caller.send("POST", "/unsafe/x"))[0])
 
         self.with_platform(scenario)
 
     def test_what_runs_at_an_upstream_goes_on_when_its_entry_is_overwritten(self):
         async def scenario(deployment):
-            stream, busy, idle = await stream_at_one_engine(deployment)
+            stream, busy, idle = await start_long_stream(deployment)
             await deployment.store.put("servers", busy.id, b"\xff")
             router = deployment.routers["a-1"]
             found = router.directory.entries_by_id[busy.id]
             await until(lambda: not found.takes_work)
             status, _, body = await stream
-            self.assertEqual((200, 30), (status, len(ids_of(body))))
+            self.assertEqual((200, 30), (status, len(event_ids(body))))
             self.assertEqual(1, len(busy.runs))
             self.assertEqual([], idle.runs)
             await PlatformCaller(deployment).stream()
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -25,7 +25,7 @@
     PlatformCaller,
     PlatformDeployment,
     PlatformTestCase,
-    ids_of,
+    event_ids,
 )
 from tests.support import (
     AsyncTestCase,
@@ -175,7 +175,9 @@
             await order_evacuation(deployment, "a")
             await wait_for_evacuation_state(deployment, "a")
             caller = PlatformCaller(deployment)
-            self.assertTrue(await caller.fails("POST", "/stream/x", tokens=(100, 60)))
+            self.assertTrue(
+                await caller.send_fails("POST", "/stream/x", tokens=(100, 60))
+            )
             self.assertEqual([], arrivals_in(deployment, "a"))
 
         self.with_platform(scenario)
@@ -190,7 +192,7 @@
                 await order_evacuation(deployment, data_centre)
                 await wait_for_evacuation_state(deployment, data_centre)
             status, _, body = await stream
-            self.assertEqual((200, list(range(1, 31))), (status, ids_of(body)))
+            self.assertEqual((200, list(range(1, 31))), (status, event_ids(body)))
 
         self.with_platform(scenario)
 
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -8,7 +8,7 @@
 
 from lynxchute.bench.shares import LARGE, SCENES, NoShares, Play
 from lynxchute.config.document import AccountDocument, FleetDocument, Version
-from lynxchute.config.from_document import configuration_of
+from lynxchute.config.from_document import build_configuration
 from lynxchute.operators.changes import change_for
 from lynxchute.operators.language import parse, to_text
 from lynxchute.overload.drain import DrainRate
@@ -136,7 +136,7 @@
         for weight in (-1, 0, "many", None, 1e300, [], {}, math.nan, True):
             value["document"]["accounts"][0]["weight"] = weight
             version = Version.decode(json.dumps(value).encode()).ok
-            found = configuration_of(version).accounts_by_name
+            found = build_configuration(version).accounts_by_name
             self.assertEqual(1.0, found["a"].weight, weight)
             self.assertEqual(2.0, found["b"].weight)
         del value["document"]["accounts"][0]["weight"]
--- a/tests/test_ingress.py
+++ b/tests/test_ingress.py
@@ -10,7 +10,7 @@
     KEY,
     PlatformCaller,
     PlatformDeployment,
-    ids_of,
+    event_ids,
 )
 from tests.support import AsyncTestCase
 
@@ -131,7 +131,7 @@
                 await asyncio.to_thread(example)
                 self._assert_only_valid_runs(deployment)
                 status, _, body = await PlatformCaller(deployment).stream()
-                self.assertEqual((200, [1, 2, 3, 4, 5, 6]), (status, ids_of(body)))
+                self.assertEqual((200, [1, 2, 3, 4, 5, 6]), (status, event_ids(body)))
                 self.assertEqual(0, deployment.routers["a-1"].relay.open_requests)
             finally:
                 await deployment.stop()
--- a/tests/test_moves.py
+++ b/tests/test_moves.py
@@ -1,7 +1,7 @@
 """Callers that switch to a router in another data centre during a session."""
 
 from lynxchute.standins.upstream_run import Fault
-from tests.platform_support import PlatformCaller, PlatformTestCase, ids_of
+from tests.platform_support import PlatformCaller, PlatformTestCase, event_ids
 
 
 class MoveTest(PlatformTestCase):
@@ -11,7 +11,7 @@
             remote = PlatformCaller(deployment, "b-1")
             for caller in (local, remote, local, remote):
                 status, _, body = await caller.stream(tokens=(12_000, 60))
-                self.assertEqual((200, 6), (status, len(ids_of(body))))
+                self.assertEqual((200, 6), (status, len(event_ids(body))))
             runs = sorted(len(engine.runs) for engine in deployment.engines)
             self.assertEqual([0, 4], runs)
 
@@ -23,7 +23,9 @@
                 engine.faults = [Fault.CUT, Fault.CUT]
             path = "/once/x"
             local = PlatformCaller(deployment, "a-1")
-            self.assertTrue(await local.fails("POST", path, b"p", tokens=(100, 60)))
+            self.assertTrue(
+                await local.send_fails("POST", path, b"p", tokens=(100, 60))
+            )
             # The "once" route forbids resuming by the router. The caller has received
             # three events and resumes the stream itself through another router.
             for engine in deployment.engines:
@@ -31,7 +33,7 @@
             remote = PlatformCaller(deployment, "b-1")
             extra = [("Last-Event-Id", "2")]
             status, _, body = await remote.stream("/stream/x", extra=extra)
-            self.assertEqual((200, [3, 4, 5, 6]), (status, ids_of(body)))
+            self.assertEqual((200, [3, 4, 5, 6]), (status, event_ids(body)))
 
         self.with_platform(scenario)
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -132,7 +132,7 @@
         async def work():
             store = FaultyStore(seed=seed)
             history = ConfigurationHistory(store)
-            await history.begin(document())
+            await history.initialize(document())
             store._planned_outcomes = list(planned_outcomes)
             outcomes = collections.defaultdict(list)
 
@@ -174,10 +174,10 @@
             store = FaultyStore()
             first, second = document(), FleetDocument()
             history = ConfigurationHistory(store)
-            await asyncio.gather(history.begin(first), history.begin(second))
+            await asyncio.gather(history.initialize(first), history.initialize(second))
             self.assertEqual(1, current(store).number)
             kept = current(store).document
-            await history.begin(second)
+            await history.initialize(second)
             self.assertEqual(kept, current(store).document)
 
         self.run_async(work())
@@ -188,7 +188,7 @@
             history = ConfigurationHistory(store)
             missing = await apply_change(history, "top up a by 1", "x")
             self.assertIn("no configuration", missing.error.reason)
-            await history.begin(document())
+            await history.initialize(document())
             for text, hint in (
                 ("top up b by 1", "Known: a"),
                 ("top up a by 0", "at least one"),
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -25,7 +25,7 @@
 from lynxchute.quarantine import QuarantineRecord
 from lynxchute.standins.platform_store import Outage
 from lynxchute.standins.upstream_run import Fault
-from tests.platform_support import ACCOUNT, PlatformCaller, PlatformTestCase, ids_of
+from tests.platform_support import ACCOUNT, PlatformCaller, PlatformTestCase, event_ids
 from tests.support import AsyncTestCase, Caller, question, until, with_deployment
 
 DEADLY = b"a prompt that no engine survives"
@@ -499,7 +499,7 @@
     for _ in range(12):
         with contextlib.suppress(ExchangeError):
             status, _, answer = await ask(caller, body)
-            if status == 200 and len(ids_of(answer)) == 30:
-                return ids_of(answer)
+            if status == 200 and len(event_ids(answer)) == 30:
+                return event_ids(answer)
         await asyncio.sleep(0.2)
     return []
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -12,7 +12,7 @@
     PlatformCaller,
     PlatformTestCase,
     configuration,
-    ids_of,
+    event_ids,
     route,
     settled,
 )
@@ -385,7 +385,7 @@
         async def scenario(deployment):
             caller = PlatformCaller(deployment)
             status, headers, body = await caller.stream()
-            self.assertEqual((200, [1, 2, 3, 4, 5, 6]), (status, ids_of(body)))
+            self.assertEqual((200, [1, 2, 3, 4, 5, 6]), (status, event_ids(body)))
             self.assertEqual("text/event-stream", headers["content-type"])
             (run,) = runs(deployment.engines)
             # The account's rank is 1, and the route's rank within it is 1 as well.
@@ -403,7 +403,7 @@
                     engine.faults = faults_for_all
                 reset_health(deployment)
                 status, _, body = await PlatformCaller(deployment).stream()
-                self.assertEqual((200, [1, 2, 3, 4, 5, 6]), (status, ids_of(body)))
+                self.assertEqual((200, [1, 2, 3, 4, 5, 6]), (status, event_ids(body)))
                 self.assertEqual(2, len(runs(deployment.engines)), kind)
 
         self.with_platform(scenario)
@@ -412,7 +412,9 @@
         async def scenario(deployment):
             caller = PlatformCaller(deployment)
             set_faults(deployment.engines, Fault.CUT)
-            was_aborted = await caller.fails("POST", "/once/x", b"", tokens=(100, 60))
+            was_aborted = await caller.send_fails(
+                "POST", "/once/x", b"", tokens=(100, 60)
+            )
             self.assertTrue(was_aborted)
             self.assertEqual(1, len(arrivals(deployment.engines)))
             set_faults(deployment.engines, Fault.LOSE)
@@ -426,7 +428,7 @@
             caller = PlatformCaller(deployment)
             extra = [("Last-Event-Id", "4")]
             _, _, body = await caller.stream(extra=extra)
-            self.assertEqual([5, 6], ids_of(body))
+            self.assertEqual([5, 6], event_ids(body))
 
         self.with_platform(scenario)
 
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -16,8 +16,8 @@
 from tests.platform_support import (
     PlatformCaller,
     PlatformTestCase,
-    ids_of,
-    stream_at_one_engine,
+    event_ids,
+    start_long_stream,
 )
 from tests.support import until
 
@@ -141,12 +141,12 @@
 
     def test_stream_resumes_elsewhere_and_restarted_engine_is_used(self):
         async def scenario(deployment):
-            stream, busy, idle = await stream_at_one_engine(deployment)
+            stream, busy, idle = await start_long_stream(deployment)
             await busy.lose_power()
             await busy.start_again()
             await busy.register(deployment.store)
             status, _, body = await stream
-            self.assertEqual((200, list(range(1, 31))), (status, ids_of(body)))
+            self.assertEqual((200, list(range(1, 31))), (status, event_ids(body)))
             self.assertEqual(1, len(idle.runs))
             await idle.stop()
             self.assertEqual(200, (await PlatformCaller(deployment).stream())[0])
@@ -156,11 +156,11 @@
 
     def test_restart_is_detected_by_report_while_store_is_away(self):
         async def scenario(deployment):
-            stream, busy, idle = await stream_at_one_engine(deployment)
+            stream, busy, idle = await start_long_stream(deployment)
             await busy.lose_power()
             await busy.start_again()
             status, _, body = await stream
-            self.assertEqual((200, 30), (status, len(ids_of(body))))
+            self.assertEqual((200, 30), (status, len(event_ids(body))))
             self.assertEqual(1, len(idle.runs))
             found = deployment.routers["a-1"].directory.entries_by_id[busy.id]
             self.assertEqual(busy.started_ms, found.upstream.started_ms)
--- a/tests/test_stated_backoff.py
+++ b/tests/test_stated_backoff.py
@@ -26,7 +26,7 @@
 from tests.platform_support import (
     PlatformCaller,
     PlatformTestCase,
-    stream_at_one_engine,
+    start_long_stream,
 )
 from tests.press import plain, press, stream
 from tests.words_machine import WordsMachine
@@ -123,7 +123,7 @@
 
     def test_a_stream_is_not_resumed_at_an_upstream_in_backoff(self):
         async def scenario(deployment):
-            stream_, busy, idle = await stream_at_one_engine(deployment)
+            stream_, busy, idle = await start_long_stream(deployment)
             now = asyncio.get_running_loop().time()
             for router in deployment.routers.values():
                 entry = router.directory.entries_by_id[idle.id]
--- a/tests/test_stated_leaving.py
+++ b/tests/test_stated_leaving.py
@@ -28,7 +28,7 @@
 from tests.platform_support import (
     PlatformCaller,
     PlatformTestCase,
-    stream_at_one_engine,
+    start_long_stream,
 )
 from tests.press import plain, press, stream
 
@@ -140,7 +140,7 @@
         """Return the arrivals at a leaving engine after a stream broke elsewhere."""
 
         async def scenario(deployment):
-            stream_, busy, idle = await stream_at_one_engine(deployment)
+            stream_, busy, idle = await start_long_stream(deployment)
             for router in deployment.routers.values():
                 record_after_each_choice(router, idle.id, LEAVING)
                 if not is_gate_active:
@@ -162,7 +162,7 @@
 
     def test_running_requests_of_a_leaving_engine_complete(self):
         async def scenario(deployment):
-            stream_, busy, _ = await stream_at_one_engine(deployment)
+            stream_, busy, _ = await start_long_stream(deployment)
             busy.says_it_leaves = True
             await press(deployment, stream, seconds=0.5)
             status, _, body = await stream_
