--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -1,4 +1,7 @@
-"""Run every test, or those named, and print a true count."""
+"""Run all tests, or those named as arguments, and print how many passed and failed.
+
+Tests that KNOWN-RED.txt lists are printed when they fail, but not counted as failed.
+"""
 
 import sys
 import unittest
@@ -6,7 +9,7 @@
 import testtools
 from hypothesis import HealthCheck, settings
 
-from tests.known_red import listed
+from tests.known_red import load_known_red
 
 settings.register_profile(
     "ci",
@@ -18,7 +21,7 @@
 settings.load_profile("ci")
 
 
-class Result(testtools.TextTestResult):
+class PrintingResult(testtools.TextTestResult):
     def startTest(self, test):  # noqa: N802
         super().startTest(test)
         print(test.id(), flush=True)
@@ -30,19 +33,19 @@
         suite = loader.loadTestsFromNames(sys.argv[1:])
     else:
         suite = loader.discover("tests", top_level_dir=".")
-    result = Result(sys.stdout)
+    result = PrintingResult(sys.stdout)
     result.startTestRun()
     suite.run(result)
     result.stopTestRun()
-    # A module that cannot be loaded is in it as a test that fails.
-    red = [test.id() for test, _ in [*result.failures, *result.errors]]
-    red += [test.id() for test in result.unexpectedSuccesses]
-    causes_by_test = listed()
-    for name in red:
-        if name in causes_by_test:
-            print(f"known red: {name}: {causes_by_test[name]}")
-    failed = len([name for name in red if name not in causes_by_test])
-    print(f"{result.testsRun - len(red)} passed, {failed} failed")
+    # A module that can't be imported counts as a failing test.
+    failing = [test.id() for test, _ in [*result.failures, *result.errors]]
+    failing += [test.id() for test in result.unexpectedSuccesses]
+    causes_by_test = load_known_red()
+    for test_id in failing:
+        if test_id in causes_by_test:
+            print(f"known red: {test_id}: {causes_by_test[test_id]}")
+    failed = len([test_id for test_id in failing if test_id not in causes_by_test])
+    print(f"{result.testsRun - len(failing)} passed, {failed} failed")
     return 1 if failed else 0
 
 
--- a/tests/fuzz.py
+++ b/tests/fuzz.py
@@ -1,4 +1,7 @@
-"""Fuzz the budget decisions; prints a JSON object."""
+"""Fuzz the budget ledger with its state machine and print the result as JSON.
+
+Arguments: number of examples, steps of each example, seed.
+"""
 
 import json
 import sys
@@ -10,7 +13,7 @@
 
 from tests.ledger_machine import LedgerMachine
 
-KINDS = (
+FAILURE_KINDS = (
     ("overspend_tokens", "overspend"),
     ("use_beyond_the_line", "beyond the line"),
     ("granted_too_much", "granted"),
@@ -20,7 +23,7 @@
 
 
 def run(examples, steps, seed=None, shrink=True, machine=LedgerMachine):
-    """Fuzz; raise the first failure found."""
+    """Run a state machine with random steps; raise the first failure found."""
     phases = [Phase.generate, Phase.shrink] if shrink else [Phase.generate]
     profile = settings(
         phases=phases,
@@ -42,21 +45,21 @@
     examples = int(sys.argv[1]) if len(sys.argv) > 1 else 150
     steps = int(sys.argv[2]) if len(sys.argv) > 2 else 50
     seed = int(sys.argv[3]) if len(sys.argv) > 3 else None
-    found = ""
+    failure = ""
     try:
         run(examples, steps, seed)
     except AssertionError as error:
         traceback.print_exc()
-        found = str(error)
+        failure = str(error)
     machine = LedgerMachine
     result = {"machine": machine.__name__}
     result.update(steps=machine.steps, examples=machine.examples)
-    for name, text in KINDS:
-        result[name] = int(text in found)
-    if found:
-        result["found"] = found
+    for name, message in FAILURE_KINDS:
+        result[name] = int(message in failure)
+    if failure:
+        result["found"] = failure
     print(json.dumps(result), flush=True)
-    return 1 if found else 0
+    return 1 if failure else 0
 
 
 if __name__ == "__main__":
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,14 +1,14 @@
-"""Tests that are red for a fault that is known and not mended yet."""
+"""Read KNOWN-RED.txt, the list of tests that fail because of a known, unfixed fault."""
 
 import pathlib
 
-FILE = pathlib.Path(__file__).parent.parent / "KNOWN-RED.txt"
+KNOWN_RED_FILE = pathlib.Path(__file__).parent.parent / "KNOWN-RED.txt"
 
 
-def known_red(text):
-    """Return the cause by test of the lines of the file.
+def parse_known_red(text):
+    """Return the cause of each listed test.
 
-    >>> known_red("# comment\\ntests.test_x.T.test_y: cut too late, issue 9\\n")
+    >>> parse_known_red("# comment\\ntests.test_x.T.test_y: cut too late, issue 9\\n")
     {'tests.test_x.T.test_y': 'cut too late, issue 9'}
     """
     causes_by_test = {}
@@ -18,11 +18,15 @@
             continue
         name, _, cause = line.partition(":")
         if not cause.strip():
-            raise ValueError(f"KNOWN-RED.txt: say the cause and the issue of {name}")
+            raise ValueError(f"KNOWN-RED.txt: cause and issue are missing for {name}")
         causes_by_test[name.strip()] = cause.strip()
     return causes_by_test
 
 
-def listed():
-    """Return what the file lists; nothing where there is none."""
-    return known_red(FILE.read_text(encoding="utf-8")) if FILE.exists() else {}
+def load_known_red():
+    """Return the cause of each test in KNOWN-RED.txt; empty without the file."""
+    return (
+        parse_known_red(KNOWN_RED_FILE.read_text(encoding="utf-8"))
+        if KNOWN_RED_FILE.exists()
+        else {}
+    )
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -1,6 +1,7 @@
-"""Show that the fuzzing can fail: break the decisions one by one.
+"""Mutation testing: check that the fuzzing detects faults.
 
-Each mutant changes one decision; the fuzzing must find a broken promise.
+Each mutant changes one decision of the implementation; the fuzzing must then find a
+violation.
 """
 
 import json
@@ -34,7 +35,7 @@
 
 
 def is_caught(mutant):
-    """Return the first broken promise that the fuzzing finds, or None."""
+    """Return the first violation that the fuzzing finds with a mutant, or None."""
     with mutant():
         try:
             run(EXAMPLES, STEPS, shrink=False, machine=MACHINES_BY_MUTANT[mutant])
@@ -47,14 +48,14 @@
 
 def main():
     names = sys.argv[1:]
-    chosen = [m for m in MACHINES_BY_MUTANT if not names or m.__name__ in names]
+    selected = [m for m in MACHINES_BY_MUTANT if not names or m.__name__ in names]
     caught = 0
-    for mutant in chosen:
-        found = is_caught(mutant)
-        caught += found is not None
-        print(f"{mutant.__name__}: {found or 'NOT CAUGHT'}", flush=True)
-    print(json.dumps({"mutants": len(chosen), "caught": caught}))
-    return 0 if caught == len(chosen) else 1
+    for mutant in selected:
+        violation = is_caught(mutant)
+        caught += violation is not None
+        print(f"{mutant.__name__}: {violation or 'NOT CAUGHT'}", flush=True)
+    print(json.dumps({"mutants": len(selected), "caught": caught}))
+    return 0 if caught == len(selected) else 1
 
 
 if __name__ == "__main__":
--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,6 +1,7 @@
-"""Run real routers through random faults and check their promises.
+"""Soak test: run real routers under random faults and check their guarantees.
 
-The routers are processes of their own; every connection of theirs goes through
-a relay that can delay it, reset it, hold one direction or fall silent. Store
-and upstreams are stand-ins in the soak's process, which also plays the callers.
+Each router is a separate process. All of its connections go through a TCP relay that
+can delay them, reset them, hold bytes in one direction or drop everything. The store
+and the upstreams are stand-ins in the process of the test, which also sends the
+requests.
 """
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Run seeds of the soak, a few at a time, and print what they found."""
+"""Run several seeds of the soak test and print the violations that they found."""
 
 import asyncio
 import collections
@@ -22,60 +22,62 @@
     at_once: int = 2,
     keep: pathlib.Path = pathlib.Path("soak-logs"),
 ) -> None:
-    """Soak the fleet in random faults.
+    """Run the soak test for a range of seeds.
 
     Parameters
     ----------
     seeds
-        How many seeds to run.
+        Number of seeds to run.
     seed
-        The first of them; 0 takes one by the time.
+        First seed; 0 takes the current time in seconds.
     seconds
-        How long faults are begun in each.
+        Seconds during which faults are injected for each seed.
     routers
-        Routers in each; each is a process.
+        Number of router processes for each seed.
     at_once
-        Seeds that run side by side.
+        Number of seeds that run concurrently.
     keep
-        Where the logs of seeds with a broken promise go.
+        Directory for the router logs of seeds with a violation.
     """
-    first = seed or int(time.time())
+    first_seed = seed or int(time.time())
     reports = run_loop(
-        _run(range(first, first + seeds), seconds, routers, at_once, keep)
+        _run_seeds(
+            range(first_seed, first_seed + seeds), seconds, routers, at_once, keep
+        )
     )
-    broken = collections.Counter()
+    violations = collections.Counter()
     for report in reports:
-        broken.update(report.broken)
-    failed = [report.seed for report in reports if report.broken]
+        violations.update(report.violations)
+    failed = [report.seed for report in reports if report.violations]
     requests = sum(report.requests for report in reports)
     summary = {
         "seeds": seeds,
         "failed": failed,
         "requests": requests,
-        "broken": dict(broken),
+        "broken": dict(violations),
     }
     print(json.dumps(summary))
     sys.exit(1 if failed else 0)
 
 
-async def _run(seeds, seconds, routers, at_once, keep):
+async def _run_seeds(seeds, seconds, routers, at_once, keep):
     slots = asyncio.Semaphore(at_once)
 
-    async def one(seed):
+    async def run_one(seed):
         async with slots:
             report = await run_seed(seed, seconds=seconds, routers=routers, keep=keep)
-        share = report.served / max(report.requests, 1)
+        served_share = report.served / max(report.requests, 1)
         faults = sum(report.faults.values())
         print(
-            f"seed {seed}: {report.requests} requests, {share:.2f} served, "
-            f"{faults} faults, broken: {report.broken or 'nothing'}",
+            f"seed {seed}: {report.requests} requests, {served_share:.2f} served, "
+            f"{faults} faults, broken: {report.violations or 'nothing'}",
             flush=True,
         )
-        for detail in report.details:
+        for detail in report.violation_details:
             print(f"  {detail}", flush=True)
         return report
 
-    return await asyncio.gather(*(one(seed) for seed in seeds))
+    return await asyncio.gather(*(run_one(seed) for seed in seeds))
 
 
 if __name__ == "__main__":
--- a/tests/soak/backpressure.py
+++ b/tests/soak/backpressure.py
@@ -1,6 +1,6 @@
-"""Upstreams that name limits, ask for backoff or say that they leave, in all faults.
+"""Have upstreams declare limits, request backoff or announce a shutdown during faults.
 
-It draws its own numbers, so that kept seeds have the faults that they always had.
+It has a random generator of its own, so that its draws don't shift the other faults'.
 """
 
 import asyncio
@@ -12,40 +12,54 @@
 from lynxchute.standins.arrivals import most_within
 from lynxchute.telemetry import log_event
 
-LIMIT_PROMISE = "throttled upstreams get what they name"
-BACKOFF_PROMISE = "upstreams get the backoff that they ask for"
-LEAVING_PROMISE = "upstreams that say that they leave get nothing new"
-FIRST_AFTER = (0.3, 2.0)
-PAUSES = (0.2, 1.5)
-LASTS = (4.0, 8.0)
+LIMIT_GUARANTEE = "throttled upstreams get what they name"
+BACKOFF_GUARANTEE = "upstreams get the backoff that they ask for"
+LEAVING_GUARANTEE = "upstreams that say that they leave get nothing new"
+START_DELAY = (0.3, 2.0)
+PHASE_INTERVAL = (0.2, 1.5)
+PHASE_DURATION = (4.0, 8.0)
 LIMITS = (0.0, 0.25, 1.0, 2.5)
 BACKOFFS = (0.7, 2.0, 3.0)
-# The promises, as the users' pages have them.
-CONTACT_SECONDS = 3.0
-SPAN_SECONDS = 4.0
-FACTOR, EXTRA = 1.5, 5
-HEARD_SECONDS = 0.5
-MOST_IN_BACKOFF = 2
+# The guarantees, as documented for users. From GRACE_SECONDS after an upstream first
+# declares a limit, it gets at most LIMIT_FACTOR * limit * WINDOW_SECONDS + LIMIT_EXTRA
+# requests in any window. From PROPAGATION_SECONDS after a router receives a refusal
+# with a backoff, it sends at most MAX_IN_BACKOFF requests until the backoff ends. From
+# DRAIN_SECONDS after a router receives the announcement of a shutdown, it sends none.
+GRACE_SECONDS = 3.0
+WINDOW_SECONDS = 4.0
+LIMIT_FACTOR, LIMIT_EXTRA = 1.5, 5
+PROPAGATION_SECONDS = 0.5
+MAX_IN_BACKOFF = 2
 DRAIN_SECONDS = 2.0
-# Seconds in which the head of an answer comes back to the router that asked.
-ANSWERED_SECONDS = 0.3
+# Seconds until the response head reaches the router that sent the request.
+RESPONSE_HEAD_SECONDS = 0.3
 
 
 @attrs.frozen
 class Arrival:
-    """A request at an upstream, and the run of the router that sent it."""
+    """The arrival of a request at an upstream.
+
+    Attributes
+    ----------
+    at
+        Time of the event loop's clock in seconds.
+    vm
+        VM of the router that sent it.
+    start_number
+        Which start of the router's process sent it.
+    """
 
     at: float
     vm: str
-    start: int
+    start_number: int
 
     @property
     def process(self):
-        return self.vm, self.start
+        return self.vm, self.start_number
 
 
-class BackpressureSetter:
-    """Have upstreams state what they want, one at a time, and check what they get."""
+class BackpressureInjector:
+    """Run random phases of backpressure at single upstreams and check the arrivals."""
 
     def __init__(self, fleet, callers, checker, injector, seed):
         self.counts = collections.Counter()
@@ -58,45 +72,50 @@
     async def run(self, seconds):
         loop = asyncio.get_running_loop()
         end = loop.time() + seconds
-        await asyncio.sleep(self._rng.uniform(*FIRST_AFTER))
+        await asyncio.sleep(self._rng.uniform(*START_DELAY))
         while loop.time() < end:
-            up = [u.standin for u in self._fleet.upstreams if u.is_up]
-            standin = self._rng.choice(up)
-            need = self._rng.choice(
-                (self._limit, self._limit, self._backoff, self._leave)
+            running = [u.standin for u in self._fleet.upstreams if u.is_up]
+            standin = self._rng.choice(running)
+            phase = self._rng.choice(
+                (
+                    self._declare_limit,
+                    self._declare_limit,
+                    self._request_backoff,
+                    self._announce_shutdown,
+                )
             )
-            await need(standin)
-            await asyncio.sleep(self._rng.uniform(*PAUSES))
+            await phase(standin)
+            await asyncio.sleep(self._rng.uniform(*PHASE_INTERVAL))
 
-    async def _limit(self, standin):
-        """Name a limit, which changes once, and then none."""
+    async def _declare_limit(self, standin):
+        """Declare a limit, change it once and withdraw it."""
         log_event("soak fault", fault=f"{standin.id} names a limit")
         loop = asyncio.get_running_loop()
         limits = [self._rng.choice(LIMITS) for _ in range(2)]
         since = loop.time()
         for limit in limits:
             standin.limit = limit
-            await asyncio.sleep(self._rng.uniform(*LASTS) / 2)
+            await asyncio.sleep(self._rng.uniform(*PHASE_DURATION) / 2)
         until = loop.time()
         standin.limit = None
         self.counts["limits"] += 1
         arrivals = self._arrivals(standin, since, until)
-        told_at = _told_at(arrivals)
-        bound = []
+        informed_at = _first_answer_at(arrivals)
+        bound_times = []
         for arrival in arrivals:
-            told = told_at[arrival.process] + HEARD_SECONDS
+            bound_from = informed_at[arrival.process] + PROPAGATION_SECONDS
             if self._is_disturbed(arrival.vm, since):
                 continue
-            if arrival.at >= max(told, since + CONTACT_SECONDS):
-                bound.append(arrival.at)
-        most = most_within(bound, SPAN_SECONDS)
-        allowed = int(FACTOR * max(limits) * SPAN_SECONDS + EXTRA)
-        if most > allowed:
-            what = f"{standin.id}: {most} of {allowed} at limits {limits}"
-            self._checker.note(LIMIT_PROMISE, what)
-
-    async def _backoff(self, standin):
-        """Turn all away for a while."""
+            if arrival.at >= max(bound_from, since + GRACE_SECONDS):
+                bound_times.append(arrival.at)
+        peak = most_within(bound_times, WINDOW_SECONDS)
+        allowed = int(LIMIT_FACTOR * max(limits) * WINDOW_SECONDS + LIMIT_EXTRA)
+        if peak > allowed:
+            detail = f"{standin.id}: {peak} of {allowed} at limits {limits}"
+            self._checker.record_violation(LIMIT_GUARANTEE, detail)
+
+    async def _request_backoff(self, standin):
+        """Refuse all requests with a backoff for a while."""
         log_event("soak fault", fault=f"{standin.id} wants backoff")
         loop = asyncio.get_running_loop()
         since = loop.time()
@@ -105,18 +124,18 @@
         await asyncio.sleep(seconds)
         self.counts["backoffs"] += 1
         arrivals = self._arrivals(standin, since, since + seconds)
-        refused_at = _told_at(arrivals)
-        late = collections.Counter()
+        informed_at = _first_answer_at(arrivals)
+        late_counts = collections.Counter()
         for arrival in arrivals:
-            if arrival.at > refused_at[arrival.process] + HEARD_SECONDS:
-                late[arrival.process] += 1
-        for (vm, _), count in late.items():
-            if count > MOST_IN_BACKOFF and not self._is_disturbed(vm, since):
-                what = f"{standin.id}: {count} from {vm}"
-                self._checker.note(BACKOFF_PROMISE, what)
-
-    async def _leave(self, standin):
-        """Say in answers only that it leaves, and end."""
+            if arrival.at > informed_at[arrival.process] + PROPAGATION_SECONDS:
+                late_counts[arrival.process] += 1
+        for (vm, _), count in late_counts.items():
+            if count > MAX_IN_BACKOFF and not self._is_disturbed(vm, since):
+                detail = f"{standin.id}: {count} from {vm}"
+                self._checker.record_violation(BACKOFF_GUARANTEE, detail)
+
+    async def _announce_shutdown(self, standin):
+        """Announce the shutdown in answers only, and stop."""
         upstream = next(u for u in self._fleet.upstreams if u.standin is standin)
         others = [
             u
@@ -131,43 +150,43 @@
         standin.says_it_leaves = True
         upstream.is_up = False
         await self._fleet.add_upstream(standin.service, standin.data_centre)
-        await asyncio.sleep(self._rng.uniform(*LASTS))
+        await asyncio.sleep(self._rng.uniform(*PHASE_DURATION))
         self.counts["leaving"] += 1
         arrivals = self._arrivals(standin, since, loop.time())
-        told_at = _told_at(arrivals)
+        informed_at = _first_answer_at(arrivals)
         for arrival in arrivals:
-            is_late = arrival.at > told_at[arrival.process] + DRAIN_SECONDS
+            is_late = arrival.at > informed_at[arrival.process] + DRAIN_SECONDS
             if is_late and not self._is_disturbed(arrival.vm, since):
-                what = f"{standin.id}: from {arrival.vm}"
-                self._checker.note(LEAVING_PROMISE, what)
+                detail = f"{standin.id}: from {arrival.vm}"
+                self._checker.record_violation(LEAVING_GUARANTEE, detail)
         await self._fleet.store.drop("servers", standin.id)
         await standin.stop()
 
     def clear(self):
-        """Let no upstream want anything any more."""
+        """Withdraw all limits and backoffs."""
         for upstream in self._fleet.upstreams:
             upstream.standin.limit = None
             upstream.standin.backoff_until = 0.0
 
     def _arrivals(self, standin, since, until):
-        """Return what came to an upstream in a span, by the router's run."""
+        """Return the arrivals at an upstream within a time span."""
         records = {r.request_id: r for r in self._callers.records}
-        found = []
+        arrivals = []
         for at, request_id in standin.taken.items():
             record = records.get(request_id)
             if record is not None and since <= at < until:
-                found.append(Arrival(at, record.vm, record.process_start))
-        return found
+                arrivals.append(Arrival(at, record.vm, record.start_number))
+        return arrivals
 
     def _is_disturbed(self, vm, since):
-        """Return whether a VM may have been cut off or frozen since a moment."""
-        at = self._injector.disturbed_at_by_vm.get(vm, float("-inf"))
-        return at >= since
+        """Return whether a VM may have been disconnected or paused since a time."""
+        disturbed_until = self._injector.disturbed_until_by_vm.get(vm, float("-inf"))
+        return disturbed_until >= since
 
 
-def _told_at(arrivals):
-    """Return when each router's run had the first answer."""
-    told_at = {}
+def _first_answer_at(arrivals):
+    """Return the time of the first answer by router process."""
+    informed_at = {}
     for arrival in arrivals:
-        told_at.setdefault(arrival.process, arrival.at + ANSWERED_SECONDS)
-    return told_at
+        informed_at.setdefault(arrival.process, arrival.at + RESPONSE_HEAD_SECONDS)
+    return informed_at
--- a/tests/soak/demand.py
+++ b/tests/soak/demand.py
@@ -1,86 +1,90 @@
-"""Demanding load beside all other faults: a hot client account, and uneven upstreams.
+"""Inject a hot client account and slow upstreams while other faults are active.
 
-It draws its own numbers, so that kept seeds have the faults that they always had.
+It has a random generator of its own, so that its draws don't shift the other faults'.
 """
 
 import asyncio
 import collections
 import random
 
-from tests.soak.fleet import AMPLE, EVENT_DELAY
-from tests.soak.traffic import KINDS
+from tests.soak.fleet import AMPLE_ACCOUNT, EVENT_DELAY
+from tests.soak.traffic import REQUEST_KINDS
 
-# What the routers' settings ask for, where they ask for anything.
+# Value of the routers' setting `contracts` in the share of seeds that have it.
 CONTRACTS = ("pool", "pressure")
-DEMANDING_SHARE = 0.6
-FIRST_AFTER = (0.5, 3.0)
-PAUSES = (0.5, 2.0)
-# Callers of the hot account at one router, and how soon each comes back.
+CONTRACT_SHARE = 0.6
+START_DELAY = (0.5, 3.0)
+PHASE_INTERVAL = (0.5, 2.0)
+# Concurrent callers of the hot account at one router, and the seconds that each waits
+# between two requests.
 HOT_CALLERS = 8
-HOT_PAUSE = (0.005, 0.02)
-HOT_LASTS = (1.5, 4.0)
-# An upstream works so many times as slowly for short spans, and for a long one.
-SLOWNESS = 2.5
-SLOW_SPAN = 0.6
-SLOW_SPANS = (1, 5)
+HOT_REQUEST_INTERVAL = (0.005, 0.02)
+HOT_DURATION = (1.5, 4.0)
+# Factor by which a slow upstream delays its events, and the duration as a number of
+# spans of 0.6 s.
+SLOWDOWN_FACTOR = 2.5
+SLOW_SPAN_SECONDS = 0.6
+SLOW_SPAN_COUNT = (1, 5)
 
 
-def contracts_of(seed):
-    """Return what the settings of a seed's routers ask for."""
-    is_demanding = random.Random(f"settings of {seed}").random() < DEMANDING_SHARE
-    return CONTRACTS if is_demanding else ()
+def contracts_for_seed(seed):
+    """Return the setting `contracts` of the routers of a seed."""
+    has_contracts = random.Random(f"settings of {seed}").random() < CONTRACT_SHARE
+    return CONTRACTS if has_contracts else ()
 
 
-class DemandSetter:
-    """Have one account press on one router, and upstreams slow down, by turns."""
+class DemandInjector:
+    """Alternate at random between load of a hot account and a slow upstream."""
 
     def __init__(self, fleet, callers, seed):
         self.counts = collections.Counter()
         self._fleet = fleet
         self._rng = random.Random(f"demand of {seed}")
-        self._callers = callers.beside(self._rng)
+        self._callers = callers.with_rng(self._rng)
 
     async def run(self, seconds):
         if not self._fleet.contracts:
             return
         loop = asyncio.get_running_loop()
         end = loop.time() + seconds
-        await asyncio.sleep(self._rng.uniform(*FIRST_AFTER))
+        await asyncio.sleep(self._rng.uniform(*START_DELAY))
         while loop.time() < end:
             if self._rng.random() < 0.5:
-                await self._press()
+                await self._send_hot_load()
             else:
-                await self._slow_down()
-            await asyncio.sleep(self._rng.uniform(*PAUSES))
+                await self._slow_upstream()
+            await asyncio.sleep(self._rng.uniform(*PHASE_INTERVAL))
 
-    async def _press(self):
+    async def _send_hot_load(self):
         self.counts["hot account"] += 1
         vm = self._rng.choice(sorted(self._fleet.routers_by_vm))
-        tasks = [asyncio.create_task(self._call(vm)) for _ in range(HOT_CALLERS)]
+        tasks = [
+            asyncio.create_task(self._send_repeatedly(vm)) for _ in range(HOT_CALLERS)
+        ]
         try:
-            await asyncio.sleep(self._rng.uniform(*HOT_LASTS))
+            await asyncio.sleep(self._rng.uniform(*HOT_DURATION))
         finally:
             for task in tasks:
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def _call(self, vm):
+    async def _send_repeatedly(self, vm):
         client = self._callers.client(vm)
         while True:
-            kind = self._rng.choice(KINDS)
+            kind = self._rng.choice(REQUEST_KINDS)
             record = await self._callers.send(
-                client, vm, kind, account=AMPLE, may_leave=False
+                client, vm, kind, account=AMPLE_ACCOUNT, may_disconnect=False
             )
-            # A refusal is met as callers who repeat at once do.
+            # Refused requests are repeated at once.
             await asyncio.sleep(0.1 if record.status == 0 else 0.0)
-            await asyncio.sleep(self._rng.uniform(*HOT_PAUSE))
+            await asyncio.sleep(self._rng.uniform(*HOT_REQUEST_INTERVAL))
 
-    async def _slow_down(self):
+    async def _slow_upstream(self):
         self.counts["slow upstream"] += 1
-        up = [upstream for upstream in self._fleet.upstreams if upstream.is_up]
-        standin = self._rng.choice(up).standin
-        standin.event_delay = EVENT_DELAY * SLOWNESS
+        running = [upstream for upstream in self._fleet.upstreams if upstream.is_up]
+        standin = self._rng.choice(running).standin
+        standin.event_delay = EVENT_DELAY * SLOWDOWN_FACTOR
         try:
-            await asyncio.sleep(SLOW_SPAN * self._rng.randint(*SLOW_SPANS))
+            await asyncio.sleep(SLOW_SPAN_SECONDS * self._rng.randint(*SLOW_SPAN_COUNT))
         finally:
             standin.event_delay = EVENT_DELAY
--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -1,4 +1,4 @@
-"""The routers of a soak, their stand-ins, and the links between all of them."""
+"""The router processes of a soak test, the stand-ins and the links between them."""
 
 import attrs
 
@@ -8,22 +8,22 @@
 from tests.platform_support import DATA_CENTRES, configuration, free_port, route
 from tests.router_process import RouterProcess
 
-AMPLE, SCARCE = "ample", "scarce"
+AMPLE_ACCOUNT, SCARCE_ACCOUNT = "ample", "scarce"
 AMPLE_TOKENS = 50_000_000
 SCARCE_TOKENS = 30_000
-EVENTS = 6
+EVENTS_PER_STREAM = 6
 EVENT_DELAY = 0.01
-# Engines are cold after a start and an evacuation; the fleet may send one 14 requests
-# in any second then.
-COLD_SECONDS, COLD_PER_SECOND, COLD_MOST = 1.5, 6.6, 14
-# Versions whose own route is still there.
-ROUTES_KEPT = 50
+# Engines are cold after a start and after an evacuation. The fleet may send a cold
+# engine at most 14 requests in any second.
+COLD_SECONDS, COLD_REQUEST_RATE, MAX_COLD_REQUESTS = 1.5, 6.6, 14
+# Number of latest configuration versions that keep a route of their own.
+MAX_VERSION_ROUTES = 50
 ROUTER_MODULES = ("lynxchute.platform", "tests.suspendable_router")
 
 
 @attrs.define(eq=False)
 class SoakUpstream:
-    """A stand-in upstream and the link before it."""
+    """A stand-in upstream and the link through which routers reach it."""
 
     standin: PlatformUpstreamStandin
     link: Link
@@ -32,7 +32,7 @@
 
 @attrs.define(eq=False)
 class SoakRouter:
-    """A router's process and the links to it and from it."""
+    """A router process and the links for its connections."""
 
     process: RouterProcess
     store_port: int
@@ -46,7 +46,7 @@
 
 
 class SoakFleet:
-    """Start, change and end everything of one run."""
+    """Start, reconfigure and stop the routers, upstreams and store of one run."""
 
     def __init__(self, folder, seed, *, routers, engines=3, apps=2, contracts=()):
         self.folder = folder
@@ -55,7 +55,10 @@
         self.routers_by_vm = {}
         self.upstreams = []
         self.version = 0
-        self.prepaid_by_account = {AMPLE: AMPLE_TOKENS, SCARCE: SCARCE_TOKENS}
+        self.prepaid_by_account = {
+            AMPLE_ACCOUNT: AMPLE_TOKENS,
+            SCARCE_ACCOUNT: SCARCE_TOKENS,
+        }
         self._vms = [f"{DATA_CENTRES[n % 2]}-{n // 2 + 1}" for n in range(routers)]
         self._services = ["pool"] * engines + ["app"] * apps
 
@@ -81,12 +84,16 @@
         await self.store.close()
 
     async def configure(self):
-        """Write one more version, with a route that tells it from the others."""
+        """Write the next configuration version, with a route that identifies it."""
         self.version += 1
         document = configuration(version=self.version)
-        for version in range(max(self.version - ROUTES_KEPT, 0) + 1, self.version + 1):
-            named = route(f"v{version}", f"/v{version}/", "app", "safe", public=True)
-            document["routes"].append(named)
+        for version in range(
+            max(self.version - MAX_VERSION_ROUTES, 0) + 1, self.version + 1
+        ):
+            version_route = route(
+                f"v{version}", f"/v{version}/", "app", "safe", public=True
+            )
+            document["routes"].append(version_route)
         document["tenants"] = [
             {"name": name, "api_keys": [f"key-of-{name}"], "prepaid": tokens}
             for name, tokens in self.prepaid_by_account.items()
@@ -94,7 +101,7 @@
         for service in document["services"]:
             if service["name"] == "pool":
                 service["cold_start_s"] = COLD_SECONDS
-                service["cold_per_s"] = COLD_PER_SECOND
+                service["cold_per_s"] = COLD_REQUEST_RATE
         await self.store.configure(document)
 
     async def top_up(self, account, tokens):
@@ -102,7 +109,7 @@
         await self.configure()
 
     async def add_upstream(self, service, data_centre):
-        events = EVENTS if service == "pool" else 0
+        events = EVENTS_PER_STREAM if service == "pool" else 0
         standin = PlatformUpstreamStandin(
             service, data_centre, events=events, event_delay=EVENT_DELAY
         )
@@ -111,7 +118,7 @@
         await link.start()
         standin.reached_at = link.port
         if self.version and service == "pool":
-            # It starts while there is traffic.
+            # An engine that joins a running fleet starts cold.
             standin.grow_cold(COLD_SECONDS)
         await standin.register(self.store)
         upstream = SoakUpstream(standin, link)
@@ -122,16 +129,17 @@
         store_port = await self.store.open_port()
         store_link = Link(f"127.0.0.1:{store_port}")
         await store_link.start()
-        peers_port = free_port()
-        peer_link = Link(f"127.0.0.1:{peers_port}")
+        peer_port = free_port()
+        peer_link = Link(f"127.0.0.1:{peer_port}")
         await peer_link.start()
         process = RouterProcess(
             self.folder,
             vm,
             store_link.port,
-            peers_at=peers_port,
+            peers_at=peer_port,
             peers_reached_at=peer_link.port,
-            # To every other VM a pause is a suspension, to the others a freeze.
+            # Routers of every second VM see a pause (SIGSTOP) as a suspension of the
+            # VM, the others as a frozen process.
             module=ROUTER_MODULES[len(self.routers_by_vm) % 2],
             contracts=self.contracts,
         )
@@ -142,6 +150,6 @@
         )
 
     def runs(self):
-        """Yield what all upstreams have worked on, those that are gone too."""
+        """Yield the runs of all upstreams, including those that were stopped."""
         for upstream in self.upstreams:
             yield from upstream.standin.runs
--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -1,46 +1,56 @@
-"""What a soak checks, from what callers and upstreams have seen."""
+"""Check the guarantees of the fleet against records of callers and upstreams."""
 
 import asyncio
 import collections
 
-from tests.soak.fleet import AMPLE, EVENTS
-from tests.soak.traffic import GENERATIONS, REPEATABLE
+from tests.soak.fleet import AMPLE_ACCOUNT, EVENTS_PER_STREAM
+from tests.soak.traffic import GENERATION_KINDS, IDEMPOTENT_KINDS
 
 TOKENS_PER_EVENT = 3
-NOT_RUN = frozenset({408, 421, 429, 503})
-# Final answers later than this many seconds after the caller's deadline are
-# held; generous, since the machine may be busy.
-LATE = 2.0
-# A request that had used this share of its time is not cut by planned work but
-# ended by its own deadline, which the pages leave out as well.
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
+# Seconds after the caller's deadline by which the final answer must have arrived;
+# generous, since the machine may be busy.
+MAX_LATE_SECONDS = 2.0
+# A request that ends after this share of its time is taken to have ended by its own
+# deadline and not by planned work. The documented guarantee excludes these as well.
 DEADLINE_SHARE = 0.9
-# Each kind of break is told in full this many times.
-TOLD = 5
+# Maximum number of violations of each guarantee that are reported in detail.
+MAX_DETAILS = 5
 
 
 class Checker:
-    """Collect broken promises while a soak runs, and at its end."""
+    """Collect violations of guarantees during and after a run.
+
+    Attributes
+    ----------
+    violations
+        Descriptions of the violations by guarantee.
+    planned_only
+        Whether the run has planned work only, which must not interrupt requests.
+    disturbed_vms
+        VMs that were killed, paused or disconnected; their answers may be late.
+    """
 
     def __init__(self, fleet, callers):
-        self.broken = collections.defaultdict(list)
+        self.violations = collections.defaultdict(list)
         self.planned_only = False
         self.disturbed_vms = set()
         self._fleet = fleet
         self._records = callers.records
-        self._checked = set()
+        self._checked_ids = set()
 
     async def watch(self):
         while True:
             await asyncio.sleep(0.5)
-            self.look()
+            self.check_finished()
 
-    def look(self):
-        """Check the requests that have ended since, and all spending."""
+    def check_finished(self):
+        """Check the requests that ended since the last call, and all spending."""
         runs = self._runs_by_id()
         for record in self._records:
-            if not record.ended_at or record.request_id in self._checked:
+            if not record.ended_at or record.request_id in self._checked_ids:
                 continue
-            self._checked.add(record.request_id)
+            self._checked_ids.add(record.request_id)
             self._check_answer(record)
             self._check_time(record)
             if self.planned_only:
@@ -48,18 +58,18 @@
         self._check_runs(runs)
         self._check_spending(runs)
 
-    def note(self, promise, what):
-        if what not in self.broken[promise]:
-            self.broken[promise].append(what)
+    def record_violation(self, guarantee, detail):
+        if detail not in self.violations[guarantee]:
+            self.violations[guarantee].append(detail)
 
-    def summary(self):
-        """Return how often each promise was broken."""
-        return {name: len(found) for name, found in self.broken.items() if found}
+    def violation_counts(self):
+        """Return the number of violations by guarantee."""
+        return {name: len(found) for name, found in self.violations.items() if found}
 
-    def details(self):
-        for name, found in self.broken.items():
-            for what in found[:TOLD]:
-                yield f"{name}: {what}"
+    def violation_details(self):
+        for name, found in self.violations.items():
+            for detail in found[:MAX_DETAILS]:
+                yield f"{name}: {detail}"
 
     def _runs_by_id(self):
         runs = collections.defaultdict(list)
@@ -68,66 +78,79 @@
         return runs
 
     def _check_answer(self, record):
-        if record.status == 402 and record.account == AMPLE:
-            self.note("false refusal", f"{record.request_id} got 402")
+        if record.status == 402 and record.account == AMPLE_ACCOUNT:
+            self.record_violation("false refusal", f"{record.request_id} got 402")
         if record.status in (401, 403, 404):
-            self.note("denied", f"{record.request_id} got {record.status}")
+            self.record_violation("denied", f"{record.request_id} got {record.status}")
         if record.status != 200:
             return
         if record.echoed_id != record.request_id:
-            self.note("own answer", f"{record.request_id} got {record.echoed_id}")
-        if record.kind not in GENERATIONS:
+            self.record_violation(
+                "own answer", f"{record.request_id} got {record.echoed_id}"
+            )
+        if record.kind not in GENERATION_KINDS:
             expected = b"answer to " + record.request_id.encode()
-            if record.is_whole and record.body != expected:
-                self.note("own answer", f"{record.request_id}: {record.body[:60]!r}")
+            if record.is_complete and record.body != expected:
+                self.record_violation(
+                    "own answer", f"{record.request_id}: {record.body[:60]!r}"
+                )
             return
-        numbers = events_of(record)
+        numbers = event_numbers(record)
         if numbers != list(range(1, len(numbers) + 1)):
-            self.note("events in order", f"{record.request_id}: {numbers}")
-        if record.is_whole and len(numbers) != EVENTS:
-            self.note("whole answer", f"{record.request_id}: {len(numbers)} events")
+            self.record_violation("events in order", f"{record.request_id}: {numbers}")
+        if record.is_complete and len(numbers) != EVENTS_PER_STREAM:
+            self.record_violation(
+                "whole answer", f"{record.request_id}: {len(numbers)} events"
+            )
 
     def _check_time(self, record):
-        late = record.ended_at - record.sent_at - record.deadline
-        if late > LATE and record.vm not in self.disturbed_vms:
-            what = f"{record.request_id} at {record.vm}: {late:.1f} s late"
-            self.note("final answer in time", what)
+        late_seconds = record.ended_at - record.sent_at - record.deadline
+        if late_seconds > MAX_LATE_SECONDS and record.vm not in self.disturbed_vms:
+            detail = f"{record.request_id} at {record.vm}: {late_seconds:.1f} s late"
+            self.record_violation("final answer in time", detail)
 
     def _check_planned(self, record, runs):
-        if record.left or record.is_whole or not runs[record.request_id]:
+        if record.has_disconnected or record.is_complete or not runs[record.request_id]:
             return
-        taken = record.ended_at - record.sent_at
-        if taken >= DEADLINE_SHARE * record.deadline:
+        duration = record.ended_at - record.sent_at
+        if duration >= DEADLINE_SHARE * record.deadline:
             return
-        self.note("planned work cuts nothing", f"{record.request_id} at {record.vm}")
+        self.record_violation(
+            "planned work cuts nothing", f"{record.request_id} at {record.vm}"
+        )
 
     def _check_runs(self, runs):
         for record in self._records:
-            own = runs.get(record.request_id, ())
-            if record.kind not in REPEATABLE and len(own) > 1:
-                self.note("at most once", f"{record.request_id}: {len(own)} runs")
-            if record.status in NOT_RUN and own:
-                what = f"{record.request_id} got {record.status} and ran"
-                self.note("not run is true", what)
+            own_runs = runs.get(record.request_id, ())
+            if record.kind not in IDEMPOTENT_KINDS and len(own_runs) > 1:
+                self.record_violation(
+                    "at most once", f"{record.request_id}: {len(own_runs)} runs"
+                )
+            if record.status in NOT_RUN_STATUSES and own_runs:
+                detail = f"{record.request_id} got {record.status} and ran"
+                self.record_violation("not run is true", detail)
 
     def _check_spending(self, runs):
         spent = collections.Counter()
         for record in self._records:
-            if record.kind in GENERATIONS and runs.get(record.request_id):
+            if record.kind in GENERATION_KINDS and runs.get(record.request_id):
                 spent[record.account] += record.prompt_tokens
-                spent[record.account] += TOKENS_PER_EVENT * len(events_of(record))
+                spent[record.account] += TOKENS_PER_EVENT * len(event_numbers(record))
         for account, tokens in spent.items():
             paid = self._fleet.prepaid_by_account[account]
             if tokens > paid:
-                self.note("no overspend", f"{account}: {tokens} of {paid}")
+                self.record_violation("no overspend", f"{account}: {tokens} of {paid}")
 
 
-def events_of(record):
-    """Return the ids of the whole events that a caller has got."""
-    found = []
+def event_numbers(record):
+    """Return the ids of the complete events of an answer.
+
+    A malformed event, or one of another request, counts as -1.
+    """
+    numbers = []
     for event in record.body.decode(errors="replace").split("\n\n")[:-1]:
-        first, _, data = event.partition("\n")
-        number = first.removeprefix("id: ")
-        own = data == f"data: {record.request_id}.{number}"
-        found.append(int(number) if own and number.isdigit() else -1)
-    return found
+        id_line, _, data = event.partition("\n")
+        number = id_line.removeprefix("id: ")
+        is_own = data == f"data: {record.request_id}.{number}"
+        numbers.append(int(number) if is_own and number.isdigit() else -1)
+    return numbers
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -1,4 +1,4 @@
-"""One seed of the soak, from a cold start to the last check."""
+"""Run one seed of the soak test, from the start of the fleet to the last check."""
 
 import asyncio
 import contextlib
@@ -10,47 +10,65 @@
 
 from lynxchute.http import ExchangeError
 from tests.platform_support import HOST
-from tests.soak.backpressure import BackpressureSetter
+from tests.soak.backpressure import BackpressureInjector
 from tests.soak.deadly import DeadlyCaller
-from tests.soak.demand import DemandSetter, contracts_of
+from tests.soak.demand import DemandInjector, contracts_for_seed
 from tests.soak.evacuator import Evacuator
-from tests.soak.faults import Injector, Plan
-from tests.soak.fleet import AMPLE, SoakFleet
+from tests.soak.faults import FaultInjector, FaultPlan
+from tests.soak.fleet import AMPLE_ACCOUNT, SoakFleet
 from tests.soak.promises import Checker
-from tests.soak.traffic import KINDS, Callers
+from tests.soak.traffic import REQUEST_KINDS, CallerPool
 
-# Every so many seeds only planned work is done, which may cut nothing.
-PLANNED_EVERY = 4
-PROBE_SECONDS = 0.3
-# Seconds within which everything is served again once all faults are healed.
-RECOVERS_WITHIN = 12.0
-# On a machine that is busy a round of probes can take most of that time.
-LEAST_ROUNDS = 4
-PROBES_AT_END = 10
-SETTLES_WITHIN = 1.0
+# Every 4th seed has planned work only, which must not interrupt any request.
+PLANNED_ONLY_INTERVAL = 4
+PROBE_INTERVAL = 0.3
+# Seconds after the last fault within which each router must serve everything again.
+RECOVERY_TIMEOUT = 12.0
+# Minimum number of probe rounds before a router counts as not recovered: on a busy
+# machine a single round can take most of RECOVERY_TIMEOUT.
+MIN_PROBE_ROUNDS = 4
+PROBES_PER_KIND = 10
+SETTLE_SECONDS = 1.0
 
 
 @attrs.frozen
 class Report:
-    """What one seed has found."""
+    """Result of one seed.
+
+    Attributes
+    ----------
+    seed
+        Seed of all random choices.
+    requests
+        Number of requests that were sent.
+    served
+        Number of requests that were answered with status 200.
+    violations
+        Number of violations by guarantee.
+    violation_details
+        Descriptions of the violations.
+    faults
+        Number of injected faults by kind.
+    """
 
     seed: int
     requests: int
     served: int
-    broken: dict
-    details: list
+    violations: dict
+    violation_details: list
     faults: dict
 
 
 async def run_seed(seed, *, seconds, routers, keep=None):
     """Run one seed and return its report.
 
-    The routers' logs and the findings are kept in ``keep`` if a promise broke.
+    If a guarantee was violated, the routers' logs and the violations are copied to
+    the directory ``keep``.
     """
     with tempfile.TemporaryDirectory() as name:
         folder = pathlib.Path(name)
-        report = await _run(seed, folder, seconds, routers)
-        if report.broken and keep is not None:
+        report = await _run_fleet(seed, folder, seconds, routers)
+        if report.violations and keep is not None:
             _keep_logs(folder, keep / f"seed-{seed}", report)
     return report
 
@@ -59,47 +77,49 @@
     target.mkdir(parents=True, exist_ok=True)
     for log in folder.glob("*.log"):
         (target / log.name).write_bytes(log.read_bytes())
-    (target / "broken.txt").write_text("\n".join(report.details))
+    (target / "broken.txt").write_text("\n".join(report.violation_details))
 
 
-async def _run(seed, folder, seconds, routers):
+async def _run_fleet(seed, folder, seconds, routers):
     rng = random.Random(seed)
-    fleet = SoakFleet(folder, seed, routers=routers, contracts=contracts_of(seed))
-    callers = Callers(fleet, rng)
+    fleet = SoakFleet(folder, seed, routers=routers, contracts=contracts_for_seed(seed))
+    callers = CallerPool(fleet, rng)
     checker = Checker(fleet, callers)
-    plan = Plan(seconds, planned_only=seed % PLANNED_EVERY == 0)
-    checker.planned_only = plan.planned_only
-    injector = Injector(fleet, checker, rng, plan)
-    deadly = DeadlyCaller(fleet, callers, checker, seed)
-    evacuator = Evacuator(fleet, callers, checker, injector, seed)
-    backpressure = BackpressureSetter(fleet, callers, checker, injector, seed)
-    demand = DemandSetter(fleet, callers, seed)
+    fault_plan = FaultPlan(seconds, planned_only=seed % PLANNED_ONLY_INTERVAL == 0)
+    checker.planned_only = fault_plan.planned_only
+    fault_injector = FaultInjector(fleet, checker, rng, fault_plan)
+    deadly_caller = DeadlyCaller(fleet, callers, checker, seed)
+    evacuator = Evacuator(fleet, callers, checker, fault_injector, seed)
+    backpressure_injector = BackpressureInjector(
+        fleet, callers, checker, fault_injector, seed
+    )
+    demand_injector = DemandInjector(fleet, callers, seed)
     side_tasks = []
     try:
         await fleet.start()
         side_tasks.append(asyncio.create_task(checker.watch()))
         for vm in fleet.routers_by_vm:
-            probe = _probe_versions(fleet, callers, checker, vm)
+            probe = _watch_versions(fleet, callers, checker, vm)
             side_tasks.append(asyncio.create_task(probe))
         callers.start()
-        if not plan.planned_only:
-            side_tasks.append(asyncio.create_task(deadly.run()))
-        evacuations = asyncio.create_task(evacuator.run(seconds))
-        side_tasks.append(evacuations)
-        needing = asyncio.create_task(backpressure.run(seconds))
-        side_tasks.append(needing)
-        demanding = asyncio.create_task(demand.run(seconds))
-        side_tasks.append(demanding)
-        await injector.run()
-        await evacuations
-        await needing
-        await demanding
-        backpressure.clear()
+        if not fault_plan.planned_only:
+            side_tasks.append(asyncio.create_task(deadly_caller.run()))
+        evacuation_task = asyncio.create_task(evacuator.run(seconds))
+        side_tasks.append(evacuation_task)
+        backpressure_task = asyncio.create_task(backpressure_injector.run(seconds))
+        side_tasks.append(backpressure_task)
+        demand_task = asyncio.create_task(demand_injector.run(seconds))
+        side_tasks.append(demand_task)
+        await fault_injector.run()
+        await evacuation_task
+        await backpressure_task
+        await demand_task
+        backpressure_injector.clear()
         await _check_recovery(fleet, callers, checker)
         await callers.stop()
-        await asyncio.sleep(SETTLES_WITHIN)
-        checker.look()
-        deadly.check()
+        await asyncio.sleep(SETTLE_SECONDS)
+        checker.check_finished()
+        deadly_caller.check()
         evacuator.check_cold()
     finally:
         for task in side_tasks:
@@ -112,40 +132,45 @@
         seed,
         len(callers.records),
         sum(1 for record in callers.records if record.status == 200),
-        checker.summary(),
-        list(checker.details()),
+        checker.violation_counts(),
+        list(checker.violation_details()),
         {
-            **injector.counts,
-            "deadly": len(deadly.ended_at),
+            **fault_injector.counts,
+            "deadly": len(deadly_caller.crash_times),
             "evacuations": len(evacuator.spans),
-            **backpressure.counts,
-            **demand.counts,
+            **backpressure_injector.counts,
+            **demand_injector.counts,
         },
     )
 
 
-async def _probe_versions(fleet, callers, checker, vm):
-    """See that no process goes back behind a version that it has served."""
+async def _watch_versions(fleet, callers, checker, vm):
+    """Check that no router process reverts to an older configuration version.
+
+    A process that has served the route of a version must not answer 404 for it later.
+    """
     client = callers.client(vm)
     process = fleet.routers_by_vm[vm].process
-    seen, seen_start = 0, 0
+    newest_served, last_start = 0, 0
     while True:
-        await asyncio.sleep(PROBE_SECONDS)
+        await asyncio.sleep(PROBE_INTERVAL)
         start = process.starts
-        if start != seen_start:
-            seen, seen_start = 0, start
+        if start != last_start:
+            newest_served, last_start = 0, start
         newest = fleet.version
-        for version in {newest, seen} - {0}:
-            status = await _ask_version(client, version)
+        for version in {newest, newest_served} - {0}:
+            status = await _fetch_version_status(client, version)
             if process.starts != start:
                 break
             if status == 200:
-                seen = max(seen, version)
-            elif status == 404 and version <= seen:
-                checker.note("configuration never reverts", f"{vm}: {version}")
+                newest_served = max(newest_served, version)
+            elif status == 404 and version <= newest_served:
+                checker.record_violation(
+                    "configuration never reverts", f"{vm}: {version}"
+                )
 
 
-async def _ask_version(client, version):
+async def _fetch_version_status(client, version):
     probe = f"probe-{version}-{random.getrandbits(40):x}"
     headers = [("Host", HOST), ("X-Request-Id", probe), ("X-Deadline-Ms", "1000")]
     try:
@@ -157,36 +182,41 @@
 
 
 async def _check_recovery(fleet, callers, checker):
-    """See that every router serves everything again after the last fault."""
+    """Check that every router serves all kinds of requests after the last fault."""
     for upstream in fleet.upstreams:
         upstream.standin.faults.clear()
-    tasks = [_recovers(fleet, callers, checker, vm) for vm in fleet.routers_by_vm]
+    tasks = [
+        _check_router_recovery(fleet, callers, checker, vm)
+        for vm in fleet.routers_by_vm
+    ]
     await asyncio.gather(*tasks)
 
 
-async def _recovers(fleet, callers, checker, vm):
+async def _check_router_recovery(fleet, callers, checker, vm):
     process = fleet.routers_by_vm[vm].process
     if not process.is_running:
-        checker.note("recovery", f"{vm} has ended by itself")
+        checker.record_violation("recovery", f"{vm} has ended by itself")
         return
     loop = asyncio.get_running_loop()
-    end = loop.time() + RECOVERS_WITHIN
-    missing = set(KINDS)
-    rounds = 0
-    while missing and (loop.time() < end or rounds < LEAST_ROUNDS):
-        rounds += 1
+    deadline = loop.time() + RECOVERY_TIMEOUT
+    unserved = set(REQUEST_KINDS)
+    round_count = 0
+    while unserved and (loop.time() < deadline or round_count < MIN_PROBE_ROUNDS):
+        round_count += 1
         client = callers.client(vm)
-        for kind in sorted(missing):
+        for kind in sorted(unserved):
             statuses = []
-            for _ in range(PROBES_AT_END):
+            for _ in range(PROBES_PER_KIND):
                 record = await callers.send(
-                    client, vm, kind, account=AMPLE, may_leave=False
+                    client, vm, kind, account=AMPLE_ACCOUNT, may_disconnect=False
                 )
                 statuses.append(record.status)
-            if statuses.count(200) == PROBES_AT_END:
-                missing.discard(kind)
-        await asyncio.sleep(PROBE_SECONDS)
-    if missing:
-        checker.note("recovery", f"{vm} does not serve {sorted(missing)}")
-    elif await _ask_version(callers.client(vm), fleet.version) != 200:
-        checker.note("recovery", f"{vm} does not know version {fleet.version}")
+            if statuses.count(200) == PROBES_PER_KIND:
+                unserved.discard(kind)
+        await asyncio.sleep(PROBE_INTERVAL)
+    if unserved:
+        checker.record_violation("recovery", f"{vm} does not serve {sorted(unserved)}")
+    elif await _fetch_version_status(callers.client(vm), fleet.version) != 200:
+        checker.record_violation(
+            "recovery", f"{vm} does not know version {fleet.version}"
+        )
--- a/tests/soak/traffic.py
+++ b/tests/soak/traffic.py
@@ -1,4 +1,4 @@
-"""The callers of a soak, and a record of what each of their requests met."""
+"""Send the requests of a soak test and record the outcome of each."""
 
 import asyncio
 import itertools
@@ -7,99 +7,115 @@
 
 from lynxchute.http import ExchangeError, HttpClient, Timeouts
 from tests.platform_support import HOST
-from tests.soak.fleet import AMPLE, SCARCE
+from tests.soak.fleet import AMPLE_ACCOUNT, SCARCE_ACCOUNT
 
 CALLERS_PER_ROUTER = 3
-PAUSE = (0.02, 0.12)
+REQUEST_INTERVAL = (0.02, 0.12)
 DEADLINES_MS = (900, 1500, 3000)
-TOKENS = ((60, 30), (200, 40), (500, 60))
+TOKEN_COUNTS = ((60, 30), (200, 40), (500, 60))
 SCARCE_SHARE = 0.3
-LEAVING_SHARE = 0.05
-LEAVES_AFTER = (0.01, 0.08)
-RETRY_AFTER_LIMIT = 0.5
+DISCONNECT_SHARE = 0.05
+DISCONNECT_DELAY = (0.01, 0.08)
+RECONNECT_DELAY = 0.5
 CALLER_TIMEOUTS = Timeouts(first_byte=12.0, between_bytes=12.0)
 
 
 @attrs.define(eq=False)
 class Record:
-    """One request of a caller; times are the loop's, in seconds.
-
-    A status of 0 stands for a connection that ended without a final answer.
+    """A request and its outcome.
+
+    Attributes
+    ----------
+    start_number
+        Which start of the router's process it was sent to.
+    deadline
+        Seconds within which the caller wants the final answer.
+    sent_at, ended_at
+        Times of the event loop's clock in seconds; ``ended_at`` is 0 while the request
+        is open.
+    status
+        HTTP status, or 0 if the connection ended without a final answer.
+    is_complete
+        Whether the whole body was received.
+    has_disconnected
+        Whether the caller disconnected before the end of the answer.
     """
 
     request_id: str
     kind: str
     account: str
     vm: str
-    process_start: int
+    start_number: int
     deadline: float
     prompt_tokens: int
     sent_at: float
     ended_at: float = 0.0
     status: int = 0
     was_sent: bool = True
-    is_whole: bool = False
-    left: bool = False
+    is_complete: bool = False
+    has_disconnected: bool = False
     body: bytes = b""
     echoed_id: str = ""
 
 
-class Callers:
-    """Send requests to all routers until told to stop."""
+class CallerPool:
+    """Send requests to all routers until stopped."""
 
     def __init__(self, fleet, rng):
         self.records = []
         self._fleet = fleet
         self._rng = rng
-        self._numbers = itertools.count(1)
+        self._id_counter = itertools.count(1)
         self._tasks = []
 
-    def beside(self, rng):
-        """Return callers that draw other numbers, with the same record."""
-        others = Callers(self._fleet, rng)
-        others.records = self.records
-        others._numbers = self._numbers
-        return others
+    def with_rng(self, rng):
+        """Return a pool that uses another random generator and the same records."""
+        pool = CallerPool(self._fleet, rng)
+        pool.records = self.records
+        pool._id_counter = self._id_counter
+        return pool
 
     def start(self):
         for vm in self._fleet.routers_by_vm:
             for _ in range(CALLERS_PER_ROUTER):
-                self._tasks.append(asyncio.create_task(self._call(vm)))
+                self._tasks.append(asyncio.create_task(self._send_repeatedly(vm)))
 
     async def stop(self):
         for task in self._tasks:
             task.cancel()
-        ends = await asyncio.gather(*self._tasks, return_exceptions=True)
-        for end in ends:
-            if not isinstance(end, asyncio.CancelledError):
-                raise end
+        results = await asyncio.gather(*self._tasks, return_exceptions=True)
+        for result in results:
+            if not isinstance(result, asyncio.CancelledError):
+                raise result
 
-    async def _call(self, vm):
+    async def _send_repeatedly(self, vm):
         client = self.client(vm)
         while True:
-            record = await self.send(client, vm, self._rng.choice(KINDS))
+            record = await self.send(client, vm, self._rng.choice(REQUEST_KINDS))
             if record.status == 0:
-                # Its process may be gone; an open connection is used till then.
-                await asyncio.sleep(RETRY_AFTER_LIMIT)
-            await asyncio.sleep(self._rng.uniform(*PAUSE))
+                # The router may be down: wait before connecting again.
+                await asyncio.sleep(RECONNECT_DELAY)
+            await asyncio.sleep(self._rng.uniform(*REQUEST_INTERVAL))
 
     def client(self, vm):
         port = self._fleet.routers_by_vm[vm].caller_link.port
         return HttpClient(f"127.0.0.1:{port}", timeouts=CALLER_TIMEOUTS)
 
-    async def send(self, client, vm, kind, *, account="", may_leave=True):
+    async def send(self, client, vm, kind, *, account="", may_disconnect=True):
         rng = self._rng
-        account = account or (SCARCE if rng.random() < SCARCE_SHARE else AMPLE)
-        prompt, output = rng.choice(TOKENS)
+        account = account or (
+            SCARCE_ACCOUNT if rng.random() < SCARCE_SHARE else AMPLE_ACCOUNT
+        )
+        prompt, output = rng.choice(TOKEN_COUNTS)
         deadline_ms = rng.choice(DEADLINES_MS)
         record = Record(
-            f"s{next(self._numbers)}",
+            f"s{next(self._id_counter)}",
             kind,
             account,
             vm,
             self._fleet.routers_by_vm[vm].process.starts,
             deadline_ms / 1000.0,
-            prompt if kind in GENERATIONS else 0,
+            prompt if kind in GENERATION_KINDS else 0,
             asyncio.get_running_loop().time(),
         )
         self.records.append(record)
@@ -109,21 +125,21 @@
             ("X-Deadline-Ms", str(deadline_ms)),
             ("X-Credential", f"key-of-{account}"),
         ]
-        if kind in GENERATIONS:
+        if kind in GENERATION_KINDS:
             headers.append(("X-Model", "m"))
             headers.append(("X-Token-Counts", f"{prompt},{output}"))
-            parts = f"aa:{prompt - 10},{record.request_id}:10"
-            headers.append(("X-Prompt-Prefix", parts))
-        leaves = may_leave and rng.random() < LEAVING_SHARE
-        patience = rng.uniform(*LEAVES_AFTER) if leaves else None
+            prefix_parts = f"aa:{prompt - 10},{record.request_id}:10"
+            headers.append(("X-Prompt-Prefix", prefix_parts))
+        will_disconnect = may_disconnect and rng.random() < DISCONNECT_SHARE
+        disconnect_timeout = rng.uniform(*DISCONNECT_DELAY) if will_disconnect else None
         try:
-            async with asyncio.timeout(patience):
+            async with asyncio.timeout(disconnect_timeout):
                 await _exchange(client, record, headers)
         except TimeoutError:
-            record.left = True
+            record.has_disconnected = True
         except asyncio.CancelledError:
-            # The soak is over.
-            record.left = True
+            # The test has ended.
+            record.has_disconnected = True
             raise
         except ExchangeError as error:
             record.was_sent = error.sent
@@ -142,13 +158,13 @@
     record.status = response.status
     record.echoed_id = response.headers.get("x-request-id", "")
     try:
-        while (piece := await response.read()) is not None:
-            record.body += piece
-        record.is_whole = True
+        while (chunk := await response.read()) is not None:
+            record.body += chunk
+        record.is_complete = True
     finally:
         response.close()
 
 
-GENERATIONS = frozenset({"stream", "once"})
-REPEATABLE = frozenset({"stream", "safe"})
-KINDS = ("stream", "stream", "once", "safe", "unsafe")
+GENERATION_KINDS = frozenset({"stream", "once"})
+IDEMPOTENT_KINDS = frozenset({"stream", "safe"})
+REQUEST_KINDS = ("stream", "stream", "once", "safe", "unsafe")
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""What the pages and doc comments show is run."""
+"""Check that the examples in pages and doc comments work."""
 
 import ast
 import doctest
@@ -21,15 +21,15 @@
 from lynxchute.reference import reference
 from lynxchute.settings import load_router_settings
 from lynxchute.standins.daemon import load_standin_settings
-from tests.known_red import known_red, listed
+from tests.known_red import load_known_red, parse_known_red
 from tests.platform_support import free_port
 from tests.support import AsyncTestCase, small_shape, with_deployment
 
 ROOT = Path(__file__).parent.parent
 
 
-def logged_events():
-    """Yield the event of each log line that a router writes."""
+def iter_logged_events():
+    """Yield the event names of all log lines that a router can write."""
     for path in sorted((ROOT / "lynxchute").rglob("*.py")):
         if {"bench", "standins"} & set(path.relative_to(ROOT).parts):
             continue
@@ -43,13 +43,13 @@
 
 
 class DocsTest(AsyncTestCase):
-    def test_every_event_of_the_log_is_on_the_page_for_operators(self):
+    def test_every_log_event_is_on_the_operators_page(self):
         page = (ROOT / "docs/OPERATIONS.md").read_text(encoding="utf-8")
-        events = set(logged_events())
+        events = set(iter_logged_events())
         self.assertGreater(len(events), 40)
         self.assertEqual([], sorted(e for e in events if f"`{e}`" not in page))
 
-    def test_every_statement_of_the_page_runs(self):
+    def test_every_statement_of_the_language_page_runs(self):
         text = (ROOT / "docs/operators/language.md").read_text(encoding="utf-8")
         statements = text.split("```")[1].strip().splitlines()
 
@@ -66,7 +66,7 @@
         page = ROOT / "docs/operators/settings.md"
         self.assertEqual(reference(), page.read_text(encoding="utf-8"))
 
-    def test_the_examples_in_doc_comments_run(self):
+    def test_doc_comment_examples_run(self):
         examples = 0
         for module in pkgutil.walk_packages(lynxchute.__path__, "lynxchute."):
             if ".bench" in module.name:
@@ -76,16 +76,16 @@
             examples += result.attempted
         self.assertGreater(examples, 15)
 
-    def test_the_list_of_known_red_tests_is_in_order(self):
-        for name in listed():
+    def test_the_list_of_known_red_tests_is_valid(self):
+        for name in load_known_red():
             loaded = unittest.defaultTestLoader.loadTestsFromName(name)
             self.assertEqual(1, loaded.countTestCases(), name)
         expected = {"tests.t.T.test_a": "late, issue 9"}
         text = "# why\n\ntests.t.T.test_a: late, issue 9\n"
-        self.assertEqual(expected, known_red(text))
-        self.assertRaises(ValueError, known_red, "tests.t.T.test_a")
+        self.assertEqual(expected, parse_known_red(text))
+        self.assertRaises(ValueError, parse_known_red, "tests.t.T.test_a")
 
-    def test_the_example_settings_are_in_order(self):
+    def test_the_example_settings_load(self):
         for path in sorted((ROOT / "examples").glob("*/*.yaml")):
             text = path.read_text(encoding="utf-8")
             load = load_router_settings
@@ -96,7 +96,7 @@
 
 
 class ClientTest(testtools.TestCase):
-    def test_exit_statuses_tell_states_apart(self):
+    def test_each_answer_state_has_its_exit_status(self):
         self.assertEqual(5, exit_status(None))
         self.assertEqual(0, exit_status({"state": "rows", "missing": []}))
         self.assertEqual(6, exit_status({"state": "rows", "missing": ["kyu-c"]}))
@@ -104,7 +104,7 @@
         self.assertEqual(2, exit_status({"state": "mistakes"}))
         self.assertEqual(4, exit_status({"state": "unknown"}))
 
-    def test_only_what_takes_something_away_is_asked_about(self):
+    def test_only_destructive_statements_need_confirmation(self):
         self.assertTrue(needs_confirmation("drain vm kyu-a-1"))
         self.assertTrue(needs_confirmation("drop account a"))
         self.assertFalse(needs_confirmation("undrain vm kyu-a-1"))
@@ -112,14 +112,14 @@
 
 
 class DaemonTest(testtools.TestCase):
-    """Run the daemons as processes, as the getting-started page does."""
+    """Run the daemons as processes, as on the getting-started page."""
 
     def setUp(self):
         super().setUp()
         self.processes = []
-        self.addCleanup(self._end_all)
+        self.addCleanup(self._kill_all)
 
-    def _start(self, *arguments):
+    def _start_daemon(self, *arguments):
         process = subprocess.Popen(
             [sys.executable, "-m", *arguments],
             cwd=ROOT,
@@ -130,41 +130,46 @@
         return process
 
     def _example_on_free_ports(self, name):
-        """Copy an example; its ports may be in use by another run of the tests."""
-        kept = tempfile.TemporaryDirectory()
-        self.addCleanup(kept.cleanup)
-        folder = Path(kept.name)
+        """Copy an example to free ports, since another test run may use its own.
+
+        Returns the directory of the copy and the new port by the original one.
+        """
+        temporary = tempfile.TemporaryDirectory()
+        self.addCleanup(temporary.cleanup)
+        folder = Path(temporary.name)
         ports = {}
         for source in sorted((ROOT / "examples" / name).glob("*.yaml")):
             text = source.read_text(encoding="utf-8")
             for port in set(re.findall(r"127\.0\.0\.1:(\d+)", text)) - set(ports):
                 ports[port] = free_port()
-            moved = re.sub(
+            replaced = re.sub(
                 r"(127\.0\.0\.1:)(\d+)",
-                lambda found: f"{found[1]}{ports[found[2]]}",
+                lambda match: f"{match[1]}{ports[match[2]]}",
                 text,
             )
-            (folder / source.name).write_text(moved, encoding="utf-8")
+            (folder / source.name).write_text(replaced, encoding="utf-8")
         return folder, ports
 
-    def _end_all(self):
+    def _kill_all(self):
         for process in self.processes:
             if process.poll() is None:
                 process.kill()
             process.communicate()
 
-    def test_wrong_settings_end_with_status_2_and_every_finding(self):
-        process = self._start("lynxchute.daemon", "examples/amagumo/standins.yaml")
+    def test_wrong_settings_exit_with_status_2_and_list_every_error(self):
+        process = self._start_daemon(
+            "lynxchute.daemon", "examples/amagumo/standins.yaml"
+        )
         _, errors = process.communicate(timeout=30)
         self.assertEqual(2, process.returncode)
         self.assertIn(b"standins.yaml:3:1: control: No setting", errors)
         self.assertIn(b"'vm' is missing", errors)
 
-    def test_routers_serve_survive_a_kill_and_stop_on_a_signal(self):
+    def test_routers_serve_after_a_kill_and_stop_on_sigterm(self):
         folder, ports = self._example_on_free_ports("amagumo")
-        self._start("lynxchute.standins.daemon", folder / "standins.yaml")
+        self._start_daemon("lynxchute.standins.daemon", folder / "standins.yaml")
         routers = [
-            self._start("lynxchute.daemon", folder / f"kyu-a-{number}.yaml")
+            self._start_daemon("lynxchute.daemon", folder / f"kyu-a-{number}.yaml")
             for number in (1, 2, 3)
         ]
         self._wait_for(b"200", ports["21100"])
@@ -177,13 +182,13 @@
         self.assertIn(b'"event":"ended"', output)
 
     def _wait_for(self, status, port):
-        """Ask until an answer has the status; fail after a while."""
+        """Send requests until one is answered with the status; fail after 30 s."""
         body = (
             b'{"model": "dispatch-7b", "max_tokens": 4,'
             b' "messages": [{"role": "user", "content": "hi"}]}'
         )
-        end = time.monotonic() + 30
-        while time.monotonic() < end:
+        deadline = time.monotonic() + 30
+        while time.monotonic() < deadline:
             request = urllib.request.Request(
                 f"http://127.0.0.1:{port}/v1/chat/completions",
                 data=body,
