--- a/tests/soak/deadly.py
+++ b/tests/soak/deadly.py
@@ -109,6 +109,7 @@
         return asyncio.get_running_loop().time() - started_at > PROPAGATION_SECONDS
 
     def _record_starts(self):
+        """Record the time at which each router process was first seen."""
         now = asyncio.get_running_loop().time()
         for vm, router in self._fleet.routers_by_vm.items():
             start_number, _ = self._started_at_by_vm.get(vm, (0, 0.0))
@@ -127,6 +128,7 @@
             upstream.standin.deadly_bodies.add(DEADLY_BODY)
 
     async def _watch_crashes(self):
+        """Record the crashes of upstreams and restart each crashed upstream."""
         crashes_by_upstream = {}
         while True:
             await asyncio.sleep(0.02)
--- a/tests/soak/demand.py
+++ b/tests/soak/demand.py
@@ -56,6 +56,7 @@
             await asyncio.sleep(self._rng.uniform(*PHASE_INTERVAL))
 
     async def _send_hot_load(self):
+        """Send many requests of one account to one router."""
         self.counts["hot account"] += 1
         vm = self._rng.choice(sorted(self._fleet.routers_by_vm))
         tasks = [
@@ -80,6 +81,7 @@
             await asyncio.sleep(self._rng.uniform(*HOT_REQUEST_INTERVAL))
 
     async def _slow_upstream(self):
+        """Slow down a random upstream for a while."""
         self.counts["slow upstream"] += 1
         running = [upstream for upstream in self._fleet.upstreams if upstream.is_up]
         standin = self._rng.choice(running).standin
--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -13,8 +13,8 @@
 SCARCE_TOKENS = 30_000
 EVENTS_PER_STREAM = 6
 EVENT_DELAY = 0.01
-# Engines are cold after a start and after an evacuation. The fleet may send a cold
-# engine at most 14 requests in any second.
+# Engines are cold after a start and after an evacuation. They are configured to bear
+# 6.6 requests per second while cold; the fleet may send one at most 14 in any second.
 COLD_SECONDS, COLD_REQUEST_RATE, MAX_COLD_REQUESTS = 1.5, 6.6, 14
 # Number of latest configuration versions that keep a route of their own.
 MAX_VERSION_ROUTES = 50
@@ -105,6 +105,7 @@
         await self.store.configure(document)
 
     async def top_up(self, account, tokens):
+        """Add prepaid tokens to an account in a new configuration version."""
         self.prepaid_by_account[account] += tokens
         await self.configure()
 
--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -40,6 +40,7 @@
         self._checked_ids = set()
 
     async def watch(self):
+        """Check finished requests every 0.5 s."""
         while True:
             await asyncio.sleep(0.5)
             self.check_finished()
@@ -59,6 +60,7 @@
         self._check_spending(runs)
 
     def record_violation(self, guarantee, detail):
+        """Record a violation, unless the same detail is recorded already."""
         if detail not in self.violations[guarantee]:
             self.violations[guarantee].append(detail)
 
@@ -110,6 +112,7 @@
             self.record_violation("final answer in time", detail)
 
     def _check_planned(self, record, runs):
+        """Check that planned work did not interrupt a request."""
         if record.has_disconnected or record.is_complete or not runs[record.request_id]:
             return
         duration = record.ended_at - record.sent_at
@@ -120,6 +123,7 @@
         )
 
     def _check_runs(self, runs):
+        """Check that no request ran twice, or ran after an answer that denies it."""
         for record in self._records:
             own_runs = runs.get(record.request_id, ())
             if record.kind not in IDEMPOTENT_KINDS and len(own_runs) > 1:
@@ -131,6 +135,7 @@
                 self.record_violation("not run is true", detail)
 
     def _check_spending(self, runs):
+        """Check that no account used more tokens than were prepaid."""
         spent = collections.Counter()
         for record in self._records:
             if record.kind in GENERATION_KINDS and runs.get(record.request_id):
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -69,11 +69,11 @@
         folder = pathlib.Path(name)
         report = await _run_fleet(seed, folder, seconds, routers)
         if report.violations and keep is not None:
-            _keep_logs(folder, keep / f"seed-{seed}", report)
+            _save_logs(folder, keep / f"seed-{seed}", report)
     return report
 
 
-def _keep_logs(folder, target, report):
+def _save_logs(folder, target, report):
     target.mkdir(parents=True, exist_ok=True)
     for log in folder.glob("*.log"):
         (target / log.name).write_bytes(log.read_bytes())
@@ -171,6 +171,7 @@
 
 
 async def _fetch_version_status(client, version):
+    """Return the status of the route of a version, or 0 without an answer."""
     probe = f"probe-{version}-{random.getrandbits(40):x}"
     headers = [("Host", HOST), ("X-Request-Id", probe), ("X-Deadline-Ms", "1000")]
     try:
@@ -193,6 +194,7 @@
 
 
 async def _check_router_recovery(fleet, callers, checker, vm):
+    """Check that a router serves every kind of request and the latest version."""
     process = fleet.routers_by_vm[vm].process
     if not process.is_running:
         checker.record_violation("recovery", f"{vm} has ended by itself")
--- a/tests/soak/traffic.py
+++ b/tests/soak/traffic.py
@@ -89,6 +89,7 @@
                 raise result
 
     async def _send_repeatedly(self, vm):
+        """Send random requests to one router until cancelled."""
         client = self.client(vm)
         while True:
             record = await self.send(client, vm, self._rng.choice(REQUEST_KINDS))
@@ -102,6 +103,7 @@
         return HttpClient(f"127.0.0.1:{port}", timeouts=CALLER_TIMEOUTS)
 
     async def send(self, client, vm, kind, *, account="", may_disconnect=True):
+        """Send one request with random parameters and return its record."""
         rng = self._rng
         account = account or (
             SCARCE_ACCOUNT if rng.random() < SCARCE_SHARE else AMPLE_ACCOUNT
