--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -34,7 +34,7 @@
 }
 
 
-def is_caught(mutant):
+def first_violation(mutant):
     """Return the first violation that the fuzzing finds with a mutant, or None."""
     with mutant():
         try:
@@ -51,7 +51,7 @@
     selected = [m for m in MACHINES_BY_MUTANT if not names or m.__name__ in names]
     caught = 0
     for mutant in selected:
-        violation = is_caught(mutant)
+        violation = first_violation(mutant)
         caught += violation is not None
         print(f"{mutant.__name__}: {violation or 'NOT CAUGHT'}", flush=True)
     print(json.dumps({"mutants": len(selected), "caught": caught}))
--- a/tests/test_cold_upstreams.py
+++ b/tests/test_cold_upstreams.py
@@ -129,7 +129,7 @@
         self.patch(mutants, "EXAMPLES", 200)
         self.patch(mutants, "STEPS", 30)
         for mutant in cold_mutants.MUTANTS:
-            self.assertIsNotNone(mutants.is_caught(mutant), mutant.__name__)
+            self.assertIsNotNone(mutants.first_violation(mutant), mutant.__name__)
 
 
 class EvacuationScenarioTest(testtools.TestCase):
--- a/tests/test_stated_backoff.py
+++ b/tests/test_stated_backoff.py
@@ -59,7 +59,7 @@
         self.patch(mutants, "EXAMPLES", 200)
         self.patch(mutants, "STEPS", 30)
         for mutant in backpressure_mutants.WORD_MUTANTS:
-            self.assertIsNotNone(mutants.is_caught(mutant), mutant.__name__)
+            self.assertIsNotNone(mutants.first_violation(mutant), mutant.__name__)
 
 
 class BackoffTest(PlatformTestCase):
--- a/tests/test_stated_limits.py
+++ b/tests/test_stated_limits.py
@@ -200,7 +200,7 @@
         self.patch(mutants, "EXAMPLES", 250)
         self.patch(mutants, "STEPS", 30)
         for mutant in backpressure_mutants.MUTANTS:
-            self.assertIsNotNone(mutants.is_caught(mutant), mutant.__name__)
+            self.assertIsNotNone(mutants.first_violation(mutant), mutant.__name__)
 
 
 class LimitSharingTest(testtools.TestCase):
