--- a/lynxchute/callers/dialect.py
+++ b/lynxchute/callers/dialect.py
@@ -15,7 +15,12 @@
 from lynxchute.config.from_document import CHAT_PATH
 from lynxchute.http import BadRequest, Headers, Request
 from lynxchute.relay.call import Call
-from lynxchute.relay.dialect import Dialect, Dispatch, ResponseKind, is_for_request
+from lynxchute.relay.dialect import (
+    Dialect,
+    ResponseKind,
+    SendParameters,
+    is_for_request,
+)
 from lynxchute.relay.events import SEPARATOR
 from lynxchute.relay.refusal import Reason, Refusal
 from lynxchute.upstreams.statement import Statement
@@ -97,22 +102,22 @@
         )
 
     def upstream_headers(
-        self, call: Call, dispatch: Dispatch
+        self, call: Call, parameters: SendParameters
     ) -> list[tuple[bytes, bytes]]:
         """Return the request headers for an upstream, except for the body length."""
         dropped = NOT_FORWARDED | {names.LAST_EVENT.lower()}
         headers = call.request.headers.end_to_end(dropped)
         router_headers = [
             (names.REQUEST_ID, call.request_id),
-            (names.TIME_LEFT, f"{dispatch.time_left:.3f}"),
-            (names.EXPECTED_UPSTREAM, dispatch.upstream.id),
+            (names.TIME_LEFT, f"{parameters.time_left:.3f}"),
+            (names.EXPECTED_UPSTREAM, parameters.upstream.id),
         ]
-        if dispatch.account:
-            router_headers.append((names.ACCOUNT, dispatch.account))
+        if parameters.account:
+            router_headers.append((names.ACCOUNT, parameters.account))
         if call.generation is not None:
-            router_headers.append((names.PRIORITY, str(dispatch.priority)))
-        if dispatch.last_event_id:
-            router_headers.append((names.LAST_EVENT, dispatch.last_event_id))
+            router_headers.append((names.PRIORITY, str(parameters.priority)))
+        if parameters.last_event_id:
+            router_headers.append((names.LAST_EVENT, parameters.last_event_id))
         headers.extend(
             (name.encode(), value.encode("latin-1")) for name, value in router_headers
         )
--- a/lynxchute/containment/containment.py
+++ b/lynxchute/containment/containment.py
@@ -34,19 +34,21 @@
 BATCH_SECONDS = 0.05
 # Seconds between checks whether another router has become the judge.
 JUDGE_CHECK_SECONDS = 5.0
-# Limit on pending and on retained evidence: the open runs of several upstreams.
+# Maximum number of pending reports, and of retained ones: as many as several upstreams
+# have open runs.
 MAX_PENDING = 300
 # Milliseconds for which evidence is retained for the next judge. A judge that dies has
 # received it, but has stored only requests that are blamed for two crashes or more.
 EVIDENCE_RETENTION_MS = 60_000
 # Attempts to reach the fleet's judge before this router judges by itself.
 JUDGE_ATTEMPTS = 3
-# Reported content ids that are remembered, to report it if the request is served later.
+# Maximum number of reported content ids that are remembered, so that the judge is told
+# if such a request is served later.
 MAX_REPORTED = 500
 # Milliseconds for which a request that was served is not suspected. A request that is
 # sent many times a second is open during most crashes, and cannot be their cause while
-# other upstreams serve it. The time is limited, as a replaced upstream may crash on
-# what its predecessor could run.
+# other upstreams serve it. The time is short, because an upstream may be replaced by a
+# version that crashes on requests that the old one could serve.
 SERVED_RECENTLY_MS = 5_000
 
 
@@ -84,7 +86,7 @@
         clock: Callable[[], float],
     ) -> None:
         broadcast = QuarantineBroadcast(members, peers, clock)
-        broadcast.listeners.append(self._handle_news)
+        broadcast.listeners.append(self._handle_update)
         self.judge = Judge(members, store, broadcast, metrics, clock)
         self.quarantine = Quarantine()
         self._members = members
@@ -109,9 +111,9 @@
     def serve(self, server: PeerServer) -> None:
         """Register the handlers for messages from other routers."""
         server.handlers_by_class[CrashEvidence] = self._handle_evidence_message
-        server.handlers_by_class[QuarantineUpdate] = self._handle_news_message
+        server.handlers_by_class[QuarantineUpdate] = self._handle_update_message
 
-    def watch_registry(self, registry: Registry) -> None:
+    def register_listeners(self, registry: Registry) -> None:
         """Follow the row in the store, and changes of the judge."""
         registry.handlers_by_key[ROW_KEY] = self._handle_row
         registry.listeners.append(self._handle_members)
@@ -127,7 +129,7 @@
         self._metrics.broken_runs.inc(send.progress.value)
         if send.is_cancelled or send.is_past_crash_window(self._clock()):
             return
-        if self._served.has_served_since(
+        if self._served.was_served_since(
             send.content, self.judge.now_ms() - SERVED_RECENTLY_MS
         ):
             return
@@ -152,7 +154,7 @@
             self._record_survived(send.content)
 
     def _handle_members(self) -> None:
-        """Wake up to send a new judge what its predecessor had received and sent."""
+        """Wake the loop if a new judge has to get its predecessor's evidence."""
         if self._has_backlog_for_judge:
             self._loop.wake()
 
@@ -223,11 +225,11 @@
         self.judge.handle_evidence(evidence)
         return Ack()
 
-    async def _handle_news_message(self, news: QuarantineUpdate) -> Ack:
-        self._handle_news(news)
+    async def _handle_update_message(self, news: QuarantineUpdate) -> Ack:
+        self._handle_update(news)
         return Ack()
 
-    def _handle_news(self, news: QuarantineUpdate) -> None:
+    def _handle_update(self, news: QuarantineUpdate) -> None:
         self.quarantine.clear(news.cleared)
         new = self.quarantine.add(news.quarantined, self.judge.now_ms())
         self._apply_quarantine(new, source="router")
@@ -238,7 +240,7 @@
             quarantined = self.quarantine.by_content.get(content)
             if quarantined is None:
                 continue
-            was_served = self._served.has_served_since(content, quarantined.since_ms)
+            was_served = self._served.was_served_since(content, quarantined.since_ms)
             withdrawn = 0
             if was_served:
                 # It was served after the first crash that it is blamed for.
@@ -246,6 +248,7 @@
                 self._record_survived(content)
             else:
                 withdrawn = self._withdraw_sends(content)
+            # Logged as quarantined even if it was just cleared; see was_served.
             log_event(
                 "request quarantined",
                 content=content,
--- a/lynxchute/containment/judge.py
+++ b/lynxchute/containment/judge.py
@@ -24,13 +24,14 @@
 from lynxchute.store.rows import ABSENT
 from lynxchute.telemetry import Metrics, log_event
 
-# The row is part of a table that every router follows already, so that it needs no feed
+# The row is part of a table that every router follows already, so the row needs no feed
 # of its own.
 ROW_KEY = "quarantine"
 QUARANTINE_ROW_ID = RowId(TABLE, ROW_KEY)
 JUDGE_KEY = "quarantine"
-# Seconds between polls while crashes are being judged. A copy of the request may be on
-# its way to the next upstream already; the routers' reports take half this time.
+# Seconds between polls while crashes are being judged. This is short because a retry of
+# the request may already be on its way to the next upstream; reports from routers take
+# half as long.
 POLL_SECONDS = 0.1
 # Poll intervals while messages only have to be sent again, and while idle.
 RESEND_SECONDS = 0.5
@@ -130,7 +131,7 @@
         self._broadcast.retain_only(self.attribution.quarantined_by_content.keys())
 
     async def _poll(self) -> None:
-        self._judge_crashes()
+        self._judge_and_persist()
         if self._sending is None or self._sending.done():
             # Runs in the background, as a message to a dead router takes long to fail.
             self._sending = self._tasks.spawn(self._broadcast.send_pending())
@@ -147,7 +148,7 @@
             return POLL_SECONDS
         return RESEND_SECONDS if self._broadcast.has_undelivered else IDLE_SECONDS
 
-    def _judge_crashes(self) -> None:
+    def _judge_and_persist(self) -> None:
         now_ms = self.now_ms()
         for finding in self.attribution.judge(now_ms):
             self._report_finding(finding)
--- a/lynxchute/containment/news.py
+++ b/lynxchute/containment/news.py
@@ -81,7 +81,7 @@
         del self._updates[:-MAX_UPDATES]
 
     def retain_only(self, contents: Container[str]) -> None:
-        """Discard messages about other quarantined requests, which were released."""
+        """Discard messages that quarantine a request not in ``contents``."""
         kept = []
         for update in self._updates:
             items = update.message.quarantined
--- a/lynxchute/edge/application.py
+++ b/lynxchute/edge/application.py
@@ -17,18 +17,18 @@
 from lynxchute.containment import Containment
 from lynxchute.edge.configurations import Configurations
 from lynxchute.edge.entrance import ConnectionGate
-from lynxchute.edge.exposition import Exposition
+from lynxchute.edge.exposition import MetricsEndpoint
 from lynxchute.edge.limits import answer_buffer_bounds, caller_limits
 from lynxchute.edge.listener import Listener
 from lynxchute.edge.own_load import make_load_control
-from lynxchute.edge.plain_calls import PlainCalls
+from lynxchute.edge.plain_calls import PlainCallPlacement
 from lynxchute.edge.platform import Platform
 from lynxchute.edge.reload import SettingsReader, SettingsWatcher
 from lynxchute.edge.settings import EdgeSettings
-from lynxchute.edge.upstream_rules import UpstreamRules
+from lynxchute.edge.upstream_rules import UpstreamSendRules
 from lynxchute.edge.upstreams import UpstreamWatcher
 from lynxchute.fleet.client import HttpPeers
-from lynxchute.fleet.members import Member, Members, relay_capacity
+from lynxchute.fleet.members import Member, Members, serving_capacity
 from lynxchute.fleet.registry import Registry
 from lynxchute.fleet.relayed_store import RelayedStore
 from lynxchute.fleet.server import PeerServer
@@ -49,7 +49,7 @@
 from lynxchute.relay.chooser import Chooser
 from lynxchute.relay.relay import Relay
 from lynxchute.relay.sender import UPSTREAM_TIMEOUTS, Sender
-from lynxchute.relay.statement_reader import StatementReader
+from lynxchute.relay.statement_reader import BackpressureRecorder
 from lynxchute.scheduling.cold_watch import ColdProber
 from lynxchute.scheduling.rate_permits import RatePermits
 from lynxchute.scheduling.scheduler import Scheduler
@@ -75,10 +75,10 @@
 # Seconds after the stop signal during which new requests are still served: the platform
 # polls readiness every second and stops routing here after two negative answers.
 SERVE_AFTER_STOP_SECONDS = 2.5
-# Seconds before the platform kills the process at which the drain gives up on open
-# requests, so that unused grants can still be returned.
+# The drain stops waiting for open requests this many seconds before the platform kills
+# the process, so that unused grants can still be released.
 STOP_MARGIN_SECONDS = 1.2
-# Seconds before the kill at which the final reports are abandoned: each wait for a
+# Final reports are abandoned this many seconds before the kill, since each wait for a
 # store or router that does not answer takes up to 0.7 s, and the waits are sequential.
 REPORT_MARGIN_SECONDS = 0.4
 DRAIN_POLL_SECONDS = 0.05
@@ -132,7 +132,7 @@
         platform = attrs.evolve(platform, store=store)
         self.platform = platform
         self.directory = Directory()
-        rules = UpstreamRules(
+        rules = UpstreamSendRules(
             lambda: self.settings,
             lambda: self.configurations.current,
             self.directory,
@@ -159,7 +159,7 @@
             platform.store, self.members, is_first_start=settings.is_first_start
         )
         self.registry.peers = self.peers
-        self.registry.listeners.append(self._on_members_changed)
+        self.registry.listeners.append(self._handle_member_change)
         self.peer_server = PeerServer(lambda: self.registry.secret, meter)
         store.serve(self.peer_server)
         ledger = Ledger(
@@ -167,8 +167,9 @@
             self.members.own.incarnation,
             DemandLinePolicy() if settings.features.demand_lines else DemandPolicy(),
             parts=len(settings.data_centres),
-            # A part of the store handles some hundred writes a second; with one part
-            # per router, their grant lines do not queue behind one another.
+            # A partition of the store handles some hundred writes a second. With one
+            # partition per router, writes of limit lines do not queue behind one
+            # another.
             store_part=settings.vm if settings.store_spans_parts else "",
         )
         self.final_use_exchange = FinalUseExchange(ledger, self.members, self.peers)
@@ -207,7 +208,7 @@
             self.members, self.peers, self.directory, rules.rates, steady_seconds
         )
         permits.serve(self.peer_server)
-        self.plain_calls = PlainCalls(
+        self.plain_calls = PlainCallPlacement(
             settings, self.directory, rules.gate, permits, rng, steady_seconds
         )
         engines = platform.make_engines(self.clients)
@@ -235,7 +236,7 @@
             engines,
             rules.cold_limits,
             scheduler.is_scheduler_for,
-            self.seconds_since_upstream_answer,
+            self.seconds_since_upstreams_confirmed,
             steady_seconds,
         )
         scheduler.serve(self.peer_server)
@@ -253,7 +254,7 @@
             steady_seconds,
         )
         self.containment.serve(self.peer_server)
-        self.containment.watch_registry(self.registry)
+        self.containment.register_listeners(self.registry)
         chooser = Chooser(
             self.directory,
             scheduler.neighbourhood,
@@ -275,7 +276,7 @@
             reachability,
             self.containment,
             rules.gate,
-            StatementReader(platform.dialect, self.directory, steady_seconds),
+            BackpressureRecorder(platform.dialect, self.directory, steady_seconds),
             steady_seconds,
             times=self.plain_calls.times,
             hedger=self.plain_calls.hedger(chooser, self.retries, self.metrics),
@@ -301,7 +302,7 @@
             may_accept_connection=self.load.may_accept,
         )
         self.readiness = HttpServer(self._handle_readiness)
-        self.exposition = HttpServer(Exposition(self, log_lines_dropped).handle)
+        self.exposition = HttpServer(MetricsEndpoint(self, log_lines_dropped).handle)
         self.components = [
             self.configurations,
             self.upstreams,
@@ -339,7 +340,7 @@
         self._upstream_feed = watcher.feed
         return watcher
 
-    def seconds_since_upstream_answer(self, now: float) -> float:
+    def seconds_since_upstreams_confirmed(self, now: float) -> float:
         """Return the seconds since the store last reported upstreams."""
         return (
             self._upstream_feed.seconds_since_answer(now)
@@ -362,15 +363,15 @@
         await super().start()
 
     async def drain(self) -> None:
-        """Stop admitting requests and let the open ones finish.
+        """Release the unused grants, keep serving for a while, then stop admitting.
 
         New requests are served until the platform has seen two negative readiness
-        answers and sends callers to other routers.
+        answers and sends callers to other routers. Then the open requests may finish.
         """
         started = steady_seconds()
         log_event("stopping", open_requests=self.relay.open_requests)
         self.callers.disable_keep_alive()
-        await self.registry.announce(self.members.mark_leaving())
+        await self.registry.register(self.members.mark_leaving())
         # Other routers may need the unused grants now, and a store outage later in
         # the drain would prevent their return.
         if not await self.ledger_sync.close(started + CLOSE_TIMEOUT_SECONDS):
@@ -439,7 +440,7 @@
         """Close pooled connections to the previous process of an upstream."""
         self.clients.drop(previous.address)
 
-    def _on_members_changed(self) -> None:
+    def _handle_member_change(self) -> None:
         self.retries.routers = self.members.count
         self.ledger_sync.request_write()
 
@@ -480,5 +481,5 @@
         data_centre=settings.data_centre,
         incarnation=secrets.token_hex(6),
         address=str(settings.peers_reached_at or settings.peers),
-        strength=relay_capacity(link_mbps=settings.link_mbps, cores=settings.cores),
+        strength=serving_capacity(link_mbps=settings.link_mbps, cores=settings.cores),
     )
--- a/lynxchute/edge/configurations.py
+++ b/lynxchute/edge/configurations.py
@@ -17,15 +17,15 @@
 from lynxchute.upstreams.evacuations import Evacuations
 
 # Long-poll timeout as a fraction of the time within which a new version must be in
-# force. A dead connection is detected one second after that timeout.
+# effect. A dead connection is detected one second after that timeout.
 LONG_POLL_SHARE = 0.45
-# Maximum age of a confirmation, as a fraction of the bound, for which requests may be
-# denied without another query. Many unknown callers thus cause at most two short
-# queries per bound.
+# A request may be refused without another query if the last confirmation is at most
+# this old, as a fraction of the bound. So unknown callers cause at most two short
+# queries per bound, however many they are.
 CONFIRMATION_AGE_SHARE = 0.5
 # Minimum seconds between two full lists of the table: one list is 60 KB or more, 0.1 s
 # of a link of 5 Mbit/s. With four lists per bound, lists arrived too late, and 86
-# routers refused 1,700 requests of one minute with a request to retry.
+# routers refused 1,700 requests in one minute and asked for a retry.
 MIN_LIST_INTERVAL_SECONDS = 60.0
 # Seconds that a request waits for a confirmation: 100 times the store's usual response
 # time, and twice its response time through another router.
@@ -47,7 +47,7 @@
     evacuations
         Receives the evacuation orders, which are rows of the same table.
     bound
-        Seconds within which a new version must be in force.
+        Seconds within which a new version must be in effect.
 
     Attributes
     ----------
@@ -93,9 +93,9 @@
             # The store is unavailable; the request is refused and may be retried.
             return
 
-    async def ensure_current(self) -> bool:
+    async def confirm_current(self) -> bool:
         """Return whether the store has recently confirmed the version as the newest."""
-        return await self.feed.ensure_current(
+        return await self.feed.confirm_current(
             within=self._bound * CONFIRMATION_AGE_SHARE,
             max_list_age=MIN_LIST_INTERVAL_SECONDS,
             patience=CONFIRM_TIMEOUT_SECONDS,
--- a/lynxchute/edge/entrance.py
+++ b/lynxchute/edge/entrance.py
@@ -29,11 +29,11 @@
     """
 
     def __init__(self, server: HttpServer, load: RouterLoad) -> None:
-        super().__init__("entrance", self._poll, POLL_SECONDS, self._needs_change)
+        super().__init__("entrance", self._poll, POLL_SECONDS, self._poll_load)
         self._server = server
         self._load = load
 
-    def _needs_change(self) -> bool:
+    def _poll_load(self) -> bool:
         """Poll the load; return whether accepting must be paused or resumed."""
         self._load.poll()
         return self._load.is_full == self._server.is_accepting
--- a/lynxchute/edge/exposition.py
+++ b/lynxchute/edge/exposition.py
@@ -17,7 +17,7 @@
 STATE_PATH = "/state"
 
 
-class Exposition:
+class MetricsEndpoint:
     """Serves the metrics and the state dump of a router.
 
     Parameters
--- a/lynxchute/edge/limits.py
+++ b/lynxchute/edge/limits.py
@@ -8,9 +8,9 @@
 
 # Fraction of the process's memory for buffered request bodies.
 BODY_BUFFER_SHARE = 0.15
-# Fraction of the process's memory for answers that slow callers have not read yet. A
-# request body may be held twice while its upstream reads slowly; together these leave
-# half of the memory to the process.
+# Fraction of the process's memory for responses that slow callers have not read yet. A
+# request body may be held twice while its upstream reads slowly, so 2 * 0.15 + 0.15 =
+# 0.45 of the memory is buffers, and about half is left to the process.
 ANSWER_BUFFER_SHARE = 0.15
 # Timeouts in seconds until the first configuration is known.
 DEFAULT_HEAD_TIMEOUT = 3.0
@@ -18,7 +18,7 @@
 
 
 def answer_buffer_bounds(memory_mb: float) -> BufferBounds:
-    """Return the bounds on answers buffered for slow callers.
+    """Return the bounds on responses buffered for slow callers.
 
     Parameters
     ----------
@@ -36,7 +36,7 @@
     Parameters
     ----------
     configuration
-        The version in force, or None before the first one.
+        The version in effect, or None before the first one.
     memory_mb
         Memory of the process, in MB.
     """
--- a/lynxchute/edge/listener.py
+++ b/lynxchute/edge/listener.py
@@ -18,7 +18,7 @@
         Server that handles the connections.
     address
         Address to listen on.
-    listener
+    listening_socket
         Socket that already listens there; None to open one at the start.
     """
 
@@ -26,16 +26,16 @@
         self,
         server: HttpServer,
         address: Address,
-        listener: socket.socket | None = None,
+        listening_socket: socket.socket | None = None,
     ) -> None:
         self.server = server
         self._address = address
-        self._listener = listener
+        self._listening_socket = listening_socket
 
     async def start(self) -> None:
         """Start listening."""
-        if self._listener is not None:
-            await self.server.serve(self._listener)
+        if self._listening_socket is not None:
+            await self.server.serve(self._listening_socket)
             return
         await self.server.start(self._address.host, self._address.port)
 
--- a/lynxchute/edge/own_load.py
+++ b/lynxchute/edge/own_load.py
@@ -60,7 +60,7 @@
             loop.sleep_observers.append(self.processor.record_sleep)
 
     def check_head(self, head: RequestHead, current: Configuration | None) -> None:
-        """Refuse a request by its head if overload would refuse any account's request.
+        """Refuse a request by its head if overload refuses all accounts' requests.
 
         Raises
         ------
@@ -74,8 +74,10 @@
         if route is None:
             return
         service = current.services_by_name.get(route.targets[0].service)
-        is_brief = service is None or service.engine is None
-        full = self.load.shed_reason_for_all(route.latency_objective, is_brief=is_brief)
+        is_plain_call = service is None or service.engine is None
+        full = self.load.shed_reason_for_all(
+            route.latency_objective, is_plain_call=is_plain_call
+        )
         if full:
             self.metrics.refusals.inc(Reason.OVERLOADED.value)
             reason = f"This router's {full} is full. Send the request to another one."
--- a/lynxchute/edge/plain_calls.py
+++ b/lynxchute/edge/plain_calls.py
@@ -21,7 +21,7 @@
 from lynxchute.upstreams.upstream import Upstream
 
 
-class PlainCalls:
+class PlainCallPlacement:
     """Placement policy, service times and hedging for plain upstreams.
 
     Parameters
@@ -33,7 +33,7 @@
     gate
         Withholds requests that must not reach an upstream.
     permits
-        Grants requests to upstreams that announce a rate limit.
+        Grants requests to upstreams that declare a rate limit.
     rng
         Random source for the choice among upstreams.
     clock
@@ -93,7 +93,7 @@
         )
 
     def slowness(self, entry: Entry, now: float) -> float:
-        """Return a plain upstream's current service time relative to its usual one."""
+        """Return the current service time of an upstream over its typical one."""
         if self.times is None:
             return 1.0
         return self._expected_finish.state_of(entry, now).slowness_now
--- a/lynxchute/edge/platform.py
+++ b/lynxchute/edge/platform.py
@@ -26,8 +26,8 @@
     decode_configuration
         Decodes the value of that row.
     evacuation_prefix
-        Key prefix of the rows in that table that each order the evacuation of the
-        data centre in the rest of the key, whatever their value.
+        Key prefix of evacuation orders in that table. The rest of the key is the data
+        centre's name; the order holds even if the value cannot be decoded.
     upstream_table
         Table in which each upstream registers with one row.
     decode_upstream
--- a/lynxchute/edge/reload.py
+++ b/lynxchute/edge/reload.py
@@ -25,13 +25,13 @@
     Parameters
     ----------
     settings
-        Settings in force.
+        Settings in effect.
     read
         Reads the settings file; returns the settings, or its errors.
     stamp
         Returns a value that changes whenever the file is written.
     apply
-        Called with valid settings that differ from those in force.
+        Called with valid settings that differ from those in effect.
     """
 
     def __init__(
--- a/lynxchute/edge/settings.py
+++ b/lynxchute/edge/settings.py
@@ -16,9 +16,9 @@
     stop
         Seconds from the stop signal until the platform kills the process.
     drain
-        Maximum seconds until a leaving upstream receives no new requests.
+        Maximum seconds until a draining upstream receives no new requests.
     configuration
-        Maximum seconds until a new configuration version is in force.
+        Maximum seconds until a new configuration version is in effect.
     cold_factor, cold_extra
         In any second, all routers together may send a cold upstream at most
         ``cold_factor`` times its service's cold rate, plus ``cold_extra`` requests.
@@ -48,9 +48,11 @@
     memory_guard
         Bound the memory buffered for callers and upstreams that read slowly.
     fair_shares
-        Divide scarce capacity fairly among client accounts.
+        Divide scarce capacity fairly among client accounts, and queue requests for
+        engines by these shares.
     demand_lines
-        Size grants and their lines by each account's demand at this router.
+        Size grants and their limit lines by each account's demand at this router, and
+        keep local reserves.
     learned_speeds
         Place requests by the measured speed of each upstream.
     hedging
@@ -86,8 +88,6 @@
         Listening address for metrics and the state dump; None to serve neither.
     store
         Address of the store as ``IP:port``.
-    metrics
-        Where the metrics are served; None where they are not.
     link_mbps, cores
         Bandwidth of the VM's network link in Mbit/s, and processor cores of the
         process.
@@ -100,8 +100,8 @@
     cold_admission
         Name, in `ADMISSIONS_BY_NAME`, of the admission policy for cold upstreams.
     rate_sharing
-        Name, in `SHARINGS_BY_NAME`, of the policy that divides an upstream's
-        announced rate limit among routers.
+        Name, in `SHARINGS_BY_NAME`, of the policy that divides an upstream's declared
+        rate limit among routers.
     peers_reached_at
         Address at which other routers reach this one; None if it equals ``peers``.
     bounds
--- a/lynxchute/edge/upstream_rules.py
+++ b/lynxchute/edge/upstream_rules.py
@@ -25,15 +25,15 @@
 NO_COLD_LIMITS = ColdLimits()
 
 
-class UpstreamRules:
-    """Rules for evacuated data centres, cold upstreams and announced rate limits.
+class UpstreamSendRules:
+    """Rules for evacuated data centres, cold upstreams and declared rate limits.
 
     Parameters
     ----------
     settings
         Returns the current settings of the router.
     configuration
-        Returns the configuration in force, or None before the first one.
+        Returns the configuration in effect, or None before the first one.
     directory
         Directory of the upstreams.
     members
@@ -48,13 +48,13 @@
     Attributes
     ----------
     evacuations
-        Evacuation orders in force.
+        Evacuation orders in effect.
     gate
         Withholds requests that must not reach an upstream.
     cold
         Limits placements at cold upstreams.
     rates
-        Enforces the rate limits that upstreams announce.
+        Enforces the rate limits that upstreams declare.
     """
 
     def __init__(
--- a/lynxchute/edge/upstreams.py
+++ b/lynxchute/edge/upstreams.py
@@ -11,15 +11,15 @@
 from lynxchute.telemetry import log_event
 from lynxchute.upstreams.directory import Directory
 
-# Interval in seconds at which changes are fetched in batches; a leaving upstream must
-# be known within the deployment's bound.
+# Interval in seconds at which changes are fetched in batches; a draining upstream must
+# be known within the deployment's drain bound.
 FETCH_INTERVAL_SECONDS = 0.4
-# Long-poll timeout as a fraction of that bound; a dead connection is detected one
+# Long-poll timeout as a fraction of the drain bound; a dead connection is detected one
 # second after it. A short timeout loads the store: at 0.6 s, 86 routers made 15,100
 # calls in the first 24 s of a run, at 2 s only 10,700.
 LONG_POLL_SHARE = 0.45
-# Seconds after a store outage in which upstreams may renew entries that lapsed during
-# it; the platform itself allows about two.
+# Seconds after a store outage in which upstreams may renew entries that expired during
+# it; the platform itself allows about two seconds.
 LAPSE_GRACE_SECONDS = 2.0
 # Seconds for which a removed upstream is kept, since its open requests may still end.
 REMOVED_RETENTION_SECONDS = 30.0
@@ -37,7 +37,7 @@
     clients
         Connection pool; connections to pruned upstreams are closed.
     bound
-        Maximum seconds until a leaving upstream receives no new requests.
+        Maximum seconds until a draining upstream receives no new requests.
     """
 
     def __init__(
--- a/lynxchute/fleet/backpressure_messages.py
+++ b/lynxchute/fleet/backpressure_messages.py
@@ -16,13 +16,13 @@
     upstream
         The id of the upstream.
     process
-        The upstream process that stated the limit.
+        The upstream process that declared the limit.
     limit
         Requests a second from all routers together; None when the limit has ended.
     heard_ms
         When the router received it, on the store's clock in milliseconds; 0 for never.
     is_leaving
-        Whether the upstream has announced that it takes no new work.
+        Whether the upstream has declared that it takes no new work.
     """
 
     upstream: str
@@ -41,7 +41,8 @@
     is_admitted
         Whether the request may be sent.
     again_s
-        When it may not: seconds during which no other request may be sent either.
+        When it may not: seconds until the router may request the next permit. It may
+        still send in its own turn.
     backpressure
         Known rate limits of the service's upstreams.
     """
--- a/lynxchute/fleet/client.py
+++ b/lynxchute/fleet/client.py
@@ -55,7 +55,7 @@
     secret
         Returns the shared secret that authenticates the fleet's messages.
     clock
-        Returns the seconds on the monotonic clock.
+        Returns the seconds on the steady clock.
     meter
         Measures how long messages are queued for the VM's network link.
 
--- a/lynxchute/fleet/members.py
+++ b/lynxchute/fleet/members.py
@@ -16,9 +16,9 @@
 # failure.
 INITIAL_BACKOFF = 0.5
 MAX_BACKOFF = 4.0
-# Link and cores of a VM that has full capacity to serve other routers. The home of an
-# account and the scheduler handle the messages of a hundred routers, some 2 Mbit/s,
-# besides the requests of their own callers.
+# A VM with this link and these cores has full capacity to serve other routers. An
+# account's home or a scheduling router handles the messages of a hundred routers, some
+# 2 Mbit/s, besides its own callers' requests.
 FULL_LINK_MBPS = 100.0
 FULL_CORES = 1.0
 # Routers with at least this fraction of the greatest strength are preferred for serving
@@ -33,7 +33,7 @@
     Attributes
     ----------
     incarnation
-        Identifies the run of its process.
+        Identifies its process.
     address
         The address at which it listens for other routers.
     is_leaving
@@ -81,14 +81,14 @@
     failures
         Consecutive messages without a valid reply.
     retry_at
-        When the next attempt is due, in seconds on the monotonic clock.
+        When the next attempt is due, in seconds on the steady clock.
     """
 
     failures: int = 0
     retry_at: float = 0.0
 
 
-def relay_capacity(*, link_mbps: float, cores: float) -> float:
+def serving_capacity(*, link_mbps: float, cores: float) -> float:
     """Return the capacity of a VM to serve other routers, from 0 to 1.
 
     Parameters
@@ -100,9 +100,9 @@
 
     Examples
     --------
-    >>> relay_capacity(link_mbps=1000.0, cores=2.0)
+    >>> serving_capacity(link_mbps=1000.0, cores=2.0)
     1.0
-    >>> relay_capacity(link_mbps=5.0, cores=2.0)
+    >>> serving_capacity(link_mbps=5.0, cores=2.0)
     0.05
     """
     return min(link_mbps / FULL_LINK_MBPS, cores / FULL_CORES, 1.0)
@@ -111,7 +111,7 @@
 class Members:
     """The registered routers, this one included.
 
-    Times are seconds on the monotonic clock.
+    Times are seconds on the steady clock.
 
     Parameters
     ----------
@@ -137,7 +137,7 @@
         self._rank_cache = (0, dict[str, int | None]())
 
     def mark_leaving(self) -> Member:
-        """Mark this router as leaving and return its new registration."""
+        """Mark this router as draining and return its new registration."""
         self.own = attrs.evolve(self.own, is_leaving=True)
         self.by_vm[self.own.vm] = self.own
         self.changes += 1
@@ -162,7 +162,7 @@
 
     @property
     def count(self) -> int:
-        """Return the number of registered routers that are not leaving."""
+        """Return the number of registered routers that are not draining."""
         return sum(1 for member in self.by_vm.values() if not member.is_leaving)
 
     def is_reachable(self, vm: str) -> bool:
@@ -208,10 +208,10 @@
         return backoff.failures == 1
 
     def homes(self, account: str) -> list[str]:
-        """Return the VMs of this data centre that may hold an account's tokens.
+        """Return the VMs here in the order in which they serve as an account's home.
 
         The first one is the account's home in this data centre; the others are its
-        fallbacks, in order. Leaving and unreachable routers are left out.
+        fallbacks, in order. Draining and unreachable routers are left out.
         """
         return self.preference_order(account, self._candidates_in(self.own.data_centre))
 
@@ -239,8 +239,8 @@
     def own_rank(self, key: str) -> int | None:
         """Return this router's rank for a key among all registered routers, from 0.
 
-        Unreachable routers count, since they may well be serving. The rank is None
-        once this router is leaving.
+        Unreachable routers count, since they may well be serving. The rank is None once
+        this router is draining.
         """
         changes, rank_by_key = self._rank_cache
         if changes != self.changes or key not in rank_by_key:
--- a/lynxchute/fleet/messages.py
+++ b/lynxchute/fleet/messages.py
@@ -52,7 +52,7 @@
     detail
         Details of the outcome, for logs.
     unused
-        For a refusal: tokens of the budget that the fleet is known not to have used,
+        For a refusal: unused tokens of the budget in the whole fleet, as far as known,
         including those reserved for open requests.
     """
 
@@ -113,9 +113,9 @@
     Attributes
     ----------
     lent
-        Tokens that the borrower owns from now on.
+        Tokens lent to the borrower, which the lender counts as used from now on.
     released
-        Tokens that the lender has returned to the store, for the borrower to claim.
+        Tokens that the lender has released to the store, for the borrower to claim.
     unused
         Tokens of the budget that the lender still has, including those reserved for
         open requests.
@@ -137,12 +137,12 @@
     needed
         Tokens that a request lacks.
     wanted
-        Tokens that the borrower would take, so that it borrows less often.
+        Tokens that the borrower would like in all, so that it needs fewer loans.
     by_store
-        Whether the borrower can claim tokens that are returned to the store.
+        Whether the borrower can claim tokens that are released to the store.
     kept_by
-        The VM that holds the tokens for future requests; empty when a waiting request
-        needs them.
+        The VM whose local reserve the loan is for; empty for a loan to a waiting
+        request or to an account's home.
     """
 
     NAME = "lend"
@@ -176,14 +176,14 @@
 
 @attrs.frozen
 class FinalUseReport(Message[Ack]):
-    """Report the token use of a stopping router, for the next run on its VM.
+    """Report the token use of a stopping router, for the next process on its VM.
 
     It is sent when the router could not write its use to the store.
 
     Attributes
     ----------
     incarnation
-        Identifies the run that stops.
+        Identifies the process that stops.
     used_by_account
         Tokens used of its own grants; the router uses no more of them.
     """
@@ -198,14 +198,14 @@
 
 @attrs.frozen
 class FinalUseReply:
-    """The final token use of a stopped run; None when it was not reported here."""
+    """The final token use of a stopped process; None if it was not reported here."""
 
     used_by_account: dict[str, int] | None
 
 
 @attrs.frozen
 class FinalUseRequest(Message[FinalUseReply]):
-    """Ask for the final token use of an earlier run on a VM."""
+    """Ask for the final token use of an earlier process on a VM."""
 
     NAME = "final-use-of"
     REPLY = FinalUseReply
@@ -227,10 +227,11 @@
     expected_ms
         Milliseconds until the first event is expected.
     is_counted
-        Whether the request counts towards the rate limit of a cold engine.
+        Whether the placement is within the limit for cold engines, so that the request
+        may be sent even if the engine is cold.
     is_admitted
-        Whether the request is within the rate limit that the engine has stated for all
-        routers together.
+        Whether the request is within the rate limit that the engine has declared for
+        all routers together.
     backpressure
         Known rate limits of the service's engines.
     is_refused
@@ -273,11 +274,11 @@
     expected_output_tokens
         The caller's estimate of the output tokens; None when it gives none.
     first_event_ms, pause_ms
-        Latency objectives of the answer in milliseconds: the time to its first event,
+        Latency objectives of the response in milliseconds: the time to its first event,
         and the longest pause between two events.
     own_turns
-        Engines with a stated rate limit to which the asking router may send within its
-        own share of it.
+        Engines with a declared rate limit to which the asking router may send in its
+        own turn.
     backpressure
         Known rate limits of the service's engines.
     claim
@@ -312,8 +313,13 @@
         It has produced its first event.
     PAUSED
         Its stream has paused for longer than its latency objective allows.
+    ENDED
+        The engine no longer works on it; it did not fail.
+    FAILED
+        The engine no longer works on it, because it failed.
     UNPLACED
-        Its router got no placement in time and has placed the run itself.
+        It has no slot at an engine: its router got no reply in time and has placed the
+        run itself, or the request left the queue.
     """
 
     BEGUN = "begun"
--- a/lynxchute/fleet/registry.py
+++ b/lynxchute/fleet/registry.py
@@ -30,11 +30,11 @@
 SECRET_KEY = "secret"
 ROUTER_PREFIX = "router/"
 
-# Registrations and quarantined requests seldom change. But a router that was cut off,
-# or whose connection to the store stopped responding, must learn of both within three
-# seconds, and a poll times out one second after its wait. With a wait of 5 s it could
-# send requests that crash upstreams for 6 s. The shorter wait costs 0.47 more calls a
-# second.
+# Long-poll wait and pause of the feed. Registrations and quarantined requests seldom
+# change, but routers must learn of both within three seconds, even if they were cut off
+# or their connection to the store has stopped responding, and a poll times out one
+# second after its wait. With a wait of 5 s, a router could send requests that crash
+# upstreams for 6 s. The shorter wait costs 0.47 more calls a second.
 FEED_TIMES = FeedTimes(wait=1.5, pause=0.2)
 RETRY_SECONDS = 0.3
 # Seconds between checks for unreachable routers that are due for a ping.
@@ -100,7 +100,7 @@
         await super().stop()
         await self.feed.stop()
 
-    async def announce(self, member: Member) -> bool:
+    async def register(self, member: Member) -> bool:
         """Write a router's registration; return whether it is stored."""
         row_id = RowId(TABLE, ROUTER_PREFIX + member.vm)
         try:
@@ -116,7 +116,7 @@
         return True
 
     async def _run(self) -> None:
-        while not await self.announce(self._members.own):
+        while not await self.register(self._members.own):
             await asyncio.sleep(RETRY_SECONDS)
         await self.feed.synced.wait()
         while not self.secret:
--- a/lynxchute/fleet/relayed_store.py
+++ b/lynxchute/fleet/relayed_store.py
@@ -44,7 +44,7 @@
 RELAYS_RETRY_SECONDS = 0.5
 # Seconds between direct attempts during an outage, about as long as an unanswered one
 # takes. A router that dies before it has rewritten its limit line loses most of its
-# grants, so the outage should not last longer here than at the store.
+# grants, so a router should notice the end of an outage soon.
 DIRECT_RETRY_SECONDS = 0.5
 # Seconds between requests for changes through a relay, which does not long-poll.
 RELAYED_POLL_SECONDS = 0.25
@@ -66,7 +66,7 @@
     members, peers
         The other routers, and the client for messages to them.
     clock
-        Returns the seconds on the monotonic clock.
+        Returns the seconds on the steady clock.
     """
 
     def __init__(
@@ -100,10 +100,10 @@
             except OutcomeUnknown as error:
                 # The write may have been applied, so it must not be retried.
                 if error.is_unresponsive:
-                    self._record_outage()
+                    self._record_direct_failure()
                 raise
             except StoreUnavailable:
-                self._record_outage()
+                self._record_direct_failure()
         reply = await self._call_relays(StoreWriteRequest.of(write))
         if reply.end is StoreStatus.DONE:
             return Committed(reply.version)
@@ -118,7 +118,7 @@
             try:
                 return await self._call_directly(self._direct.scan(table, part=part))
             except StoreUnavailable:
-                self._record_outage()
+                self._record_direct_failure()
         reply = await self._call_relays(StoreScanRequest(table, part))
         return Snapshot(tuple(row.decoded() for row in reply.rows), reply.version)
 
@@ -131,7 +131,7 @@
                     self._direct.changes(table, after=after, wait=direct_wait)
                 )
             except StoreUnavailable:
-                self._record_outage()
+                self._record_direct_failure()
         reply = await self._call_relays(StoreChangesRequest(table, after))
         if reply.end is StoreStatus.HISTORY_LOST:
             raise HistoryLost
@@ -157,9 +157,9 @@
         self._direct_tried_at = self._now()
         return True
 
-    async def _call_directly(self, answer: Awaitable[ResultT]) -> ResultT:
+    async def _call_directly(self, direct_call: Awaitable[ResultT]) -> ResultT:
         try:
-            result = await answer
+            result = await direct_call
         except HistoryLost:
             # The store answered, so the table can be listed directly.
             self._record_reached()
@@ -173,7 +173,7 @@
         self._is_cut_off = False
         self._relay_vm = ""
 
-    def _record_outage(self) -> None:
+    def _record_direct_failure(self) -> None:
         self._is_cut_off = True
         self._direct_tried_at = self._now()
 
--- a/lynxchute/http/client.py
+++ b/lynxchute/http/client.py
@@ -311,7 +311,7 @@
         timeouts: Timeouts | None = None,
         max_idle: float | None = None,
         matches_request: Callable[[h11.Response], bool] = accept_any_response,
-        on_sent: Callable[[], None] | None = None,
+        before_send: Callable[[], None] | None = None,
         abort_handle: AbortHandle | None = None,
     ) -> Response:
         """Send a request and return the response once its head has arrived.
@@ -328,7 +328,7 @@
         matches_request
             Returns whether a response belongs to this request. A response to an
             earlier request is read and discarded.
-        on_sent
+        before_send
             Called just before the first byte is sent.
         abort_handle
             Receives the connection, so that another task can abort the exchange.
@@ -351,8 +351,8 @@
             method, target, self._complete_headers(headers, body)
         )
         try:
-            if on_sent is not None:
-                on_sent()
+            if before_send is not None:
+                before_send()
             connection.send(outgoing, body)
             head = await self._read_head(connection, limits, matches_request)
         except (BrokenConnectionError, TimeoutError) as error:
--- a/lynxchute/overload/claim.py
+++ b/lynxchute/overload/claim.py
@@ -1,4 +1,4 @@
-"""A request's claim to a place at an upstream, and the ways it can fail."""
+"""The claim of a request to an upstream's slot, and the exceptions raised for it."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class Claim:
-    """A request for a place at an upstream; times are in seconds relative to now.
+    """A request for a slot at an upstream; times are in seconds relative to now.
 
     Attributes
     ----------
@@ -32,9 +32,10 @@
     waited
         Time since the caller's first request.
     left
-        Time for which the caller still waits for the first byte of the answer.
+        Time for which the caller still waits for the first byte of the response.
     due_in
-        Time until the answer misses its latency objective; negative if it already has.
+        Time until the response misses its latency objective; negative if it already
+        has.
     """
 
     account: str
@@ -116,7 +117,7 @@
 
 
 class AdmissionPending(Exception):
-    """Raised while a request has to wait: it should ask for a place again.
+    """Raised while a request has to wait: it should ask for a slot again.
 
     Parameters
     ----------
@@ -133,7 +134,7 @@
 
 
 class AdmissionRefused(Exception):
-    """Raised when a place would become free too late for a request.
+    """Raised when a slot would become free too late for a request.
 
     Parameters
     ----------
--- a/lynxchute/overload/drain.py
+++ b/lynxchute/overload/drain.py
@@ -1,4 +1,4 @@
-"""Estimate how fast places at upstreams become free."""
+"""Estimate how fast slots of upstreams become free."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class DrainRate:
-    """Estimate the places that become free per second, as a moving average.
+    """Estimate the slots that become free per second, as a moving average.
 
     Parameters
     ----------
@@ -25,16 +25,16 @@
         self._first_at: float | None = None
 
     def record_freed(self, now: float) -> None:
-        """Record that a place has become free."""
+        """Record that a slot has become free."""
         if self._first_at is None:
             self._first_at = now
         self._count = self._decayed_count(now) + 1.0
         self._updated_at = now
 
     def per_second(self, now: float) -> float:
-        """Return the estimated places per second.
+        """Return the estimated slots per second.
 
-        The initial estimate is blended out as samples accumulate.
+        The weight of the initial estimate decays with the time since the first sample.
         """
         if self._first_at is None:
             return self._initial_rate
--- a/lynxchute/overload/guard.py
+++ b/lynxchute/overload/guard.py
@@ -21,8 +21,9 @@
 # Seconds for which a request counts as recent. Work without recent requests, such as at
 # startup, is no reason to shed load.
 RECENT_REQUEST_SECONDS = 1.0
-# Factor on the maximum wait for requests of accounts within their share: the account in
-# excess is shed first, which makes room for the others.
+# Factor on the maximum wait for requests of accounts within their share: requests of
+# accounts beyond their share are shed at the unchanged maximum, before the others, and
+# this makes room for the others.
 WITHIN_SHARE_FACTOR = 1.5
 
 
@@ -32,13 +33,14 @@
 
     Attributes
     ----------
-    waits_per_request, waits_per_brief_request
-        How often a request waits for the resource before its answer begins. Brief
-        requests need neither a place at an engine nor tokens.
+    waits_per_request, waits_per_plain_call
+        How often a request waits for the resource before its response begins. Plain
+        calls need no engine, hence no placement.
     max_wait_share
         Longest total wait for the resource, as a multiple of the request's latency
-        objective. It is above 1 for the processor: refusing costs a third of the work
-        of serving, and a late answer is worth more to a caller than two refusals.
+        objective. It is above 1 for the processor (``PROCESSOR_LIMITS``): refusing
+        costs a third of the work of serving, and a late response is worth more to a
+        caller than two refusals.
     min_use
         Use below which no threshold applies, whatever the delay: a single long event is
         not overload.
@@ -50,12 +52,13 @@
         The use that open connections may cause. Connections in excess of it are ended,
         so that their callers reach another VM with the next request.
     full_use, full_delay
-        Thresholds around which new connections are closed, as those already open would
-        be served late: none are closed at half the threshold, all at one and a half.
+        Thresholds of use and delay around which new connections are closed, because
+        they would delay the open ones: none are closed at half the threshold, all at
+        one and a half times it, with rising probability in between.
     """
 
     waits_per_request: float
-    waits_per_brief_request: float
+    waits_per_plain_call: float
     max_wait_share: float
     min_use: float
     shed_use: float
@@ -67,7 +70,7 @@
 
 LINK_LIMITS = ResourceLimits(
     waits_per_request=1.0,
-    waits_per_brief_request=1.0,
+    waits_per_plain_call=1.0,
     max_wait_share=0.3,
     min_use=0.0,
     shed_use=0.7,
@@ -78,7 +81,7 @@
 )
 PROCESSOR_LIMITS = ResourceLimits(
     waits_per_request=6.0,
-    waits_per_brief_request=2.0,
+    waits_per_plain_call=2.0,
     max_wait_share=3.0,
     min_use=0.6,
     shed_use=0.75,
@@ -89,7 +92,7 @@
 )
 MEMORY_LIMITS = ResourceLimits(
     waits_per_request=1.0,
-    waits_per_brief_request=1.0,
+    waits_per_plain_call=1.0,
     max_wait_share=0.3,
     min_use=0.0,
     shed_use=0.7,
@@ -124,11 +127,11 @@
             return False
         return load.use >= use or load.delay >= delay
 
-    def misses_objective(self, objective: float, *, is_brief: bool) -> bool:
+    def misses_objective(self, objective: float, *, is_plain_call: bool) -> bool:
         """Return whether waiting for the resource uses too much of the objective."""
         limits = self.limits
         waits_per_request = (
-            limits.waits_per_brief_request if is_brief else limits.waits_per_request
+            limits.waits_per_plain_call if is_plain_call else limits.waits_per_request
         )
         return waits_per_request * self.load().delay > limits.max_wait_share * objective
 
@@ -137,8 +140,8 @@
     """Decide which requests and connections a VM serves, by the load of its resources.
 
     Handles one VM that receives more work than it can carry while others are idle. A
-    caller whose answer would miss its latency objective here should be refused at once,
-    while there is still time for another VM to serve it.
+    caller whose response would miss its latency objective here should be refused at
+    once, while there is still time for another VM to serve it.
 
     Parameters
     ----------
@@ -222,11 +225,11 @@
                 return resource.name
         return ""
 
-    def closes_connection(self) -> bool:
+    def closes_new_connection(self) -> bool:
         """Return whether to close a connection that was just accepted.
 
-        The probability grows with the delay. Closing all connections until the delay is
-        gone would admit all that come next at once.
+        The probability grows with the use and the delay. Closing all connections until
+        the delay is gone would admit all that come next at once.
         """
         share = 0.0
         for resource in self._resources:
@@ -246,8 +249,8 @@
                 remaining = min(remaining, resource.limits.target_use / use)
         return remaining
 
-    def ends_connection(self, account: str = "") -> bool:
-        """Return whether to end a connection together with the current answer.
+    def closes_after_response(self, account: str = "") -> bool:
+        """Return whether to end a connection together with the current response.
 
         Connections are ended only while the VM refuses new ones; otherwise the caller
         would reconnect to the same VM.
@@ -257,7 +260,7 @@
         return self._is_shed(account)
 
     def shed_reason(
-        self, objective: float, account: str = "", *, is_brief: bool = False
+        self, objective: float, account: str = "", *, is_plain_call: bool = False
     ) -> str:
         """Return the resource that causes a request to be refused, or an empty string.
 
@@ -265,30 +268,34 @@
         ----------
         objective
             Latency objective of the request in seconds.
-        is_brief
-            Whether the request needs neither a place at an engine nor tokens.
+        is_plain_call
+            Whether the request needs no engine.
         """
-        for_all = self.shed_reason_for_all(objective, is_brief=is_brief)
+        for_all = self.shed_reason_for_all(objective, is_plain_call=is_plain_call)
         if for_all:
             return for_all
         for resource in self._resources:
             if not resource.misses_objective(
-                _effective_objective(objective), is_brief=is_brief
+                _effective_objective(objective), is_plain_call=is_plain_call
             ):
                 continue
             if self._is_shed(account):
                 return resource.name
         return ""
 
-    def shed_reason_for_all(self, objective: float, *, is_brief: bool = False) -> str:
-        """Return the resource that causes any account's request to be refused.
+    def shed_reason_for_all(
+        self, objective: float, *, is_plain_call: bool = False
+    ) -> str:
+        """Return the resource that causes requests of all accounts to be refused.
 
         The result does not depend on the account, so it can be checked before the body
         is read.
         """
         relaxed_objective = _effective_objective(objective) * WITHIN_SHARE_FACTOR
         for resource in self._resources:
-            if resource.misses_objective(relaxed_objective, is_brief=is_brief):
+            if resource.misses_objective(
+                relaxed_objective, is_plain_call=is_plain_call
+            ):
                 return resource.name
         return ""
 
--- a/lynxchute/overload/kinds_served.py
+++ b/lynxchute/overload/kinds_served.py
@@ -29,7 +29,7 @@
         self._arrivals_by_rank[rank] = self._arrivals_by_rank.get(rank, 0.0) + 1.0
 
     def record_admission(self, rank: int, now: float) -> None:
-        """Record a request that was admitted to a place."""
+        """Record a request that was admitted to a slot."""
         self._decay(now)
         self._admissions_by_rank[rank] = self._admissions_by_rank.get(rank, 0.0) + 1.0
 
--- a/lynxchute/overload/local_shares.py
+++ b/lynxchute/overload/local_shares.py
@@ -7,7 +7,8 @@
 
 from lynxchute.overload.shares import AccountShares
 
-# Time constant in seconds of the decay: a few requests of any account that matters.
+# Time constant of the decay in seconds: long enough for a few requests of any account
+# with noticeable use.
 DECAY_SECONDS = 2.0
 # Accounts whose use is below this are dropped.
 MIN_USE = 1e-3
--- a/lynxchute/overload/memory_guard.py
+++ b/lynxchute/overload/memory_guard.py
@@ -1,4 +1,4 @@
-"""Bound the memory held by answers whose callers read slowly."""
+"""Bound the memory held by responses whose callers read slowly."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 
 import attrs
 
-# Fractions of the total (as divisors) that one account and one connection may hold.
-# Several accounts with slow readers leave room for others, and one connection never
-# fills its account's part.
+# The total is divided by these for the bounds of one account and of one connection, so
+# that several accounts with slow readers leave room for others, and one connection
+# never uses up its account's bound.
 ACCOUNT_DIVISOR = 3
 CONNECTION_DIVISOR = 32
 # Bytes that every connection may hold: one or two chunks of any stream.
 MIN_CONNECTION_BYTES = 65536
-# Once a bound is exceeded, answers are cut until this share of the bound is left, so
-# that the bound is not exceeded again with each further chunk.
+# Once a bound is exceeded, responses are cut until the held bytes are down to this
+# share of the bound, so that the bound is not exceeded again with each further chunk.
 TARGET_SHARE = 0.9
-# Answers that hold less than this share of the mean are never cut, as little memory
+# Responses that hold less than this share of the mean are never cut, as little memory
 # would be freed.
 MIN_SHARE_OF_MEAN = 0.5
 # Seconds of buffering after which a read rate is meaningful.
@@ -25,12 +25,12 @@
 
 
 class AnswerBuffer(ABC):
-    """The unread part of the answers on one caller's connection.
+    """The unread part of the responses on one caller's connection.
 
     Attributes
     ----------
     account
-        The client account of the answers; empty if unknown.
+        The client account of the responses; empty if unknown.
     """
 
     account: str = ""
@@ -47,7 +47,7 @@
 
     @abstractmethod
     def cut(self) -> None:
-        """Abort the answer in a way that the caller cannot take for a complete one."""
+        """Abort the response so that the caller cannot take it for a complete one."""
 
 
 @attrs.frozen
@@ -103,7 +103,7 @@
 
 @attrs.frozen
 class CutAnswer:
-    """An answer that was aborted to free memory.
+    """A response that was aborted to free memory.
 
     Attributes
     ----------
@@ -122,16 +122,16 @@
     """Keep the memory buffered for slow readers within bounds.
 
     Handles many callers, or all callers of one account, that read a hundred times
-    slower than their answers are produced. Other callers need the process to keep
-    running and their own answers not to wait. So the largest, slowest-read answers are
-    cut first, and answers that hold little memory are never cut.
+    slower than their responses are produced. Other callers need the process to keep
+    running and their own responses not to wait. So the largest, slowest-read responses
+    are cut first, and responses that hold little memory are never cut.
 
     Parameters
     ----------
     bounds
         The limits on buffered bytes.
     on_cut
-        Called with each answer that was cut.
+        Called with each response that was cut.
 
     Attributes
     ----------
@@ -151,7 +151,7 @@
         self._held_by_account: dict[str, int] = {}
 
     def update(self, buffer: AnswerBuffer, now: float) -> None:
-        """Update the size of a buffer; cut answers if a bound is exceeded.
+        """Update the size of a buffer; cut responses if a bound is exceeded.
 
         Parameters
         ----------
@@ -201,7 +201,7 @@
             self._cut_slowest(max(totals, key=lambda account: totals[account]), now)
 
     def _cut_slowest(self, account: str, now: float) -> None:
-        """Cut the slowest-read answer among the larger ones of an account."""
+        """Cut the slowest-read response among the larger ones of an account."""
         candidates = self._states_of(account)
         mean = sum(state.size for state in candidates) / len(candidates)
         large = [
--- a/lynxchute/overload/returns.py
+++ b/lynxchute/overload/returns.py
@@ -70,7 +70,7 @@
     def consume(self, account: str, content: str, now: float) -> bool:
         """Return whether a request is a retry at the expected time; drop the record.
 
-        An early retry does not count, and its caller has to wait to be told again.
+        The record is also dropped for an early retry, so that its caller gains nothing.
         """
         expected = self._retry_by_caller.pop((account, content), None)
         if expected is None:
--- a/lynxchute/overload/ticket.py
+++ b/lynxchute/overload/ticket.py
@@ -1,4 +1,4 @@
-"""Tickets for requests that wait for a place at an upstream, and their queue."""
+"""Tickets for requests that wait for a slot at an upstream, and their queue."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @attrs.frozen
 class Ticket:
-    """A request's position in a queue; the request itself stays with its router.
+    """An entry for a request in the queue; the request stays with its router.
 
     Attributes
     ----------
@@ -31,7 +31,7 @@
     is_timely_retry
         Whether the caller retries at the time it was told after a refusal.
     due_at
-        Time by which the answer should begin to meet its latency objective.
+        Time by which the response should begin to meet its latency objective.
     """
 
     run_id: str
@@ -65,4 +65,4 @@
 
     @abstractmethod
     def drop(self, run_id: str) -> None:
-        """Remove the ticket of a caller that has disconnected."""
+        """Remove a ticket, if it is queued."""
--- a/lynxchute/overload/ticket_queue.py
+++ b/lynxchute/overload/ticket_queue.py
@@ -1,9 +1,9 @@
 """Order requests that wait for an upstream fairly, and reject those that are too late.
 
-Handles times in which all upstreams of a service are full. An urgent request should
-not wait behind less urgent ones, callers of an account within its share should not wait
+Handles times in which all upstreams of a service are full. An urgent request should not
+wait behind less urgent ones, callers of an account within its share should not wait
 behind an account that asks for many times its own, and no request should wait longer
-than its answer is of use.
+than its response is of use.
 """
 
 from __future__ import annotations
@@ -24,15 +24,16 @@
 # Seconds for which the order is kept: shares and remaining times change little in that
 # time, and reordering 512 tickets takes about a millisecond.
 REORDER_SECONDS = 0.05
-# Penalty in seconds for a ticket that has missed its latency objective: requests that
-# can still be in time go first, but only those that arrive within this time.
+# Penalty in seconds for a ticket that has missed its latency objective: it is sorted as
+# if it had arrived that much later, behind requests that arrive within this time and
+# can still be on time.
 LATE_PENALTY_SECONDS = 1.0
 # An account is beyond its share from this multiple of it on. Demand varies, and no
 # account should lose its position by chance.
 SHARE_TOLERANCE = 1.5
-# A rank whose admission rate is below this share of the overall rate is starved: one of
-# its tickets is promoted for every so many others, so that it is not held back by more
-# urgent ranks for ever.
+# A rank whose admission rate is below MIN_SERVED_SHARE of the overall rate is starved
+# by more urgent ranks. One of its tickets is then promoted for every PROMOTION_INTERVAL
+# others.
 MIN_SERVED_SHARE = 0.4
 PROMOTION_INTERVAL = 4
 # Safety factor on the expected wait when it is compared with the time that the caller
@@ -68,7 +69,7 @@
     shares
         The recent use of accounts.
     drain
-        The rate at which places become free.
+        The rate at which slots become free.
     max_tickets
         Maximum number of waiting tickets.
     """
@@ -103,7 +104,11 @@
         return [entry.ticket for entry in self._entry_by_run.values()]
 
     def put(self, ticket: Ticket, now: float) -> float | None:
-        """Add a ticket, or reject it if its caller would give up before its turn."""
+        """Add a ticket, or reject it and return a retry delay.
+
+        It is rejected if its caller would give up before its turn, or if the queue is
+        full of tickets that come first.
+        """
         if ticket.run_id in self._entry_by_run:
             return self.reject_if_late(ticket.run_id, now)
         self._service_rates.record_arrival(ticket.rank, now)
@@ -120,7 +125,8 @@
         self._entry_by_run[ticket.run_id] = entry
         insort(self._order, (entry.key, ticket.run_id))
         if ticket.rank in self._starved_ranks:
-            # At its place in the order it would be rejected before it is promoted.
+            # Reorder now: at its unpromoted position, the ticket would be rejected as
+            # too late.
             self._reordered_at = -math.inf
         return self.reject_if_late(ticket.run_id, now)
 
@@ -132,21 +138,21 @@
         return self.admit(self._order[0][1], now)
 
     def drop(self, run_id: str) -> None:
-        """Remove the ticket of a caller that has disconnected."""
+        """Remove a ticket, if it is queued."""
         entry = self._entry_by_run.pop(run_id, None)
         if entry is not None:
             index = bisect_left(self._order, (entry.key, run_id))
             del self._order[index]
 
     def admit(self, run_id: str, now: float) -> Ticket:
-        """Remove and return a ticket whose request was given a place."""
+        """Remove and return a ticket whose request was given a slot."""
         ticket = self._entry_by_run[run_id].ticket
         self.drop(run_id)
         self._service_rates.record_admission(ticket.rank, now)
         return ticket
 
     def record_unqueued(self, rank: int, now: float) -> None:
-        """Record a request that was given a place without queueing."""
+        """Record a request that was given a slot without queueing."""
         self._service_rates.record_arrival(rank, now)
         self._service_rates.record_admission(rank, now)
 
@@ -182,8 +188,9 @@
     def retry_after(self, ticket: Ticket, ahead: int, now: float) -> float:
         """Return the seconds after which the caller of a rejected ticket should retry.
 
-        By then enough of the tickets ahead are served for its turn to come while the
-        caller waits. Consecutive callers get different delays.
+        After that delay, enough of the tickets ahead have been served for the retry to
+        be admitted before the caller gives up. Consecutive callers get different
+        delays.
         """
         left = max(ticket.expires_at - now, 0.0)
         wait = self._expected_wait(ahead, now)
--- a/lynxchute/overload/upstream_memory.py
+++ b/lynxchute/overload/upstream_memory.py
@@ -4,8 +4,8 @@
 
 import attrs
 
-# Share of the bytes that an upstream held when it crashed which it is given from then
-# on. The crash may have had another cause, and other routers may have sent to it too.
+# Learned limit as a share of the bytes that the upstream held when it crashed. The
+# crash may have had another cause, and other routers may have sent to it too.
 SAFE_SHARE = 0.8
 # An upstream that holds fewer bytes than this did not crash for lack of memory.
 MIN_CRASH_BYTES = 65536
--- a/lynxchute/platform/dialect.py
+++ b/lynxchute/platform/dialect.py
@@ -10,7 +10,12 @@
 from lynxchute.platform import names
 from lynxchute.platform.statements import STATEMENT_HEADERS
 from lynxchute.relay.call import Call
-from lynxchute.relay.dialect import Dialect, Dispatch, ResponseKind, is_for_request
+from lynxchute.relay.dialect import (
+    Dialect,
+    ResponseKind,
+    SendParameters,
+    is_for_request,
+)
 from lynxchute.upstreams.generation import Generation, PromptPart
 from lynxchute.upstreams.statement import Statement
 
@@ -58,26 +63,26 @@
         )
 
     def upstream_headers(
-        self, call: Call, dispatch: Dispatch
+        self, call: Call, parameters: SendParameters
     ) -> list[tuple[bytes, bytes]]:
         """Return the headers for one send to an upstream, without Content-Length."""
         dropped = NOT_FORWARDED
-        if dispatch.last_event_id:
+        if parameters.last_event_id:
             dropped = dropped | {names.LAST_EVENT.lower()}
         headers = call.request.headers.end_to_end(dropped)
-        left_ms = max(int(dispatch.time_left * 1000), 1)
+        left_ms = max(int(parameters.time_left * 1000), 1)
         added = [
             (names.DEADLINE, str(left_ms)),
-            (names.EXPECTED_UPSTREAM, dispatch.upstream.id),
+            (names.EXPECTED_UPSTREAM, parameters.upstream.id),
         ]
-        if dispatch.account:
-            added.append((names.ACCOUNT, dispatch.account))
+        if parameters.account:
+            added.append((names.ACCOUNT, parameters.account))
         if call.generation is not None:
-            added.append((names.PRIORITY, str(min(dispatch.priority, MAX_PRIORITY))))
-        if dispatch.fetch_from is not None:
-            added.append((names.FETCH_CACHE, dispatch.fetch_from.address))
-        if dispatch.last_event_id:
-            added.append((names.LAST_EVENT, dispatch.last_event_id))
+            added.append((names.PRIORITY, str(min(parameters.priority, MAX_PRIORITY))))
+        if parameters.fetch_from is not None:
+            added.append((names.FETCH_CACHE, parameters.fetch_from.address))
+        if parameters.last_event_id:
+            added.append((names.LAST_EVENT, parameters.last_event_id))
         headers.extend(
             (name.encode(), value.encode("latin-1")) for name, value in added
         )
--- a/lynxchute/quarantine/evidence.py
+++ b/lynxchute/quarantine/evidence.py
@@ -53,9 +53,9 @@
     Attributes
     ----------
     company
-        Number of other runs that may have caused the crash.
+        Number of other runs that may have caused the crash; named as in the log.
     ends
-        Number of crashes that the request is blamed for so far.
+        Number of crashes that the request is blamed for so far; named as in the log.
     """
 
     verdict: Verdict
--- a/lynxchute/quarantine/progress.py
+++ b/lynxchute/quarantine/progress.py
@@ -13,7 +13,7 @@
     UNANSWERED
         No response yet; at a model engine the run is still queued.
     BEGUN
-        The head of the answer was received, but no event or body.
+        The head of the response was received, but no event or body.
     ANSWERING
         Events or a part of the body were received.
     """
--- a/lynxchute/quarantine/quarantine.py
+++ b/lynxchute/quarantine/quarantine.py
@@ -6,9 +6,9 @@
 
 from lynxchute.quarantine.record import MAX_QUARANTINED, QuarantineEntry
 
-# Milliseconds for which an entry reported by a router is kept although the row in the
-# store lacks it: the judging router writes the row within milliseconds, or withdraws
-# the entry.
+# Milliseconds for which an entry reported by a router is kept while the row in the
+# store lacks it. The judging router normally writes the row within milliseconds, or
+# withdraws the entry.
 UNCONFIRMED_MS = 30_000
 
 
--- a/lynxchute/quarantine/record.py
+++ b/lynxchute/quarantine/record.py
@@ -32,7 +32,7 @@
     since_ms, last_ms
         Times of the first and the last of those crashes, on the store's clock.
     times
-        How often the request has been quarantined.
+        Number of times that the request has been quarantined.
     """
 
     content: str
@@ -54,7 +54,7 @@
     until_ms
         Time at which the quarantine expires.
     times
-        How often the request has been quarantined, including this time.
+        Number of times that the request has been quarantined, including this one.
     """
 
     content: str
--- a/lynxchute/quarantine/served.py
+++ b/lynxchute/quarantine/served.py
@@ -10,15 +10,15 @@
 
 
 class ServedContents:
-    """When each request was last served by an upstream, by its content id.
+    """Times at which upstreams last served each request, by content id.
 
     Examples
     --------
     >>> served = ServedContents()
     >>> served.record_served("q", 100)
-    >>> served.has_served_since("q", 50), served.has_served_since("q", 200)
+    >>> served.was_served_since("q", 50), served.was_served_since("q", 200)
     (True, False)
-    >>> served.has_served_since("other", 0)
+    >>> served.was_served_since("other", 0)
     False
     """
 
@@ -32,7 +32,7 @@
         if len(self._at_ms_by_content) > MAX_REMEMBERED:
             self._at_ms_by_content.popitem(last=False)
 
-    def has_served_since(self, content: str, then_ms: int) -> bool:
+    def was_served_since(self, content: str, then_ms: int) -> bool:
         """Return whether a request was served on this router after a time."""
         served_ms = self._at_ms_by_content.get(content)
         return served_ms is not None and served_ms > then_ms
--- a/lynxchute/quarantine/suspicion.py
+++ b/lynxchute/quarantine/suspicion.py
@@ -15,21 +15,21 @@
 )
 
 # Crashes after which a request is quarantined. One crash may have any cause. Two may be
-# bad luck: a request that was open beside the cause and was retried at the same
-# upstream as it.
+# chance: a request may have been open beside the cause and then retried at the same
+# upstream as the cause.
 CRASHES_TO_QUARANTINE = 3
 # The same if another run may have been the cause of each of the crashes.
 AMBIGUOUS_CRASHES_TO_QUARANTINE = 5
-# Weight, in earlier crashes, of a run that had just begun at the time of a crash. Of 25
-# engine crashes under such requests, 23 had exactly one run with the head of an answer
-# and no event, which was the cause; runs that were still queued, or had answered for a
-# while, were open by chance.
+# Weight of a run that had just begun when the upstream crashed; each earlier crash of a
+# request weighs 1. Of 25 engine crashes caused by a request, 23 had exactly one run
+# with the head of its response and no event, and it was the cause. Runs that were still
+# queued, or had been answering for a while, were open by chance.
 STARTED_WEIGHT = 2
 # Milliseconds for which reports on a crash are collected before it is judged: routers
 # send them every 50 ms, and a message takes some milliseconds.
 REPORT_WINDOW_MS = 300
-# Milliseconds within which reports on an upstream whose processes share one id are
-# taken for the same crash: longer than routers take to notice it, and about as long as
+# If the processes of an upstream share one id, reports within this many milliseconds
+# count as one crash: longer than routers take to notice a crash, and about as long as
 # the upstream is down.
 SAME_CRASH_MS = 2_000
 # Separates the id of such an upstream from the time of its crash.
@@ -37,9 +37,9 @@
 # Milliseconds for which a crash counts against a request. Callers retry a failed
 # request within seconds to minutes, so a later one is not a retry.
 BLAME_EXPIRY_MS = 600_000
-# Duration of the first quarantine. It doubles each time the request crashes another
-# upstream after that: an upstream restarts within seconds, but installing a fixed one
-# takes longer than this.
+# Duration of the first quarantine. It doubles each time the request is quarantined
+# again: an upstream restarts within seconds, but deploying a fixed version takes longer
+# than the first quarantine.
 QUARANTINE_MS = 600_000
 MAX_QUARANTINE_MS = 7_200_000
 # Limits on the state; each entry takes some 300 bytes.
@@ -67,10 +67,13 @@
 class CrashAttribution:
     """Attribute upstream crashes to requests that were open during them.
 
-    A crash is blamed on the run that had just begun there, and on requests that were
-    open during earlier crashes; other runs beside them are not blamed. A request is
-    quarantined only if it is blamed for several crashes and was the only possible cause
-    of at least one of them.
+    A crash is blamed on the runs with the greatest weight: a run that had just begun
+    has more weight, and so has a request that was blamed for earlier crashes. If all
+    weigh the same, all are blamed. A crash is blamed on nobody if a quarantined request
+    was open there. A request is quarantined when it is blamed for
+    ``CRASHES_TO_QUARANTINE`` crashes and was the only possible cause of at least one of
+    them, or when it is blamed for ``AMBIGUOUS_CRASHES_TO_QUARANTINE`` crashes; and only
+    if no other run is blamed for the latest crash.
 
     Times are milliseconds on the store's clock, which continues across restarts and is
     the same for all routers.
@@ -179,7 +182,7 @@
         for content, quarantined in list(self.quarantined_by_content.items()):
             if now_ms >= quarantined.until_ms:
                 del self.quarantined_by_content[content]
-                self._watch_released(quarantined, now_ms)
+                self._suspect_again(quarantined, now_ms)
                 expired = True
         for content, suspect in list(self.suspects_by_content.items()):
             if now_ms - suspect.last_ms >= BLAME_EXPIRY_MS:
@@ -256,7 +259,8 @@
             alone=suspect.alone + is_alone,
             last_ms=now_ms,
         )
-        # Most recent last, so that the oldest suspect is evicted first.
+        # Most recent last: of the suspects with the fewest crashes, the oldest is
+        # evicted first.
         self.suspects_by_content.pop(content, None)
         self.suspects_by_content[content] = suspect
         self.has_unsaved_changes = self.has_unsaved_changes or _is_persisted(suspect)
@@ -285,7 +289,7 @@
         crashes = len(self.suspects_by_content[content].ended)
         return Finding(Verdict.BLAMED, content, process, company, crashes)
 
-    def _watch_released(self, quarantined: QuarantineEntry, now_ms: int) -> None:
+    def _suspect_again(self, quarantined: QuarantineEntry, now_ms: int) -> None:
         earlier = range(CRASHES_TO_QUARANTINE - 1)
         self.suspects_by_content[quarantined.content] = Suspect(
             quarantined.content,
@@ -331,9 +335,9 @@
 
 
 def _is_persisted(suspect: Suspect) -> bool:
-    """Return whether a suspect is stored.
+    """Return whether a suspect is worth storing.
 
-    Most requests that were open during a single crash are innocent. They are lost with
+    After a single crash, a suspect is most likely innocent. Such suspects are lost with
     the router that judged the crash, which costs at most one further crash.
     """
     return len(suspect.ended) > 1
--- a/lynxchute/relay/admission.py
+++ b/lynxchute/relay/admission.py
@@ -30,14 +30,14 @@
 
     @abstractmethod
     def unconfirmed_seconds(self) -> float:
-        """Return the seconds since the store last responded."""
+        """Return the seconds since the store last confirmed the version."""
 
     @abstractmethod
     async def wait_loaded(self) -> None:
         """Wait for the first version, for at most as long as a start may take."""
 
     @abstractmethod
-    async def ensure_current(self) -> bool:
+    async def confirm_current(self) -> bool:
         """Return whether the store has just confirmed the version as the newest one."""
 
 
@@ -56,7 +56,7 @@
     Attributes
     ----------
     stopping
-        Whether new requests are rejected because the router is stopping.
+        Whether new requests are refused because the router is stopping.
     open_requests
         Number of admitted requests that have not ended.
     """
@@ -74,9 +74,8 @@
     async def admit(self, call: Call, respond: Responder) -> Exchange:
         """Return the exchange for a call.
 
-        An outdated configuration must not reject a caller: before a call is rejected
-        for an unknown route or key, the store is asked whether a newer version added
-        it.
+        A call is refused for an unknown route or key only after the store has confirmed
+        that the configuration is current: a newer version may have added it.
 
         Raises
         ------
@@ -90,7 +89,7 @@
             await self._source.wait_loaded()
         configuration = self._configuration()
         if _denial(configuration, call) is not None:
-            if not await self._source.ensure_current():
+            if not await self._source.confirm_current():
                 title = "This router has not heard from the store for a while."
                 raise Refusal(Reason.STALE, title, retry_after=RETRY_AFTER_STALE)
             configuration = self._configuration()
@@ -118,7 +117,7 @@
         )
 
     def record_end(self, exchange: Exchange) -> None:
-        """Release the slots of an admitted request that has ended."""
+        """Stop counting an admitted request that has ended."""
         self.open_requests -= 1
         if exchange.account is None:
             return
@@ -143,10 +142,10 @@
         account: ClientAccount | None,
         respond: Responder,
     ) -> None:
-        """Reject a call if this router is too loaded to answer it in time."""
+        """Refuse a call if this router is too loaded to answer it in time."""
         name = account.name if account is not None else ""
         resource = self._load.shed_reason(
-            route.latency_objective, name, is_brief=call.generation is None
+            route.latency_objective, name, is_plain_call=call.generation is None
         )
         if resource:
             respond.close_after_response = True
@@ -158,11 +157,11 @@
                 account=name,
             )
         self._load.record_admitted(name)
-        if self._load.ends_connection(name):
+        if self._load.closes_after_response(name):
             respond.close_after_response = True
 
     def _count_open(self, configuration: Configuration, account: ClientAccount) -> None:
-        """Count an open request of an account, or reject it at the account's limit."""
+        """Count an open request of an account, or refuse it at the account's limit."""
         limit = configuration.limits.max_open_per_account
         if limit and self._open_by_account[account.name] >= limit:
             title = "This client account has too many requests open."
--- a/lynxchute/relay/answer.py
+++ b/lynxchute/relay/answer.py
@@ -10,8 +10,8 @@
 
 
 @attrs.frozen
-class Answer:
-    """An upstream's response whose body has not been read yet.
+class UpstreamResponse:
+    """The response of an upstream, whose body has not been read yet.
 
     Attributes
     ----------
--- a/lynxchute/relay/budgets.py
+++ b/lynxchute/relay/budgets.py
@@ -17,7 +17,7 @@
     Parameters
     ----------
     reason
-        Description of what was tried.
+        Sentence for the caller; it becomes the title of the refusal.
     """
 
 
--- a/lynxchute/relay/chooser.py
+++ b/lynxchute/relay/chooser.py
@@ -13,7 +13,7 @@
 from lynxchute.relay.exchange import MIN_RETRY_AFTER, Exchange
 from lynxchute.relay.load import RouterLoad
 from lynxchute.relay.refusal import Reason, Refusal, RunStatus
-from lynxchute.relay.wait import QueueWait
+from lynxchute.relay.wait import QueueWaitLog
 from lynxchute.telemetry import log_event
 from lynxchute.upstreams.directory import Directory
 from lynxchute.upstreams.entry import Entry
@@ -45,7 +45,7 @@
     load
         Reports whether this router itself is lagging.
     clock
-        Event loop clock in seconds.
+        Steady clock in seconds.
     may_wait
         Whether generations queue for admission when all engines are full.
     """
@@ -73,7 +73,7 @@
         self._clock = clock
         self._may_wait = may_wait
         self._changed = asyncio.Event()
-        directory.listeners.append(self._handle_change)
+        directory.listeners.append(self._wake_waiters)
 
     async def choose(self, exchange: Exchange) -> Choice:
         """Return the upstream for an exchange, waiting briefly for one if needed.
@@ -85,7 +85,7 @@
         """
         wait_limit = exchange.route.latency_objective * MAX_WAIT_SHARE
         wait_until = min(self._clock() + wait_limit, exchange.deadline)
-        wait = QueueWait(exchange, self._clock())
+        wait = QueueWaitLog(exchange, self._clock())
         try:
             return await self._choose_or_wait(exchange, wait_until, wait)
         except BaseException:
@@ -95,7 +95,7 @@
             raise
 
     async def _choose_or_wait(
-        self, exchange: Exchange, wait_until: float, wait: QueueWait
+        self, exchange: Exchange, wait_until: float, wait: QueueWaitLog
     ) -> Choice:
         while True:
             try:
@@ -117,7 +117,7 @@
             except TimeoutError:
                 raise no_answer_refusal(exchange, self._clock()) from None
 
-    def _queue_refusal(self, wait: QueueWait, error: AdmissionRefused) -> Refusal:
+    def _queue_refusal(self, wait: QueueWaitLog, error: AdmissionRefused) -> Refusal:
         """Return the refusal for a request that would be admitted too late."""
         now = self._clock()
         wait.record_refused(error.retry_after, now)
@@ -217,8 +217,8 @@
     ) -> Refusal:
         """Return the refusal for when every upstream has asked this router to back off.
 
-        Another router may still be allowed to send, so the caller gets no longer retry
-        delay than usual.
+        Another router may still be allowed to send, so the retry delay is no longer
+        than usual.
         """
         remaining = min(entry.backpressure.backoff_until for entry in backing_off) - now
         title = (
@@ -242,7 +242,7 @@
     def _throttled_refusal(
         self, exchange: Exchange, rate: float, now: float
     ) -> Refusal:
-        """Return the refusal for when all upstreams are at their stated rate limit."""
+        """Return the refusal for upstreams that are all at their declared limit."""
         title = (
             f"All upstreams that serve {exchange.service} are throttled and take "
             f"{rate:g} requests a second together. Send it again later."
@@ -258,8 +258,8 @@
         remaining = min(entry.cold_until for entry in candidates) - now
         default_delay = exchange.retry_after(now, Reason.COLD)
         title = "All upstreams that serve this have just started. Send it again soon."
-        # Another router may have reported them as cold without this one knowing for how
-        # long.
+        # If the scheduling router knows them as cold and this router does not, the
+        # remaining time is unknown.
         wait = (
             min(max(remaining, MIN_RETRY_AFTER), default_delay)
             if remaining > 0
@@ -270,13 +270,13 @@
     def _is_reachable(self, entry: Entry) -> bool:
         return not self._reachability.is_unreachable(entry.upstream.data_centre)
 
-    def _handle_change(self) -> None:
+    def _wake_waiters(self) -> None:
         self._changed.set()
 
 
 def no_answer_refusal(exchange: Exchange, now: float) -> Refusal:
     """Return the refusal for an exchange that no upstream answered."""
-    if exchange.run is RunStatus.NOT_RUN:
+    if exchange.run_status is RunStatus.NOT_RUN:
         reason = Reason.DECLINED if exchange.sends else Reason.NO_UPSTREAM
         title = "No upstream could take the request. Send it again."
         return exchange.refuse(reason, title, now)
--- a/lynxchute/relay/dialect.py
+++ b/lynxchute/relay/dialect.py
@@ -36,7 +36,7 @@
 
 
 @attrs.frozen
-class Dispatch:
+class SendParameters:
     """Parameters of one send of a call to an upstream.
 
     Attributes
@@ -76,7 +76,7 @@
 
     @abstractmethod
     def upstream_headers(
-        self, call: Call, dispatch: Dispatch
+        self, call: Call, parameters: SendParameters
     ) -> list[tuple[bytes, bytes]]:
         """Return the request headers for an upstream, except for the body length."""
 
@@ -107,7 +107,7 @@
         return None
 
     def caller_events(self, call: Call, data: bytes) -> bytes:
-        """Return the part of events with token usage that the caller should receive."""
+        """Remove from events the token usage that only the router asked for."""
         return data
 
 
--- a/lynxchute/relay/exchange.py
+++ b/lynxchute/relay/exchange.py
@@ -23,8 +23,8 @@
 ROUTE_RANKS = 3
 # Rank of requests without an account, and of accounts without a configured rank.
 DEFAULT_ACCOUNT_RANK = 1
-# Callers abandon a stream that pauses for longer than the maximum of two seconds, four
-# times its latency objective and eight times its longest allowed pause. Nothing is
+# A caller abandons a stream that pauses for longer than the largest of two seconds,
+# four times its latency objective and eight times its longest allowed pause. Nothing is
 # started that would arrive in the last tenth of that time.
 MIN_CALLER_WAIT = 2.0
 CALLER_WAIT_SHARE = 0.9
@@ -33,8 +33,8 @@
 # Retry delays while tokens cannot be reserved. A store outage or network partition
 # lasts three to nine seconds, and callers have few attempts. A retry after one second
 # is already late and still meets the outage. In a minute with three such outages,
-# callers that retried and were refused again lost 134 and 122 of the about 1,500 that
-# their answers are worth with the delays above, and 80 with these.
+# callers that were refused again after a retry lost 134 and 122 (of a total value of
+# about 1,500) with the delays above, and 80 with these.
 BUDGET_RETRY_SHARE = 0.3
 BUDGET_MAX_RETRY_AFTER = 4.0
 
@@ -54,15 +54,16 @@
     configuration_age
         Seconds since the store last confirmed that version, at admission.
     deadline
-        Time by which the final response is due, in seconds of the event loop clock.
+        Time by which the final response is due, in seconds on the steady clock.
     sends
         Number of times the request was sent to an upstream.
-    run
-        Whether the request ran, as far as is known.
+    run_status
+        Whether the request ran, as far as is known; logged as ``run``.
     sent_at
         Time at which the first byte of the latest send left the VM, in seconds.
     possible_runs
-        Number of sends that no upstream has reported as not run.
+        Number of sends that may have run: all but those that an upstream reported as
+        not run.
     tried
         Ids of upstreams that are not tried again for this request.
     limited_rate
@@ -89,7 +90,7 @@
     sends: int = 0
     sent_at: float = 0.0
     possible_runs: int = 0
-    run: RunStatus = RunStatus.NOT_RUN
+    run_status: RunStatus = RunStatus.NOT_RUN
     tried: set[str] = attrs.Factory(set)
     limited_rate: float | None = None
     upstreams: list[str] = attrs.Factory(list)
@@ -149,7 +150,7 @@
         return LatencyTargets(left * 1000.0, route.max_pause * 1000.0)
 
     def claim(self, now: float) -> Claim:
-        """Return the admission claim: who asks for a place and how long it can wait."""
+        """Return the admission claim: who asks for a slot and how long it can wait."""
         start_by = self.deadline
         if not self.events:
             start_by = min(start_by, self.received_at + self.max_wait)
@@ -193,14 +194,14 @@
         """Return whether the route and the state of the request allow another send."""
         if self.sends >= self.route.max_attempts:
             return False
-        return self.run is RunStatus.NOT_RUN or self.route.is_repeatable
+        return self.run_status is RunStatus.NOT_RUN or self.route.is_repeatable
 
     def record_send(self, upstream_id: str, now: float) -> None:
         """Record a send whose first byte is about to leave."""
         self.sent_at = now
         self.sends += 1
         self.possible_runs += 1
-        self.run = RunStatus.UNKNOWN
+        self.run_status = RunStatus.UNKNOWN
         self.upstreams.append(upstream_id)
 
     def record_declined(self, run_before: RunStatus) -> None:
@@ -211,9 +212,11 @@
         """
         self.possible_runs -= 1
         if not self.possible_runs:
-            self.run = RunStatus.NOT_RUN
-        elif self.run is RunStatus.UNKNOWN and run_before is not RunStatus.NOT_RUN:
-            self.run = run_before
+            self.run_status = RunStatus.NOT_RUN
+        elif (
+            self.run_status is RunStatus.UNKNOWN and run_before is not RunStatus.NOT_RUN
+        ):
+            self.run_status = run_before
 
     def record_events(self, count: int, last_event: str, now: float) -> None:
         """Record events that are forwarded to the caller."""
@@ -251,7 +254,7 @@
             Seconds after which to retry; None for a share of the caller's remaining
             time.
         """
-        if self.run is RunStatus.NOT_RUN:
+        if self.run_status is RunStatus.NOT_RUN:
             if reason in (Reason.BROKEN, Reason.TIMEOUT):
                 reason = Reason.NO_UPSTREAM
             if retry_after is None:
--- a/lynxchute/relay/guarded_load.py
+++ b/lynxchute/relay/guarded_load.py
@@ -13,8 +13,8 @@
 
 # Minimum seconds between two log lines about shed load.
 LOG_SECONDS = 1.0
-# Delay in seconds that this router adds to one request, over all of its waits for the
-# event loop, from which on it may mistake its own lag for slow engines.
+# Total event loop delay of one request, in seconds, from which on the router may take
+# its own lag for slow engines.
 LAG_SECONDS = 0.1
 # Seconds for which the router counts as lagging after such a delay was last seen.
 LAG_HOLD_SECONDS = 2.0
@@ -30,7 +30,7 @@
     meter
         Estimates how long data queues for the VM's link.
     clock
-        Monotonic clock in seconds.
+        Steady clock in seconds.
     metrics
         Counts shed requests and connections.
     """
@@ -46,7 +46,7 @@
         self._guard = guard
         self._metrics = metrics
         self._refused = 0
-        self._ended = 0
+        self._closed_after_response = 0
         self._closed = 0
         self._logged_at = -math.inf
         self._lagged_at = -math.inf
@@ -58,7 +58,7 @@
 
     @property
     def is_full(self) -> bool:
-        """Return False: connections are accepted, and closed under overload.
+        """Return False: under overload, connections are accepted and then closed.
 
         A caller whose connection attempt is refused does not retry.
         """
@@ -82,7 +82,7 @@
 
     def may_accept(self) -> bool:
         """Return whether a newly accepted connection is served."""
-        if not self._guard.closes_connection():
+        if not self._guard.closes_new_connection():
             return True
         self._closed += 1
         self._metrics.connections_closed.inc()
@@ -92,27 +92,29 @@
         """Count an admitted request of a client account."""
         self._guard.record_request(account)
 
-    def shed_reason(self, objective: float, account: str, *, is_brief: bool) -> str:
-        """Return the resource for which a request is shed, or an empty string."""
+    def shed_reason(
+        self, objective: float, account: str, *, is_plain_call: bool
+    ) -> str:
+        """Return the overloaded resource that causes a refusal, or an empty string."""
         return self._count_refusal(
-            self._guard.shed_reason(objective, account, is_brief=is_brief)
+            self._guard.shed_reason(objective, account, is_plain_call=is_plain_call)
         )
 
-    def shed_reason_for_all(self, objective: float, *, is_brief: bool) -> str:
-        """Return the resource for which requests of all accounts are shed."""
+    def shed_reason_for_all(self, objective: float, *, is_plain_call: bool) -> str:
+        """Return the overloaded resource for which all accounts are refused, or ""."""
         return self._count_refusal(
-            self._guard.shed_reason_for_all(objective, is_brief=is_brief)
+            self._guard.shed_reason_for_all(objective, is_plain_call=is_plain_call)
         )
 
     def has_lagged(self) -> bool:
         """Return whether this router itself was lagging recently."""
         return self._clock() - self._lagged_at < LAG_HOLD_SECONDS
 
-    def ends_connection(self, account: str = "") -> bool:
+    def closes_after_response(self, account: str = "") -> bool:
         """Return whether a connection should be closed after the current response."""
-        if not self._guard.ends_connection(account):
+        if not self._guard.closes_after_response(account):
             return False
-        self._ended += 1
+        self._closed_after_response += 1
         self._metrics.connections_ended.inc()
         return True
 
@@ -131,7 +133,7 @@
 
     def _log_counts(self) -> None:
         """Log the shed load since the last line, at most once per LOG_SECONDS."""
-        if not self._refused and not self._ended and not self._closed:
+        if not self._refused and not self._closed_after_response and not self._closed:
             return
         now = self._clock()
         if now - self._logged_at < LOG_SECONDS:
@@ -141,9 +143,9 @@
         log_event(
             "load shed",
             refused=self._refused,
-            connections_ended=self._ended,
+            connections_ended=self._closed_after_response,
             connections_closed=self._closed,
             processor_use=round(load.use, 3),
             processor_delay_s=round(load.delay, 4),
         )
-        self._refused = self._ended = self._closed = 0
+        self._refused = self._closed_after_response = self._closed = 0
--- a/lynxchute/relay/hedge_rules.py
+++ b/lynxchute/relay/hedge_rules.py
@@ -11,8 +11,8 @@
 # Bounds of the hedge delay in multiples of the route's median latency. Twice the median
 # is ordinary; three times the median is slow, even for an upstream that is always slow.
 MIN_MEDIAN_FACTOR, MAX_MEDIAN_FACTOR = 2.0, 3.0
-# Hedge delay as a share of the latency objective while no latencies are known. The
-# second response can still be on time.
+# Hedge delay as a share of the latency objective while no latencies are known. It is
+# short enough for the second response to be on time.
 DEFAULT_DELAY_SHARE = 0.4
 # Share of the retry budget that hedges may use. The rest is for retries after failures,
 # without which callers get no response at all.
@@ -58,7 +58,7 @@
     return min(max(quantile, lowest), highest)
 
 
-def has_capacity(states: Sequence[UpstreamState], open_hedges: int) -> bool:
+def allows_hedge(states: Sequence[UpstreamState], open_hedges: int) -> bool:
     """Return whether few enough upstreams are busy to allow one more hedge.
 
     Parameters
--- a/lynxchute/relay/hedging.py
+++ b/lynxchute/relay/hedging.py
@@ -7,13 +7,13 @@
 
 import attrs
 
-from lynxchute.relay.answer import Answer
+from lynxchute.relay.answer import UpstreamResponse
 from lynxchute.relay.chooser import Chooser, no_answer_refusal
 from lynxchute.relay.exchange import Exchange
 from lynxchute.relay.hedge_rules import (
     HEDGE_BUDGET_SHARE,
     HEDGE_QUANTILE,
-    has_capacity,
+    allows_hedge,
     hedge_delay,
 )
 from lynxchute.relay.refusal import Refusal, RunStatus
@@ -27,7 +27,7 @@
 
 SERVER_ERROR = 500
 
-Attempt = Callable[[Exchange, Choice], Awaitable[Answer | None]]
+Attempt = Callable[[Exchange, Choice], Awaitable[UpstreamResponse | None]]
 
 
 @attrs.define(eq=False)
@@ -47,10 +47,10 @@
     exchange: Exchange
     choice: Choice
     hedge: Choice | None = None
-    failure: Answer | None = None
+    failure: UpstreamResponse | None = None
     refusal: Refusal | None = None
 
-    def outcome(self, answer: Answer | None) -> str:
+    def outcome(self, answer: UpstreamResponse | None) -> str:
         """Return the outcome of the hedge as a label for metrics and logs."""
         if answer is None:
             return "failed"
@@ -61,10 +61,10 @@
 class Hedger:
     """Races two sends of a call and returns the first successful response.
 
-    This covers upstreams that become slow or stop responding, for calls whose callers
-    wait for tenths of a second only. Callers need the response within the latency
-    objective. Hedges must never add to an overload, so they are limited by the retry
-    budget, by the route's number of attempts and by the number of busy upstreams.
+    For calls whose callers wait only tenths of a second, and need the response within
+    the latency objective, while an upstream becomes slow or stops responding. Hedges
+    must never add to an overload, so they are limited by the retry budget, by the
+    route's number of attempts and by the number of busy upstreams.
 
     Parameters
     ----------
@@ -81,7 +81,7 @@
     metrics
         Counts hedges by outcome.
     clock
-        Event loop clock in seconds.
+        Steady clock in seconds.
     """
 
     def __init__(
@@ -114,8 +114,8 @@
         exchange: Exchange,
         choice: Choice,
         attempt: Attempt,
-        drop: Callable[[Answer], None],
-    ) -> Answer | None:
+        drop: Callable[[UpstreamResponse], None],
+    ) -> UpstreamResponse | None:
         """Return the first successful response, or None if neither upstream responded.
 
         Parameters
@@ -149,7 +149,7 @@
                 self._record_end(race, outcome)
 
     async def _wait_until_slow(
-        self, race: _Race, tasks: Sequence[asyncio.Future[Answer | None]]
+        self, race: _Race, tasks: Sequence[asyncio.Future[UpstreamResponse | None]]
     ) -> None:
         """Wait until the first send ends or its hedge delay has passed."""
         exchange = race.exchange
@@ -161,8 +161,9 @@
             if tasks[0].done() or delay is None:
                 return
             now = self._clock()
-            # Time after the first byte was sent is spent at the upstream; time before
-            # that may be lag of this router.
+            # Time after the first byte was sent is spent at the upstream. Time before
+            # that may be lag of this router, so twice the delay is allowed until the
+            # byte is sent.
             is_sent = exchange.sends > sends
             due = exchange.sent_at + delay if is_sent else started_at + 2 * delay
             if now >= due:
@@ -177,7 +178,9 @@
             exchange.route.latency_objective,
         )
 
-    async def _send_hedge(self, race: _Race, attempt: Attempt) -> Answer | None:
+    async def _send_hedge(
+        self, race: _Race, attempt: Attempt
+    ) -> UpstreamResponse | None:
         """Send a call to a second upstream if the limits on hedges permit it."""
         exchange = race.exchange
         hedge, reason = await self._choose_hedge(race)
@@ -222,11 +225,11 @@
         now = self._clock()
         entries = self._directory.available(service, now)
         states = [self._state_of(entry, now) for entry in entries]
-        return has_capacity(states, self._open_by_service.get(service, 0))
+        return allows_hedge(states, self._open_by_service.get(service, 0))
 
     async def _first_success(
-        self, race: _Race, tasks: Sequence[asyncio.Future[Answer | None]]
-    ) -> Answer | None:
+        self, race: _Race, tasks: Sequence[asyncio.Future[UpstreamResponse | None]]
+    ) -> UpstreamResponse | None:
         """Return the first successful response, else an error response, else None."""
         pending = set(tasks)
         while pending:
@@ -247,7 +250,7 @@
             return race.failure
         if race.refusal is None:
             return None
-        if race.exchange.run is RunStatus.NOT_RUN:
+        if race.exchange.run_status is RunStatus.NOT_RUN:
             raise race.refusal
         # The other send may have run after this refusal was raised.
         raise no_answer_refusal(race.exchange, self._clock())
@@ -259,11 +262,13 @@
             "hedge ended",
             request_id=race.exchange.call.request_id,
             outcome=outcome,
-            run=race.exchange.run.value,
+            run=race.exchange.run_status.value,
         )
 
 
-def _result(race: _Race, task: asyncio.Future[Answer | None]) -> Answer | None:
+def _result(
+    race: _Race, task: asyncio.Future[UpstreamResponse | None]
+) -> UpstreamResponse | None:
     try:
         return task.result()
     except Refusal as refusal:
@@ -272,13 +277,13 @@
 
 
 def _cancel(
-    task: asyncio.Future[Answer | None],
-    answer: Answer | None,
-    drop: Callable[[Answer], None],
+    task: asyncio.Future[UpstreamResponse | None],
+    answer: UpstreamResponse | None,
+    drop: Callable[[UpstreamResponse], None],
 ) -> None:
     """Cancel a task, and drop its response unless that is the one in use."""
 
-    def drop_unread(ended: asyncio.Future[Answer | None]) -> None:
+    def drop_unread(ended: asyncio.Future[UpstreamResponse | None]) -> None:
         if ended.cancelled() or ended.exception() is not None:
             return
         unread = ended.result()
--- a/lynxchute/relay/load.py
+++ b/lynxchute/relay/load.py
@@ -21,18 +21,18 @@
 SHED_SECONDS = 8.0
 
 
-# Link utilization from which on new connections are shed, and the utilization to keep.
-# The balancer notices only after two seconds, in which a caller of a hot account opens
-# more connections. With one account sending 108 to 240 requests per second to VMs with
-# capacity for 60 (in virtual time), 0.97 of the requests due are served. The share
-# stays within 0.02 of that for 0.4 to 0.7 as the target and 0.55 to 0.75 as the
-# threshold. A target of 0.4 moves too much load: 0.95.
+# Link utilization from which on new connections are shed, and the utilization that
+# shedding aims for. The balancer notices only after two seconds, in which a caller of a
+# hot account opens more connections. With one account sending 108 to 240 requests per
+# second to VMs with capacity for 60 (in virtual time), 0.97 of the requests due are
+# served. Targets from 0.4 to 0.7 and thresholds from 0.55 to 0.75 change that by at
+# most 0.02; a target of 0.4 sheds too much load: 0.95.
 SHED_USE = 0.7
 TARGET_USE = 0.55
 # Link delay in seconds from which on no connection is accepted. Its requests would
 # queue behind the bodies that fill the link, while the caller can reach another router
-# at once. With 0.3 s, 55 of 1,000 requests of a day with such an account were refused,
-# and 8 with this value (22 VMs, links of 5 Mbit/s).
+# at once. With one account that overloads a VM, 55 of 1,000 requests of a day were
+# refused at 0.3 s, and 8 with this value (22 VMs, links of 5 Mbit/s).
 FULL_DELAY = 0.15
 
 
@@ -47,7 +47,7 @@
     meter
         Estimates how long data queues for the VM's link.
     clock
-        Monotonic clock in seconds.
+        Steady clock in seconds.
     rng
         Selects the connections to close.
     """
@@ -83,8 +83,10 @@
     def record_admitted(self, account: str) -> None:
         """Count an admitted request of a client account."""
 
-    def shed_reason(self, objective: float, account: str, *, is_brief: bool) -> str:
-        """Return the resource for which a request is shed, or an empty string.
+    def shed_reason(
+        self, objective: float, account: str, *, is_plain_call: bool
+    ) -> str:
+        """Return the overloaded resource that causes a refusal, or an empty string.
 
         Parameters
         ----------
@@ -92,13 +94,13 @@
             Latency objective of the request in seconds.
         account
             Name of the client account that pays; empty if none does.
-        is_brief
-            Whether the request needs neither an engine nor tokens.
+        is_plain_call
+            Whether the request needs no engine.
         """
         return "link" if self.misses_objective(objective) else ""
 
-    def shed_reason_for_all(self, objective: float, *, is_brief: bool) -> str:
-        """Return the resource for which requests of all accounts are shed.
+    def shed_reason_for_all(self, objective: float, *, is_plain_call: bool) -> str:
+        """Return the overloaded resource for which all accounts are refused, or "".
 
         This is checked before the body is read.
         """
@@ -112,11 +114,12 @@
         """Return whether this router itself was lagging recently."""
         return False
 
-    def ends_connection(self, account: str = "") -> bool:
+    def closes_after_response(self, account: str = "") -> bool:
         """Return whether a connection should be closed after the current response.
 
-        Only the excess load of the link is moved. If all connections were closed, the
-        next VM would be overloaded a moment later, and then the one after it.
+        Only the excess load of the link is moved to other VMs. If all connections were
+        closed, the next VM would be overloaded a moment later, and then the one after
+        it.
         """
         if not self.is_shedding:
             return False
@@ -126,6 +129,8 @@
     def misses_objective(self, objective: float) -> bool:
         """Return whether this router is too slow to serve a request in time.
 
+        Also starts shedding load if the link is saturated.
+
         Parameters
         ----------
         objective
--- a/lynxchute/relay/own_delay.py
+++ b/lynxchute/relay/own_delay.py
@@ -25,7 +25,7 @@
     processor
         Measures how long an event waits for the event loop.
     clock
-        Monotonic clock in seconds.
+        Steady clock in seconds.
     """
 
     def __init__(
--- a/lynxchute/relay/passing.py
+++ b/lynxchute/relay/passing.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from lynxchute.relay.answer import Answer
+from lynxchute.relay.answer import UpstreamResponse
 from lynxchute.relay.dialect import Dialect
 from lynxchute.relay.events import EventSplitter
 from lynxchute.relay.exchange import Exchange
@@ -25,7 +25,7 @@
     answer
         Response of the upstream.
     clock
-        Event loop clock in seconds.
+        Steady clock in seconds.
     """
 
     def __init__(
@@ -33,7 +33,7 @@
         dialect: Dialect,
         sender: Sender,
         exchange: Exchange,
-        answer: Answer,
+        answer: UpstreamResponse,
         clock: Callable[[], float],
     ) -> None:
         self._dialect = dialect
--- a/lynxchute/relay/relay.py
+++ b/lynxchute/relay/relay.py
@@ -10,7 +10,7 @@
 from lynxchute.config import RequestKind
 from lynxchute.http import ExchangeError, Request, Responder
 from lynxchute.relay.admission import Admission
-from lynxchute.relay.answer import Answer
+from lynxchute.relay.answer import UpstreamResponse
 from lynxchute.relay.budgets import (
     BudgetExhausted,
     Budgets,
@@ -34,7 +34,7 @@
 
 
 @attrs.frozen
-class BufferedAnswer:
+class BufferedResponse:
     """Result of reading a response before it is forwarded.
 
     Attributes
@@ -68,7 +68,7 @@
     metrics
         Counts requests by outcome.
     clock
-        Event loop clock in seconds.
+        Steady clock in seconds.
     """
 
     def __init__(
@@ -169,7 +169,7 @@
         """Send a request until a response can be forwarded."""
         answer = await self._sender.send(exchange)
         while not _is_stream(answer):
-            buffered = await self._buffer(exchange, answer)
+            buffered = await self._read_or_forward(exchange, answer)
             if buffered.is_forwarded:
                 return
             if buffered.is_success or not self._sender.claim_retry(exchange):
@@ -189,7 +189,7 @@
     # Buffered responses.
 
     async def _forward_buffered(
-        self, exchange: Exchange, answer: Answer, buffered: BufferedAnswer
+        self, exchange: Exchange, answer: UpstreamResponse, buffered: BufferedResponse
     ) -> None:
         if buffered.body is None:
             title = "The upstream's answer broke off; the request may have run."
@@ -198,7 +198,9 @@
         exchange.first_byte_at = self._clock()
         await exchange.respond.forward(answer.response.status, headers, buffered.body)
 
-    async def _buffer(self, exchange: Exchange, answer: Answer) -> BufferedAnswer:
+    async def _read_or_forward(
+        self, exchange: Exchange, answer: UpstreamResponse
+    ) -> BufferedResponse:
         """Read a complete response, or forward it unbuffered if it is too large."""
         send_outcome = SendOutcome.ABANDONED
         failed = answer.response.status >= SERVER_ERROR
@@ -212,13 +214,13 @@
                     send_outcome = SendOutcome.FAILED if failed else SendOutcome.SERVED
                     body = b"".join(chunks)
                     exchange.reported_tokens = self._dialect.reported_tokens(body)
-                    return BufferedAnswer(body, is_success=not failed)
+                    return BufferedResponse(body, is_success=not failed)
                 answer.send.record_answering(self._clock())
                 chunks.append(chunk)
                 size += len(chunk)
             await self._forward_unbuffered(exchange, answer, chunks)
             send_outcome = SendOutcome.SERVED
-            return BufferedAnswer(None, is_forwarded=True)
+            return BufferedResponse(None, is_forwarded=True)
         except ExchangeError as error:
             send_outcome = SendOutcome.BROKEN
             self._sender.record_broken(answer)
@@ -233,13 +235,13 @@
             if exchange.respond.started:
                 title = "The answer broke off."
                 raise Refusal(Reason.BROKEN, title, run=RunStatus.RAN) from error
-            return BufferedAnswer(None)
+            return BufferedResponse(None)
         finally:
             answer.response.close()
             self._sender.release(answer, send_outcome)
 
     async def _forward_unbuffered(
-        self, exchange: Exchange, answer: Answer, chunks: list[bytes]
+        self, exchange: Exchange, answer: UpstreamResponse, chunks: list[bytes]
     ) -> None:
         """Forward a large response as it arrives."""
         headers = self._dialect.caller_headers(answer.response.headers)
@@ -256,7 +258,7 @@
 
     # Streams.
 
-    async def _stream(self, exchange: Exchange, answer: Answer) -> None:
+    async def _stream(self, exchange: Exchange, answer: UpstreamResponse) -> None:
         while not await self._forward_events(exchange, answer):
             exchange.tried.add(answer.entry.upstream.id)
             if not self._sender.claim_retry(exchange):
@@ -270,7 +272,9 @@
                 raise exchange.refuse(Reason.BROKEN, title, self._clock())
         await exchange.respond.finish()
 
-    async def _forward_events(self, exchange: Exchange, answer: Answer) -> bool:
+    async def _forward_events(
+        self, exchange: Exchange, answer: UpstreamResponse
+    ) -> bool:
         """Forward events; return whether the stream is complete."""
         forwarder = EventForwarder(
             self._dialect, self._sender, exchange, answer, self._clock
@@ -304,6 +308,6 @@
         return True
 
 
-def _is_stream(answer: Answer) -> bool:
+def _is_stream(answer: UpstreamResponse) -> bool:
     content_type = answer.response.headers.get("content-type", "")
     return answer.response.status == 200 and content_type.startswith(EVENT_STREAM)
--- a/lynxchute/relay/request_log.py
+++ b/lynxchute/relay/request_log.py
@@ -17,7 +17,7 @@
     metrics
         Counts requests by outcome.
     clock
-        Event loop clock in seconds.
+        Steady clock in seconds.
     """
 
     def __init__(self, metrics: Metrics, clock: Callable[[], float]) -> None:
@@ -52,7 +52,7 @@
             content=exchange.content_id,
             outcome=outcome,
             status=exchange.respond.status,
-            run=exchange.run.value,
+            run=exchange.run_status.value,
             route=exchange.route.name,
             account=account.name if account else "",
             configuration=exchange.configuration.version,
@@ -72,7 +72,7 @@
 def used_tokens(exchange: Exchange) -> int:
     """Return an upper bound of the budget tokens that a request has used."""
     generation = exchange.call.generation
-    if exchange.run is RunStatus.NOT_RUN:
+    if exchange.run_status is RunStatus.NOT_RUN:
         return 0
     if generation is None:
         return exchange.max_total_tokens
--- a/lynxchute/relay/sender.py
+++ b/lynxchute/relay/sender.py
@@ -14,13 +14,13 @@
 )
 from lynxchute.quarantine import Progress
 from lynxchute.reachability import Reachability
-from lynxchute.relay.answer import Answer, SendWithheld
+from lynxchute.relay.answer import SendWithheld, UpstreamResponse
 from lynxchute.relay.chooser import Chooser, no_answer_refusal
-from lynxchute.relay.dialect import Dialect, Dispatch, ResponseKind
+from lynxchute.relay.dialect import Dialect, ResponseKind, SendParameters
 from lynxchute.relay.exchange import Exchange
 from lynxchute.relay.hedging import Hedger
 from lynxchute.relay.refusal import Reason, RunStatus
-from lynxchute.relay.statement_reader import StatementReader
+from lynxchute.relay.statement_reader import BackpressureRecorder
 from lynxchute.telemetry import Metrics, log_event
 from lynxchute.upstreams.entry import Entry, OpenSend
 from lynxchute.upstreams.health import SendOutcome
@@ -33,8 +33,8 @@
 # after a second, so trying another upstream is faster.
 CONNECT_TIMEOUT = 0.3
 # A keep-alive connection that was idle for longer may have been closed by the upstream.
-# A request that hits such a reset has an unknown outcome, which only requests that are
-# safe to repeat can tolerate.
+# A request sent on it may fail with an unknown outcome, so only requests that are safe
+# to repeat use such a connection.
 FRESH_WITHIN = 0.25
 SERVER_ERROR = 500
 UPSTREAM_TIMEOUTS = Timeouts(
@@ -68,7 +68,7 @@
     statements
         Reads the limits and state that upstreams report in responses.
     clock
-        Event loop clock in seconds.
+        Steady clock in seconds.
     times
         Records the latency of plain calls; None if no feature needs it.
     hedger
@@ -86,7 +86,7 @@
         reachability: Reachability,
         containment: Containment,
         gate: SendGate,
-        statements: StatementReader,
+        statements: BackpressureRecorder,
         clock: Callable[[], float],
         *,
         times: ServiceTimes | None = None,
@@ -106,7 +106,7 @@
         self._times = times
         self._hedger = hedger
 
-    async def send(self, exchange: Exchange) -> Answer:
+    async def send(self, exchange: Exchange) -> UpstreamResponse:
         """Return the first response of an upstream to an exchange.
 
         Raises
@@ -133,7 +133,7 @@
 
     async def _attempt_or_hedge(
         self, exchange: Exchange, choice: Choice
-    ) -> Answer | None:
+    ) -> UpstreamResponse | None:
         if self._hedger is None or not self._hedger.may_hedge(exchange):
             return await self._attempt(exchange, choice)
         return await self._hedger.send(
@@ -142,7 +142,7 @@
 
     async def _attempt_unless_withheld(
         self, exchange: Exchange, choice: Choice
-    ) -> Answer | None:
+    ) -> UpstreamResponse | None:
         # The first send may have crashed upstreams in the meantime.
         self.check_quarantine(exchange)
         try:
@@ -151,7 +151,7 @@
             self._record_withheld(exchange, choice, error.reason)
             return None
 
-    def _discard_answer(self, answer: Answer) -> None:
+    def _discard_answer(self, answer: UpstreamResponse) -> None:
         """Close a response that is not needed."""
         failed = answer.response.status >= SERVER_ERROR
         answer.response.close()
@@ -171,7 +171,7 @@
         )
         return False
 
-    def release(self, answer: Answer, outcome: SendOutcome) -> None:
+    def release(self, answer: UpstreamResponse, outcome: SendOutcome) -> None:
         """Record that an upstream no longer works on a request."""
         answer.entry.open_sends.discard(answer.send)
         outcome = _outcome_of(answer.send, outcome)
@@ -182,7 +182,7 @@
         upstream_id = answer.entry.upstream.id
         self._generations.record_end(answer.run_id, upstream_id, failed=failed)
 
-    def record_first_event(self, answer: Answer) -> None:
+    def record_first_event(self, answer: UpstreamResponse) -> None:
         """Record the first event of a stream."""
         own = self._clients.meter.own_delay()
         took_ms = max(self._clock() - answer.sent_at - own, 0.0) * 1000.0
@@ -191,7 +191,9 @@
             answer.run_id, upstream_id, took_ms=took_ms
         )
 
-    def record_pause(self, answer: Answer, pause: float, max_pause: float) -> None:
+    def record_pause(
+        self, answer: UpstreamResponse, pause: float, max_pause: float
+    ) -> None:
         """Record that a stream paused for longer than its route allows.
 
         Parameters
@@ -216,18 +218,20 @@
             Reason.QUARANTINED, title, self._clock(), retry_after=left
         )
 
-    def record_broken(self, answer: Answer) -> None:
+    def record_broken(self, answer: UpstreamResponse) -> None:
         """Record an interrupted response, which may mean that its upstream crashed."""
         self._containment.record_broken(answer.entry.upstream, answer.send)
 
-    async def _attempt(self, exchange: Exchange, choice: Choice) -> Answer | None:
+    async def _attempt(
+        self, exchange: Exchange, choice: Choice
+    ) -> UpstreamResponse | None:
         """Send once; return None if there is no response to forward."""
         entry = choice.entry
         generation = exchange.call.generation
         cost = generation.max_total_tokens if generation is not None else 0
         entry.open_requests += 1
         entry.open_tokens += cost
-        run_before = exchange.run
+        run_before = exchange.run_status
         send = OpenSend(
             AbortHandle(), lambda: exchange.may_migrate, exchange.content_id
         )
@@ -273,16 +277,16 @@
                 sent_at=sent_at,
                 is_served=response_kind is ResponseKind.ANSWERED,
             )
-        answer = Answer(response, entry, cost, exchange.run_id, send, sent_at)
+        answer = UpstreamResponse(response, entry, cost, exchange.run_id, send, sent_at)
         if response_kind is ResponseKind.ANSWERED:
             self._record_latency(exchange, answer)
             send.progress = Progress.BEGUN
-            exchange.run = RunStatus.RAN
+            exchange.run_status = RunStatus.RAN
             return answer
         entry.open_sends.discard(send)
         reason = f"{response_kind.value}, status {response.status}"
         if response_kind in (ResponseKind.NOT_RUN, ResponseKind.MOVED):
-            await self._drain(response)
+            await self._read_to_end(response)
             exchange.record_declined(run_before)
             self._record_failure(exchange, entry, cost, SendOutcome.DECLINED, reason)
             return None
@@ -294,7 +298,7 @@
         self, exchange: Exchange, choice: Choice, send: OpenSend
     ) -> Response:
         call, entry = exchange.call, choice.entry
-        dispatch = Dispatch(
+        parameters = SendParameters(
             upstream=entry.upstream,
             time_left=max(exchange.deadline - self._clock(), 0.0),
             account=exchange.account.name if exchange.account else "",
@@ -321,18 +325,18 @@
             leaves_at = self._clock() + meter.delay() - meter.own_delay()
             exchange.record_send(entry.upstream.id, leaves_at)
             self._set_typical_seconds(exchange, send)
-            self._log_send(exchange, choice, dispatch)
+            self._log_send(exchange, choice, parameters)
 
         max_idle = None if exchange.route.is_repeatable else FRESH_WITHIN
         return await self._clients.get(entry.upstream.address).request(
             call.request.method,
             call.request.target,
-            headers=self._dialect.upstream_headers(call, dispatch),
+            headers=self._dialect.upstream_headers(call, parameters),
             body=call.request.body,
             timeouts=UPSTREAM_TIMEOUTS,
             max_idle=max_idle,
             matches_request=lambda head: self._dialect.matches_request(call, head),
-            on_sent=before_send,
+            before_send=before_send,
             abort_handle=send.handle,
         )
 
@@ -345,7 +349,7 @@
             self._times.median_latency(exchange.service, exchange.route.name) or 0.0
         )
 
-    def _record_latency(self, exchange: Exchange, answer: Answer) -> None:
+    def _record_latency(self, exchange: Exchange, answer: UpstreamResponse) -> None:
         """Record the latency of a plain call that was served."""
         sent_at = answer.send.sent_at
         if self._times is None or sent_at is None:
@@ -367,7 +371,8 @@
 
         It would reach its upstream after the caller has left, while another router
         could have answered it. When one account filled the link of a VM (5 Mbit/s) for
-        six seconds, four requests reached an upstream 0.5 s or more after that point.
+        six seconds, four requests reached an upstream 0.5 s or more after their callers
+        had left.
         """
         meter = self._clients.meter
         # Sent bytes go to the link at once, however busy the event loop is.
@@ -388,8 +393,8 @@
         self, exchange: Exchange, choice: Choice, reason: WithheldReason
     ) -> None:
         entry = choice.entry
-        # The placement under this run id is released, so the next attempt needs a new
-        # id. The id contains the number of tried upstreams.
+        # The next attempt needs a new run id, since the placement with this one is
+        # released; `run_id` contains the number of tried upstreams.
         exchange.tried.add(entry.upstream.id)
         if reason is WithheldReason.LIMITED:
             rate = entry.backpressure.rate(self._clock()) or 0.0
@@ -406,7 +411,9 @@
             rate=entry.backpressure.rate(self._clock()),
         )
 
-    def _log_send(self, exchange: Exchange, choice: Choice, dispatch: Dispatch) -> None:
+    def _log_send(
+        self, exchange: Exchange, choice: Choice, parameters: SendParameters
+    ) -> None:
         entry = choice.entry
         log_event(
             "request sent",
@@ -418,13 +425,13 @@
             fetch_from=choice.fetch_from.id if choice.fetch_from else "",
             open_here=entry.open_requests,
             bad_in_row=entry.health.bad_in_row,
-            time_left=round(dispatch.time_left, 3),
-            priority=dispatch.priority,
-            after_event=dispatch.last_event_id,
+            time_left=round(parameters.time_left, 3),
+            priority=parameters.priority,
+            after_event=parameters.last_event_id,
         )
 
-    async def _drain(self, response: Response) -> None:
-        """Read a rejection to its end so that its connection can be reused."""
+    async def _read_to_end(self, response: Response) -> None:
+        """Read a declined response to its end so that its connection can be reused."""
         try:
             await response.body()
         except ExchangeError as error:
--- a/lynxchute/relay/statement_reader.py
+++ b/lynxchute/relay/statement_reader.py
@@ -11,8 +11,8 @@
 from lynxchute.upstreams.entry import Entry
 
 
-class StatementReader:
-    """Reads the headers of each response once, for all kinds of sends.
+class BackpressureRecorder:
+    """Records the backpressure that each response declares, for all kinds of sends.
 
     Parameters
     ----------
@@ -21,7 +21,7 @@
     directory
         Stores what upstreams report.
     clock
-        Monotonic clock in seconds.
+        Steady clock in seconds.
     """
 
     def __init__(
--- a/lynxchute/relay/wait.py
+++ b/lynxchute/relay/wait.py
@@ -7,7 +7,7 @@
 from lynxchute.telemetry import log_event
 
 
-class QueueWait:
+class QueueWaitLog:
     """Logs how long a request queues for an engine, and the outcome.
 
     Parameters
--- a/lynxchute/store/feed.py
+++ b/lynxchute/store/feed.py
@@ -119,7 +119,7 @@
             float("inf") if self.last_answer_at is None else now - self.last_answer_at
         )
 
-    async def ensure_current(
+    async def confirm_current(
         self, *, within: float, max_list_age: float, patience: float
     ) -> bool:
         """Refresh the replica where it is stale; return whether it is current.
--- a/tests/load_play.py
+++ b/tests/load_play.py
@@ -44,11 +44,11 @@
     """The properties of one kind of request."""
 
     objective: float = 0.4
-    is_brief: bool = False
+    is_plain_call: bool = False
 
 
 STREAM = Kind()
-CALL = Kind(objective=0.12, is_brief=True)
+CALL = Kind(objective=0.12, is_plain_call=True)
 
 
 @attrs.define(eq=False)
@@ -195,7 +195,7 @@
             )
             return
         number = self._balance(request)
-        if self.is_guarded and self.vms[number].guard.closes_connection():
+        if self.is_guarded and self.vms[number].guard.closes_new_connection():
             self.vms[number].schedule(
                 CLOSE_SECONDS, lambda: self._closed(request, number)
             )
@@ -215,13 +215,13 @@
         vm = self.vms[number]
         guard, kind = vm.guard, request.kind
         if self.is_guarded and guard.shed_reason(
-            kind.objective, request.account, is_brief=kind.is_brief
+            kind.objective, request.account, is_plain_call=kind.is_plain_call
         ):
             vm.schedule(REFUSAL_SECONDS, lambda: self._refused(request, number))
             return
         guard.record_request(request.account)
-        ends = self.is_guarded and guard.ends_connection(request.account)
-        left = BRIEF_EVENTS if kind.is_brief else EVENTS
+        ends = self.is_guarded and guard.closes_after_response(request.account)
+        left = BRIEF_EVENTS if kind.is_plain_call else EVENTS
         self._continue(request, number, left - 1, ends)
 
     def _continue(self, request, number, left, ends):
@@ -229,11 +229,11 @@
         if left == 0:
             is_late = self.now - request.at > request.kind.objective
             request.outcome = "late" if is_late else "served"
-            later = 0 if request.kind.is_brief else LATER_EVENTS
+            later = 0 if request.kind.is_plain_call else LATER_EVENTS
             self._stream(request, number, later, ends)
             return
         wait = 0.0
-        if left == 2 and not request.kind.is_brief:
+        if left == 2 and not request.kind.is_plain_call:
             wait = ENGINE_SECONDS
         next_step = lambda: vm.schedule(  # noqa: E731
             EVENT_SECONDS, lambda: self._continue(request, number, left - 1, ends)
--- a/tests/test_containment.py
+++ b/tests/test_containment.py
@@ -243,7 +243,7 @@
             self.fleet.now += 1.0
             containment.record_end(self.open_send(), is_whole=True)
             item = QuarantineEntry("q", since_ms, since_ms + 600_000)
-            await containment._handle_news_message(QuarantineUpdate((item,)))
+            await containment._handle_update_message(QuarantineUpdate((item,)))
             self.assertIsNone(containment.quarantine_seconds_left("q"))
             await containment._send_evidence()
             _, message = self.fleet.peers.messages[-1]
@@ -255,7 +255,7 @@
         async def work():
             containment = self.containment()
             until_ms = containment.judge.now_ms() + 5_000
-            await containment._handle_news_message(
+            await containment._handle_update_message(
                 QuarantineUpdate((QuarantineEntry("q", 0, until_ms),))
             )
             seconds_left = containment.quarantine_seconds_left("q")
--- a/tests/test_hedging.py
+++ b/tests/test_hedging.py
@@ -12,7 +12,7 @@
 
 from lynxchute.edge.settings import Features
 from lynxchute.relay import hedge_rules, hedging, sender
-from lynxchute.relay.hedge_rules import has_capacity, hedge_delay
+from lynxchute.relay.hedge_rules import allows_hedge, hedge_delay
 from lynxchute.relay.hedging import Hedger
 from lynxchute.relay.refusal import Reason, Refusal, RunStatus
 from lynxchute.standins.upstream_run import Fault
@@ -50,17 +50,17 @@
         slow = UpstreamState(slots=6, slowness=2.5)
         full = UpstreamState(slots=6, open_requests=6)
         waiting = UpstreamState(slots=6, overdue=3.0)
-        self.assertTrue(has_capacity([normal, normal, slow], 0))
-        self.assertTrue(has_capacity([normal, waiting], 0))
-        self.assertFalse(has_capacity([normal, slow, full], 0))
-        self.assertFalse(has_capacity([waiting, slow], 0))
-        self.assertFalse(has_capacity([normal], 0))
-        self.assertFalse(has_capacity([], 0))
+        self.assertTrue(allows_hedge([normal, normal, slow], 0))
+        self.assertTrue(allows_hedge([normal, waiting], 0))
+        self.assertFalse(allows_hedge([normal, slow, full], 0))
+        self.assertFalse(allows_hedge([waiting, slow], 0))
+        self.assertFalse(allows_hedge([normal], 0))
+        self.assertFalse(allows_hedge([], 0))
 
     def test_only_a_small_share_of_open_calls_is_hedged(self):
         open_here = [UpstreamState(slots=64, open_requests=20) for _ in range(2)]
-        self.assertTrue(has_capacity(open_here, 4))
-        self.assertFalse(has_capacity(open_here, 5))
+        self.assertTrue(allows_hedge(open_here, 4))
+        self.assertFalse(allows_hedge(open_here, 5))
 
 
 class RetryBudgetTest(testtools.TestCase):
@@ -328,11 +328,11 @@
     service: str = "app"
     sends: int = 0
     sent_at: float = 0.0
-    run: RunStatus = RunStatus.NOT_RUN
+    run_status: RunStatus = RunStatus.NOT_RUN
     tried: set = attrs.Factory(set)
 
     def refuse(self, reason, title, now):
-        return Refusal(reason, title, run=self.run)
+        return Refusal(reason, title, run=self.run_status)
 
 
 @attrs.define(eq=False)
@@ -380,7 +380,7 @@
         self.open[name] = asyncio.get_running_loop().create_future()
         exchange.sends += 1
         exchange.sent_at = self.clock()
-        exchange.run = RunStatus.UNKNOWN
+        exchange.run_status = RunStatus.UNKNOWN
         try:
             end = await self.open[name]
         finally:
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -100,11 +100,11 @@
             meter.record_sent(10_000)
             load.misses_objective(10.0)
         self.assertTrue(load.is_shedding)
-        ended = sum(load.ends_connection() for _ in range(1_000))
+        ended = sum(load.closes_after_response() for _ in range(1_000))
         self.assertAlmostEqual(1_000 * (1 - TARGET_USE / meter.use()), ended, delta=50)
         clock.now += 2.0
         self.assertTrue(load.is_shedding)
-        self.assertFalse(any(load.ends_connection() for _ in range(100)))
+        self.assertFalse(any(load.closes_after_response() for _ in range(100)))
 
 
 class FullLinkTest(PlatformTestCase):
@@ -299,7 +299,9 @@
     def test_callers_are_served_in_time_once_the_balancer_has_noticed(self):
         for seed in range(1, 6):
             simulation = self.simulate(
-                seed, should_close=RouterLoad.ends_connection, pauses_accepting=True
+                seed,
+                should_close=RouterLoad.closes_after_response,
+                pauses_accepting=True,
             )
             self.assertGreater(simulation.share(6.0, 8.0, "served"), 0.9)
             self.assertGreater(simulation.share(8.0, 12.0, "served"), 0.95)
@@ -309,7 +311,7 @@
         for should_close, pauses_accepting in (
             (lambda load: load.is_shedding, False),
             (lambda load: load.is_shedding, True),
-            (RouterLoad.ends_connection, False),
+            (RouterLoad.closes_after_response, False),
         ):
             simulation = self.simulate(
                 1, should_close=should_close, pauses_accepting=pauses_accepting
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -341,13 +341,13 @@
             await standin.put("own", "second", b"2")
             await until(lambda: len(feed.live_rows()) == 2)
             self.assertEqual(float("-inf"), feed.confirmed_at)
-            self.assertTrue(await self.ensure_current(feed, within=0.05, patience=1.0))
+            self.assertTrue(await self.confirm_current(feed, within=0.05, patience=1.0))
             self.assertGreater(feed.confirmed_at, 0.0)
 
         self.run_with_feed(scenario)
 
-    def ensure_current(self, feed, within=0.0, max_list_age=9.0, patience=0.05):
-        return feed.ensure_current(
+    def confirm_current(self, feed, within=0.0, max_list_age=9.0, patience=0.05):
+        return feed.confirm_current(
             within=within, max_list_age=max_list_age, patience=patience
         )
 
@@ -355,9 +355,9 @@
         async def scenario(standin, feed, faults):
             faults.hides_changes = True
             await standin.put("own", "second", b"2")
-            self.assertTrue(await self.ensure_current(feed, within=1.0, patience=1.0))
+            self.assertTrue(await self.confirm_current(feed, within=1.0, patience=1.0))
             self.assertEqual(1, len(feed.live_rows()))
-            found = await self.ensure_current(
+            found = await self.confirm_current(
                 feed, within=1.0, max_list_age=0.0, patience=1.0
             )
             self.assertTrue(found)
@@ -369,9 +369,9 @@
         async def scenario(standin, feed, faults):
             faults.outage = Outage.SILENT
             feed.confirmed_at = float("-inf")
-            self.assertFalse(await self.ensure_current(feed, within=9.0))
+            self.assertFalse(await self.confirm_current(feed, within=9.0))
             feed.confirmed_at = feed._clock()
-            self.assertTrue(await self.ensure_current(feed, within=9.0))
+            self.assertTrue(await self.confirm_current(feed, within=9.0))
 
         self.run_with_feed(scenario)
 
--- a/tests/test_router_load.py
+++ b/tests/test_router_load.py
@@ -33,7 +33,7 @@
 from lynxchute.relay.guarded_load import LAG_HOLD_SECONDS, GuardedLoad
 from lynxchute.relay.load import RouterLoad
 from lynxchute.relay.own_delay import OwnDelayMeter
-from lynxchute.relay.sender import Answer
+from lynxchute.relay.sender import UpstreamResponse
 from lynxchute.telemetry import Metrics
 from tests.load_play import LoadSimulation
 from tests.platform_support import PlatformCaller, PlatformTestCase
@@ -176,7 +176,7 @@
         self.assertTrue(self.guard.is_ready)
         self.assertEqual("", self.guard.full_resource)
         self.assertEqual("", self.guard.shed_reason(0.1, "small"))
-        self.assertFalse(self.guard.ends_connection("small"))
+        self.assertFalse(self.guard.closes_after_response("small"))
 
     def test_any_single_resource_can_be_full(self):
         for source, load in (
@@ -195,7 +195,7 @@
         closed = []
         for times in (0.5, 1.0, 1.5):
             self.processor.now = Load(0.9, times * PROCESSOR_LIMITS.full_delay)
-            closed.append(sum(self.guard.closes_connection() for _ in range(1000)))
+            closed.append(sum(self.guard.closes_new_connection() for _ in range(1000)))
         self.assertEqual(0, closed[0])
         self.assertAlmostEqual(500, closed[1], delta=60)
         self.assertEqual(1000, closed[2])
@@ -239,17 +239,19 @@
             self.guard.record_request("hot")
         for _ in range(10):
             self.guard.record_request("small")
-        ended = sum(self.guard.ends_connection("hot") for _ in range(1000))
+        ended = sum(self.guard.closes_after_response("hot") for _ in range(1000))
         kept_share = (100 * 0.5 - 11) / 90
         self.assertAlmostEqual(1000 * (1 - kept_share), ended, delta=60)
-        self.assertFalse(any(self.guard.ends_connection("small") for _ in range(100)))
+        self.assertFalse(
+            any(self.guard.closes_after_response("small") for _ in range(100))
+        )
 
     def test_a_lone_account_keeps_what_the_vm_can_sustain(self):
         self.processor.now = Load(1.6, 0.01)
         for _ in range(90):
             self.guard.record_request("hot")
         self.guard.poll()
-        ended = sum(self.guard.ends_connection("hot") for _ in range(1000))
+        ended = sum(self.guard.closes_after_response("hot") for _ in range(1000))
         self.assertAlmostEqual(500, ended, delta=60)
 
     def test_requests_that_would_be_very_late_are_always_refused(self):
@@ -257,7 +259,7 @@
         self.assertEqual("processor", self.guard.shed_reason_for_all(0.2))
         self.assertEqual("processor", self.guard.shed_reason(0.2, "small"))
         # A brief request waits for fewer events.
-        self.assertEqual("", self.guard.shed_reason_for_all(0.2, is_brief=True))
+        self.assertEqual("", self.guard.shed_reason_for_all(0.2, is_plain_call=True))
         self.assertEqual("", self.guard.shed_reason(2.0, "small"))
 
     def test_accounts_within_their_share_are_refused_last(self):
@@ -294,7 +296,7 @@
             guard.poll()
             self.assertTrue(0.0 <= guard.sustainable_share() <= 1.0)
             self.assertIn(guard.shed_reason(objective, account), ("", "processor"))
-            self.assertIn(guard.ends_connection(account), (True, False))
+            self.assertIn(guard.closes_after_response(account), (True, False))
             guard.record_request(account)
         source.now = Load(math.nan, -math.inf)
         clock.now += 20.0
@@ -383,7 +385,7 @@
             sender = router.relay._sender
             sender._generations.record_pause = lambda *run: reported.append(run)
             entry = next(iter(router.directory.entries_by_id.values()))
-            answer = Answer(None, entry, 0, "run", None, 0.0)
+            answer = UpstreamResponse(None, entry, 0, "run", None, 0.0)
             router.clients.meter = DelayedMeter(0.3)
             sender.record_pause(answer, 0.6, 0.4)
             self.assertEqual([], reported)
@@ -521,7 +523,7 @@
             await until(router.is_ready)
             await until(router.load.may_accept)
             await until(
-                lambda: not router.load.shed_reason_for_all(0.4, is_brief=False)
+                lambda: not router.load.shed_reason_for_all(0.4, is_plain_call=False)
             )
             stranger = PlatformCaller(deployment)
             answer = await stranger.stream(deadline_ms=8000)
@@ -557,7 +559,7 @@
             )
             await until(
                 lambda: router.load.shed_reason_for_all(
-                    route.latency_objective, is_brief=False
+                    route.latency_objective, is_plain_call=False
                 )
             )
             status, headers, body = await kept.stream(deadline_ms=8000)
--- a/tests/test_uneven.py
+++ b/tests/test_uneven.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from lynxchute.bench.emulator.scenario import Noise, read_scenario
-from lynxchute.edge.plain_calls import PlainCalls
+from lynxchute.edge.plain_calls import PlainCallPlacement
 from lynxchute.edge.settings import Features
 from lynxchute.http import AbortHandle
 from lynxchute.scheduling.board import Candidate, EngineBoard
@@ -219,7 +219,7 @@
             )
         limits = ColdLimits(0.0, 0.0, 0.0, 0.0)
         gate = SendGate(Evacuations(), lambda _: limits, no_limits_kept())
-        self.calls = PlainCalls(
+        self.calls = PlainCallPlacement(
             Settings(**(features or {"learned_speeds": True})),
             self.directory,
             gate,
