--- a/lynxchute/application.py
+++ b/lynxchute/application.py
@@ -147,7 +147,7 @@
     phase differs by process, so that the routers of a fleet do not tick all at once.
     """
     tick = ((now - _TICK_PHASE) // interval + 1.0) * interval + _TICK_PHASE
-    # Rounding errors must not return the tick that has just fired.
+    # Rounding errors can give the tick that has just fired; return the next one then.
     return tick if tick - now > interval * TICK_MARGIN else tick + interval
 
 
--- a/lynxchute/containment/judge.py
+++ b/lynxchute/containment/judge.py
@@ -128,7 +128,7 @@
     def _merge_record(self, record: QuarantineRecord) -> None:
         self.attribution.merge_record(record)
         # Stop sending messages about requests that were released.
-        self._broadcast.retain_only(self.attribution.quarantined_by_content.keys())
+        self._broadcast.prune(self.attribution.quarantined_by_content.keys())
 
     async def _poll(self) -> None:
         self._judge_and_persist()
--- a/lynxchute/containment/news.py
+++ b/lynxchute/containment/news.py
@@ -80,7 +80,7 @@
         self._updates.append(_Update(message, self._clock() + DELIVERY_SECONDS))
         del self._updates[:-MAX_UPDATES]
 
-    def retain_only(self, contents: Container[str]) -> None:
+    def prune(self, contents: Container[str]) -> None:
         """Discard messages that quarantine a request not in ``contents``."""
         kept = []
         for update in self._updates:
--- a/lynxchute/edge/application.py
+++ b/lynxchute/edge/application.py
@@ -178,7 +178,7 @@
             ledger,
             platform.store,
             self.members.homes,
-            settled=self.registry.settled,
+            settled=self.registry.members_known,
             started_at=steady_seconds() if started_at is None else started_at,
             before_first_write=self.final_use_exchange.fetch_predecessor_use,
         )
--- a/lynxchute/fleet/registry.py
+++ b/lynxchute/fleet/registry.py
@@ -60,7 +60,7 @@
     ----------
     secret
         The shared secret in the fleet's messages; empty until read from the store.
-    settled
+    members_known
         Set once the routers that had registered by then are known.
     listeners
         Called after each batch of changed rows.
@@ -75,7 +75,7 @@
     def __init__(self, store: Store, members: Members, *, is_first_start: bool) -> None:
         super().__init__()
         self.secret = ""
-        self.settled = asyncio.Event()
+        self.members_known = asyncio.Event()
         self.listeners: list[Callable[[], None]] = []
         self.peers: Peers | None = None
         self.handlers_by_key: dict[str, Callable[[Row], None]] = {}
@@ -123,7 +123,7 @@
             await self._propose_secret()
         if self._is_first_start:
             await asyncio.sleep(FIRST_START_SECONDS)
-        self.settled.set()
+        self.members_known.set()
         while True:
             await asyncio.sleep(PING_SECONDS)
             await self._ping_unreachable()
--- a/lynxchute/http/connection.py
+++ b/lynxchute/http/connection.py
@@ -140,7 +140,7 @@
         self._discard_body()
         self._wake_writer()
         if self._answer_buffer is not None:
-            self._answer_buffer.release()
+            self._answer_buffer.stop_tracking()
         if self.handler_task is None or self._responder is None:
             return
         if not self._responder.finished and not self._responder.survives_disconnect:
--- a/lynxchute/http/held_answer.py
+++ b/lynxchute/http/held_answer.py
@@ -66,6 +66,6 @@
         self._written += size
         self._guard.update(self, self._clock())
 
-    def release(self) -> None:
+    def stop_tracking(self) -> None:
         """Stop tracking the connection, which is closed."""
         self._guard.drop(self)
--- a/lynxchute/operators/evacuation_rows.py
+++ b/lynxchute/operators/evacuation_rows.py
@@ -111,13 +111,13 @@
             return Error(
                 f"No data centre is called {name!r}. {suggest_name(name, known)}"
             )
-        return await _with_store_errors(
+        return await _write_or_error(
             self._write_evacuation(name, known, operator, is_forced)
         )
 
     async def revoke(self, name: str) -> Result[str, str]:
         """Revoke an evacuation; return a confirmation or the reason for failure."""
-        return await _with_store_errors(self._delete_evacuation(name))
+        return await _write_or_error(self._delete_evacuation(name))
 
     async def _write_evacuation(
         self, name: str, known: set[str], operator: str, is_forced: bool
@@ -169,7 +169,7 @@
 COLUMNS = ("data_centre", "since_s", *STATE_COLUMNS)
 
 
-async def _with_store_errors(write: Awaitable[Result[str, str]]) -> Result[str, str]:
+async def _write_or_error(write: Awaitable[Result[str, str]]) -> Result[str, str]:
     """Await a write, and turn errors of the store into messages for operators."""
     try:
         return await write
--- a/lynxchute/overload/drain.py
+++ b/lynxchute/overload/drain.py
@@ -14,12 +14,12 @@
 
     Parameters
     ----------
-    per_second
+    initial_rate
         Initial estimate, used until there are samples.
     """
 
-    def __init__(self, per_second: float) -> None:
-        self._initial_rate = per_second
+    def __init__(self, initial_rate: float) -> None:
+        self._initial_rate = initial_rate
         self._count = 0.0
         self._updated_at = 0.0
         self._first_at: float | None = None
--- a/lynxchute/relay/sender.py
+++ b/lynxchute/relay/sender.py
@@ -65,7 +65,7 @@
         Tracks which requests crash the upstreams that run them.
     gate
         Withholds sends that must not reach an upstream.
-    statements
+    backpressure
         Reads the limits and state that upstreams report in responses.
     clock
         Steady clock in seconds.
@@ -86,7 +86,7 @@
         reachability: Reachability,
         containment: Containment,
         gate: SendGate,
-        statements: BackpressureRecorder,
+        backpressure: BackpressureRecorder,
         clock: Callable[[], float],
         *,
         times: ServiceTimes | None = None,
@@ -101,7 +101,7 @@
         self._reachability = reachability
         self._containment = containment
         self._gate = gate
-        self._statements = statements
+        self._backpressure = backpressure
         self._clock = clock
         self._times = times
         self._hedger = hedger
@@ -270,7 +270,7 @@
         response_kind = self._dialect.response_kind(response.status, response.headers)
         if response_kind is not ResponseKind.MOVED:
             # Another process that reuses the address reports its own state only.
-            self._statements.read(
+            self._backpressure.record(
                 exchange.call.request_id,
                 entry,
                 response,
--- a/lynxchute/relay/statement_reader.py
+++ b/lynxchute/relay/statement_reader.py
@@ -1,4 +1,4 @@
-"""Read the limits and state that upstreams report in response headers."""
+"""Record the backpressure that upstreams declare in response headers."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
         self._directory = directory
         self._clock = clock
 
-    def read(
+    def record(
         self,
         request_id: str,
         entry: Entry,
--- a/tests/test_containment.py
+++ b/tests/test_containment.py
@@ -124,7 +124,7 @@
         async def work():
             self.broadcast.publish(quarantined=(ITEM,))
             self.broadcast.publish(cleared=("other",))
-            self.broadcast.retain_only(set())
+            self.broadcast.prune(set())
             await self.broadcast.send_pending()
 
         self.run_async(work())
