--- a/lynxchute/relay/statement_reader.py
+++ b/lynxchute/relay/statement_reader.py
@@ -1,4 +1,4 @@
-"""Read the limits and state that upstreams report in response headers."""
+"""Record the backpressure that upstreams declare in response headers."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from lynxchute.upstreams.entry import Entry
 
 
-class StatementReader:
-    """Reads the headers of each response once, for all kinds of sends.
+class BackpressureRecorder:
+    """Records the backpressure that each response declares, for all kinds of sends.
 
     Parameters
     ----------
@@ -21,7 +21,7 @@
     directory
         Stores what upstreams report.
     clock
-        Monotonic clock in seconds.
+        Steady clock in seconds.
     """
 
     def __init__(
@@ -31,7 +31,7 @@
         self._directory = directory
         self._clock = clock
 
-    def read(
+    def record(
         self,
         request_id: str,
         entry: Entry,
