--- a/lynxchute/demo.py
+++ b/lynxchute/demo.py
@@ -20,8 +20,8 @@
 from lynxchute.event_loop import run as run_loop
 from lynxchute.http import ExchangeError, HttpClient
 from lynxchute.relay.refusal import RunStatus
-from lynxchute.standins.backpressure_scene import press_throttled
-from lynxchute.standins.callers import Callers, Sent
+from lynxchute.standins.backpressure_scene import run_throttling_scene
+from lynxchute.standins.callers import CallerRequest, Callers
 from lynxchute.standins.counts import (
     counted_by_account,
     paid_by_account,
@@ -51,7 +51,7 @@
 SEED = 7
 
 
-def measure(deployment: Deployment, sent: list[Sent]) -> dict[str, int]:
+def measure(deployment: Deployment, sent: list[CallerRequest]) -> dict[str, int]:
     """Return the counts of the last line."""
     served = served_by_account(deployment)
     counted = counted_by_account(deployment)
@@ -80,7 +80,7 @@
         "overspend_tokens": sum(max(n - paid[a], 0) for a, n in served.items()),
         "uncounted_tokens": sum(max(n - counted[a], 0) for a, n in served.items()),
         "counted_beyond_use": sum(max(counted[a] - n, 0) for a, n in served.items()),
-        "wrong_or_partial_answers": sum(not item.right for item in answered),
+        "wrong_or_partial_answers": sum(not item.is_correct for item in answered),
         "run_twice": sum(count > 1 for count in calls_run.values()),
         "not_run_but_ran": not_run_but_ran,
     }
@@ -244,7 +244,7 @@
     _say("some reservations are not settled yet")
 
 
-def _print_table(sent: list[Sent]) -> None:
+def _print_table(sent: list[CallerRequest]) -> None:
     print(f"\n{'account':<10}{'requests':>10}{'answered':>10}{'refused':>10}")
     for account in sorted({item.account for item in sent}):
         mine = [item for item in sent if item.account == account]
@@ -264,7 +264,7 @@
         _say(f"{EVACUATED} is evacuated and taken back; its engines come back cold")
         sent_to_evacuated = await _evacuate(deployment, callers, rate)
         _say("an engine names a limit, one says that it leaves, one asks for backoff")
-        throttled_sends = await press_throttled(
+        throttled_sends = await run_throttling_scene(
             deployment, callers, rate, 2 * SCENE_SECONDS
         )
         _say("waiting for the last settlements")
--- a/lynxchute/standins/__init__.py
+++ b/lynxchute/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the systems that a deployment meets."""
+"""Stand-ins for the store, the upstreams, the network and the callers of routers."""
--- a/lynxchute/standins/arrivals.py
+++ b/lynxchute/standins/arrivals.py
@@ -1,4 +1,4 @@
-"""When requests came to a stand-in of an upstream, and how cold it was then."""
+"""Record when requests reached a stand-in upstream, and when it was cold."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 @attrs.define
 class Arrivals:
-    """The times of all requests that an upstream took, in seconds of the loop.
+    """The arrival times of an upstream's requests, in seconds of the loop's clock.
 
     Attributes
     ----------
     times
-        All of them, in order.
+        The arrival time of each request, in ascending order.
     request_ids
-        Their ids, as far as they were told, in the same order.
+        The id of each request, empty where it is unknown, in the same order.
     cold_spans
-        Beginnings and ends of the times at which the upstream was cold.
+        Start and end of each period in which the upstream was cold.
     """
 
     times: list[float] = attrs.Factory(list)
@@ -27,28 +27,28 @@
     cold_spans: list[tuple[float, float]] = attrs.Factory(list)
 
     def note(self, now: float, request_id: str = "") -> None:
-        """Note a request."""
+        """Record the arrival of a request."""
         self.times.append(now)
         self.request_ids.append(request_id)
 
     def items(self) -> list[tuple[float, str]]:
-        """Return the time and the id of each request."""
+        """Return the arrival time and the id of each request."""
         return list(zip(self.times, self.request_ids, strict=True))
 
     def note_cold(self, seconds: float, now: float) -> None:
-        """Note that the upstream is cold from now on."""
+        """Record that the upstream is cold for some seconds from now on."""
         self.cold_spans.append((now, now + seconds))
 
     def cold_seconds(self, now: float) -> float:
-        """Return how much longer the upstream is cold."""
+        """Return for how many more seconds the upstream is cold."""
         return max((end - now for _, end in self.cold_spans), default=0.0)
 
     def since(self, then: float) -> list[float]:
-        """Return the times of the requests that came after a moment."""
+        """Return the arrival times from a given time on."""
         return self.times[bisect_left(self.times, then) :]
 
     def most_while_cold(self) -> int:
-        """Return the most requests that came within one second of a cold span."""
+        """Return the most requests that arrived in any one second of a cold span."""
         most = 0
         for begin, end in self.cold_spans:
             first = bisect_left(self.times, begin)
@@ -60,7 +60,7 @@
 
 
 def most_within(times: Sequence[float], span: float) -> int:
-    """Return the most of the times, in order, that lie within one span.
+    """Return the largest number of the ascending times in any window of this length.
 
     Examples
     --------
--- a/lynxchute/standins/backpressure_scene.py
+++ b/lynxchute/standins/backpressure_scene.py
@@ -1,4 +1,4 @@
-"""Engines that say what they want, and what routers send them all the same."""
+"""Have engines ask for less load, and count the requests sent in spite of that."""
 
 from __future__ import annotations
 
@@ -7,74 +7,80 @@
 import attrs
 
 from lynxchute.standins.arrivals import most_within
-from lynxchute.standins.callers import Callers, Sent
+from lynxchute.standins.callers import CallerRequest, Callers
 from lynxchute.standins.deployment import Deployment
 
-# Requests a second that an engine names as its limit of all routers together. So many
-# seconds after it has first done so it gets no more than 1.5 x 4 s x 0.5 + 5 = 8 within
-# four seconds.
+# Rate limit that an engine declares for all routers together, in requests a second.
+# Once LIMIT_GRACE_SECONDS have passed since its first declaration, it may receive at
+# most 1.5 x 4 s x 0.5 + 5 = 8 requests within any four seconds.
 LIMIT = 0.5
-LIMIT_MOST = 8
+MAX_IN_LIMIT_SPAN = 8
 LIMIT_SPAN = 4.0
-LIMIT_KNOWN_SECONDS = 3.0
-# Seconds for which another one turns everybody away, and requests that a router may
-# send it later than half a second after it was turned away.
+LIMIT_GRACE_SECONDS = 3.0
+# Seconds for which another engine refuses every request with a backoff, and the number
+# of requests that one router may still send it later than BACKOFF_GRACE_SECONDS after
+# its first refusal.
 BACKOFF_SECONDS = 3.0
-BACKOFF_KNOWN_SECONDS = 0.5
-BACKOFF_MOST = 2
-# Seconds after a third one has begun to say that it leaves in which all have heard.
-LEAVING_SECONDS = 2.0
-# The data centres whose first engines these are.
-THROTTLED_IN = ("kyu-a", "kyu-b", "kyu-c")
+BACKOFF_GRACE_SECONDS = 0.5
+MAX_LATE_IN_BACKOFF = 2
+# Seconds within which all routers must know that a third engine announces its leaving.
+LEAVING_GRACE_SECONDS = 2.0
+# The first engine of each of these data centres is throttled.
+THROTTLED_DATA_CENTRES = ("kyu-a", "kyu-b", "kyu-c")
 
 
 @attrs.frozen
-class ThrottledSends:
-    """What throttled engines got that they should not have got."""
+class ThrottlingViolations:
+    """Requests that throttled engines received in violation of what they asked for."""
 
     limit_passed: int
     sent_to_leaving: int
     sent_in_backoff: int
 
 
-async def press_throttled(
+async def run_throttling_scene(
     deployment: Deployment, callers: Callers, rate: float, seconds: float
-) -> ThrottledSends:
-    """Have engines state what they want, and count what they get all the same.
+) -> ThrottlingViolations:
+    """Have three engines declare a limit, a backoff and leaving; count violations.
 
     Parameters
     ----------
     rate, seconds
-        Of the requests meanwhile.
+        Requests a second that callers send meanwhile, and for how long.
     """
     engines = []
-    for data_centre in THROTTLED_IN:
+    for data_centre in THROTTLED_DATA_CENTRES:
         name = min(n for n in deployment.engines_by_name if n.startswith(data_centre))
         engines.append(deployment.engines_by_name[name])
     limited, leaving, backing_off = engines
     loop = asyncio.get_running_loop()
-    began = loop.time()
+    started_at = loop.time()
     limited.limit, leaving.says_it_leaves = LIMIT, True
-    backing_off.backoff_until = began + BACKOFF_SECONDS
+    backing_off.backoff_until = started_at + BACKOFF_SECONDS
     await callers.run(seconds, rate)
-    bound = limited.taken.since(began + LIMIT_KNOWN_SECONDS)
-    passed = most_within(bound, LIMIT_SPAN) - LIMIT_MOST
+    limited_arrivals = limited.taken.since(started_at + LIMIT_GRACE_SECONDS)
+    excess = most_within(limited_arrivals, LIMIT_SPAN) - MAX_IN_LIMIT_SPAN
     limited.limit = None
-    return ThrottledSends(
-        limit_passed=max(passed, 0),
-        sent_to_leaving=len(leaving.taken.since(began + LEAVING_SECONDS)),
+    return ThrottlingViolations(
+        limit_passed=max(excess, 0),
+        sent_to_leaving=len(leaving.taken.since(started_at + LEAVING_GRACE_SECONDS)),
         sent_in_backoff=_sent_in_backoff(backing_off.refusals, callers.sent),
     )
 
 
-def _sent_in_backoff(refusals: list[tuple[float, str]], sent: list[Sent]) -> int:
-    """Return the requests that routers sent in a backoff beyond what they may."""
+def _sent_in_backoff(
+    refusals: list[tuple[float, str]], sent: list[CallerRequest]
+) -> int:
+    """Return how many requests routers sent in a backoff beyond the allowed ones."""
     vm_by_request = {a.request_id: a.vm for item in sent for a in item.attempts}
-    first_by_vm: dict[str, float] = {}
-    late_by_vm: dict[str, int] = {}
+    first_refusal_by_vm: dict[str, float] = {}
+    late_sends_by_vm: dict[str, int] = {}
     for at, request_id in refusals:
         vm = vm_by_request.get(request_id, "")
-        first = first_by_vm.setdefault(vm, at)
-        is_late = at >= first + BACKOFF_KNOWN_SECONDS
-        late_by_vm[vm] = late_by_vm.get(vm, 0) + is_late
-    return sum(max(late - BACKOFF_MOST, 0) for late in late_by_vm.values())
+        first_refusal = first_refusal_by_vm.setdefault(vm, at)
+        is_late = at >= first_refusal + BACKOFF_GRACE_SECONDS
+        late_sends_by_vm[vm] = late_sends_by_vm.get(vm, 0) + is_late
+    return sum(
+        max(late_sends - MAX_LATE_IN_BACKOFF, 0)
+        for late_sends in late_sends_by_vm.values()
+    )
--- a/lynxchute/standins/callers.py
+++ b/lynxchute/standins/callers.py
@@ -1,4 +1,4 @@
-"""Callers as they are outside: they repeat, and judge what they get."""
+"""Simulated callers that retry refused requests and verify the answers."""
 
 from __future__ import annotations
 
@@ -18,24 +18,25 @@
 from lynxchute.standins.deployment import MODEL, Deployment, caller_key
 from lynxchute.standins.text import answer_tokens
 
-TRIES = 12
-REFUSED_FOR_GOOD = frozenset({400, 401, 402, 404, 413})
-# A request that needs no more than this could still be paid.
-MOST_TOKENS = 400
-CALL_SHARE, STREAM_SHARE = 0.25, 0.7
-PAUSE_SECONDS, MAX_PAUSE_SECONDS = 0.2, 0.5
+MAX_ATTEMPTS = 12
+PERMANENT_REFUSALS = frozenset({400, 401, 402, 404, 413})
+# Upper bound of the tokens of one request: a refusal is false if the budget has more
+# left.
+MAX_REQUEST_TOKENS = 400
+PLAIN_SHARE, STREAM_SHARE = 0.25, 0.7
+RETRY_SECONDS, MAX_RETRY_SECONDS = 0.2, 0.5
 
 
 @attrs.define
 class Attempt:
-    """One send of a request, and what came of it.
+    """One attempt to send a request, and its result.
 
     Attributes
     ----------
     vm
-        Whose router it was sent to; empty before.
+        The VM whose router it was sent to; empty before it is sent.
     run
-        What a refusal said of it; empty without one.
+        The run status that a refusal states; empty without a refusal.
     """
 
     request_id: str
@@ -45,40 +46,40 @@
 
 
 @attrs.define
-class Sent:
+class CallerRequest:
     """A request of a caller, with all its attempts.
 
     Attributes
     ----------
     outcome
         ``answered``, ``refused`` or ``lost``.
-    right
-        Whether the answer was whole and its own; None without one.
+    is_correct
+        Whether the answer was complete and belonged to the request; None without one.
     false_refusal
-        Whether it was refused although its budget had tokens left.
+        Whether it was refused although its account's budget had tokens left.
     """
 
     account: str
     name: str
-    is_call: bool
+    is_plain: bool
     attempts: list[Attempt] = attrs.Factory(list)
     outcome: str = "lost"
-    right: bool | None = None
+    is_correct: bool | None = None
     false_refusal: bool = False
 
-    def may_repeat(self) -> bool:
+    def may_retry(self) -> bool:
         """Return whether the caller may send it again.
 
-        A call of the plain service may run once; it is sent again only after a
-        refusal that says that it has not run.
+        Calls of the plain service are not idempotent: they are retried only after a
+        refusal that states that they have not run.
         """
         last = self.attempts[-1]
-        return not self.is_call or last.run == RunStatus.NOT_RUN.value
+        return not self.is_plain or last.run == RunStatus.NOT_RUN.value
 
 
 @attrs.frozen
 class Reply:
-    """An answer read to its end."""
+    """A response with its complete body."""
 
     status: int
     body: bytes
@@ -86,18 +87,18 @@
 
 
 class Callers:
-    """Send requests to the routers as a balancer would.
+    """Send requests to random routers of a deployment, as a load balancer does.
 
     Parameters
     ----------
     deployment
-        Whose routers are called.
+        The deployment whose routers are called.
     rng
         The source of randomness.
     """
 
     def __init__(self, deployment: Deployment, rng: random.Random) -> None:
-        self.sent: list[Sent] = []
+        self.sent: list[CallerRequest] = []
         self._deployment = deployment
         self._random = rng
 
@@ -106,30 +107,34 @@
         tasks = []
         end = time.monotonic() + seconds
         while time.monotonic() < end:
-            tasks.append(asyncio.create_task(self._one()))
+            tasks.append(asyncio.create_task(self._run_request()))
             await asyncio.sleep(self._random.expovariate(rate))
         await asyncio.gather(*tasks)
 
-    async def _one(self) -> None:
+    async def _run_request(self) -> None:
         account = self._random.choice(list(self._deployment.shape.budgets))
-        is_call = self._random.random() < CALL_SHARE
-        sent = Sent(account, f"r{len(self.sent)}", is_call)
+        is_plain = self._random.random() < PLAIN_SHARE
+        sent = CallerRequest(account, f"r{len(self.sent)}", is_plain)
         self.sent.append(sent)
         stream = self._random.random() < STREAM_SHARE
-        for number in range(TRIES):
+        for number in range(MAX_ATTEMPTS):
             attempt = Attempt(f"{sent.name}-{number}")
             sent.attempts.append(attempt)
-            reply = await self._try(sent, attempt, stream=stream)
-            if reply is not None and self._take(sent, attempt, reply, stream=stream):
+            reply = await self._send(sent, attempt, stream=stream)
+            if reply is not None and self._record_reply(
+                sent, attempt, reply, stream=stream
+            ):
                 return
-            if not sent.may_repeat():
+            if not sent.may_retry():
                 sent.outcome = "refused"
                 return
-            pause = reply.retry_after if reply is not None else PAUSE_SECONDS
-            await asyncio.sleep(pause)
+            delay = reply.retry_after if reply is not None else RETRY_SECONDS
+            await asyncio.sleep(delay)
 
-    async def _try(self, sent: Sent, attempt: Attempt, *, stream: bool) -> Reply | None:
-        """Send a request to a live router; None where no answer came."""
+    async def _send(
+        self, sent: CallerRequest, attempt: Attempt, *, stream: bool
+    ) -> Reply | None:
+        """Send a request to a running router; return None if no response came."""
         vms = list(self._deployment.routers_by_vm)
         attempt.vm = self._random.choice(vms)
         port = self._deployment.caller_port(attempt.vm)
@@ -138,8 +143,8 @@
             (names.AUTHORIZATION, f"Bearer {caller_key(sent.account)}"),
             (names.REQUEST_ID, attempt.request_id),
         ]
-        target, value = CHAT_PATH, self._question(sent, stream=stream)
-        if sent.is_call:
+        target, value = CHAT_PATH, self._chat_request(sent, stream=stream)
+        if sent.is_plain:
             target, value = self._deployment.shape.prefix, {"ticket": sent.name}
         try:
             response = await client.request(
@@ -150,10 +155,10 @@
             return None
         finally:
             client.close()
-        wait = float(response.headers.get("retry-after", str(PAUSE_SECONDS)))
-        return Reply(response.status, body, min(wait, MAX_PAUSE_SECONDS))
+        wait = float(response.headers.get("retry-after", str(RETRY_SECONDS)))
+        return Reply(response.status, body, min(wait, MAX_RETRY_SECONDS))
 
-    def _question(self, sent: Sent, *, stream: bool) -> dict[str, Any]:
+    def _chat_request(self, sent: CallerRequest, *, stream: bool) -> dict[str, Any]:
         message = {"role": "user", "content": f"Which road first? {sent.name}"}
         return {
             "model": MODEL,
@@ -162,48 +167,55 @@
             "stream": stream,
         }
 
-    def _take(
-        self, sent: Sent, attempt: Attempt, reply: Reply, *, stream: bool
+    def _record_reply(
+        self, sent: CallerRequest, attempt: Attempt, reply: Reply, *, stream: bool
     ) -> bool:
-        """Note a reply; return whether the caller is done."""
+        """Record a reply; return whether the request is finished."""
         attempt.status = reply.status
         if reply.status == 200:
-            whole, right = self._judge(sent, reply.body, stream=stream)
-            if not whole:
+            is_complete, is_correct = self._check_answer(
+                sent, reply.body, stream=stream
+            )
+            if not is_complete:
                 return False
             sent.outcome = "answered"
-            sent.right = right
+            sent.is_correct = is_correct
             return True
         attempt.run = json.loads(reply.body).get("run", "")
-        if reply.status in REFUSED_FOR_GOOD:
+        if reply.status in PERMANENT_REFUSALS:
             sent.outcome = "refused"
-            sent.false_refusal = self._budget_left(sent, reply.status)
+            sent.false_refusal = self._could_pay(sent, reply.status)
             return True
         return False
 
-    def _judge(self, sent: Sent, body: bytes, *, stream: bool) -> tuple[bool, bool]:
-        """Return whether an answer says that it is whole, and whether it is right."""
-        if sent.is_call:
+    def _check_answer(
+        self, sent: CallerRequest, body: bytes, *, stream: bool
+    ) -> tuple[bool, bool]:
+        """Return whether an answer is complete, and whether its content is correct."""
+        if sent.is_plain:
             path = str(json.loads(body)["path"])
             return True, path == self._deployment.shape.prefix
-        expected = "".join(answer_tokens(self._question(sent, stream=stream)))
+        expected = "".join(answer_tokens(self._chat_request(sent, stream=stream)))
         if not stream:
             message = json.loads(body)["choices"][0]["message"]
             return True, str(message["content"]) == expected
         if not body.endswith(b"data: [DONE]\n\n"):
             return False, False
-        return True, text_of(body) == expected
+        return True, streamed_text(body) == expected
 
-    def _budget_left(self, sent: Sent, status: int) -> bool:
-        """Return whether the budget, less what ran so far, covers a request."""
+    def _could_pay(self, sent: CallerRequest, status: int) -> bool:
+        """Return whether the account's budget left could have paid for the request."""
         if status != 402:
             return True
         paid = paid_by_account(self._deployment)[sent.account]
-        return paid - served_by_account(self._deployment)[sent.account] > MOST_TOKENS
+        return (
+            paid - served_by_account(self._deployment)[sent.account]
+            > MAX_REQUEST_TOKENS
+        )
 
 
-def text_of(body: bytes) -> str:
-    """Return the text of a streamed answer."""
+def streamed_text(body: bytes) -> str:
+    """Return the concatenated text of a streamed answer."""
     text = ""
     for line in body.decode().split("\n"):
         data = line.removeprefix("data: ")
--- a/lynxchute/standins/counts.py
+++ b/lynxchute/standins/counts.py
@@ -1,4 +1,4 @@
-"""What was paid, served and counted, from the stand-ins' own records."""
+"""Tokens paid, used and counted by account, from the records of the stand-ins."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def paid_by_account(deployment: Deployment) -> dict[str, int]:
-    """Return what was paid, as the newest version in force says."""
+    """Return the prepaid tokens by account, the highest that any router knows."""
     paid: dict[str, int] = {}
     for router in deployment.routers_by_vm.values():
         current = router.configurations.current
@@ -17,16 +17,16 @@
 
 
 def served_by_account(deployment: Deployment) -> dict[str, int]:
-    """Return the tokens that upstreams truly used, by account."""
+    """Return the tokens that upstreams recorded as used, by account."""
     served = dict.fromkeys(deployment.shape.budgets, 0)
-    most_by_request: dict[tuple[str, str], int] = {}
+    tokens_by_request: dict[tuple[str, str], int] = {}
     for engine in deployment.engines_by_name.values():
         for record in engine.records():
-            # A request that went on elsewhere counts its prompt once.
+            # A request that was resumed at another engine counts its prompt once.
             key = (record["account"], record["request_id"])
-            tokens = max(most_by_request.get(key, 0), record["total_tokens"])
-            most_by_request[key] = tokens
-    for (account, _), tokens in most_by_request.items():
+            tokens = max(tokens_by_request.get(key, 0), record["total_tokens"])
+            tokens_by_request[key] = tokens
+    for (account, _), tokens in tokens_by_request.items():
         served[account] += tokens
     for service in deployment.services_by_name.values():
         for record in service.records():
@@ -35,7 +35,7 @@
 
 
 def counted_by_account(deployment: Deployment) -> dict[str, int]:
-    """Return what the routers count as used, by account."""
+    """Return the tokens that the routers' ledgers count as used, by account."""
     counted = dict.fromkeys(deployment.shape.budgets, 0)
     for router in deployment.routers_by_vm.values():
         for account, share in router.ledger_sync.ledger.shares_by_account.items():
--- a/lynxchute/standins/daemon.py
+++ b/lynxchute/standins/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon of the stand-ins."""
+"""The daemon that runs the stand-ins of one settings file."""
 
 from __future__ import annotations
 
@@ -39,8 +39,8 @@
 class EngineSettings:
     """A stand-in model engine."""
 
-    name: str = option(doc="The name under which routers know it.")
-    address: Address = option(doc="Where it listens.")
+    name: str = option(doc="Its name in the routers' configuration.")
+    address: Address = option(doc="The address on which it listens.")
     models: tuple[str, ...] = option(doc="The models that it has loaded.")
     first_token_delay: float = option(
         default=0.05, low=0.0, doc="Seconds until the first token."
@@ -54,26 +54,30 @@
 class ServiceSettings:
     """A stand-in plain service."""
 
-    name: str = option(doc="The name under which routers know it.")
-    address: Address = option(doc="Where it listens.")
+    name: str = option(doc="Its name in the routers' configuration.")
+    address: Address = option(doc="The address on which it listens.")
 
 
 @attrs.frozen
 class LinkSettings:
-    """A relay that stands for a link of a data centre."""
+    """A relay that simulates a network link of a data centre."""
 
     data_centre: str = option(doc="The data centre that it belongs to.")
-    address: Address = option(doc="Where it listens.")
-    to: Address = option(doc="Where it relays to.")
-    delay: float = option(default=0.0, low=0.0, doc="Seconds in each direction.")
+    address: Address = option(doc="The address on which it listens.")
+    to: Address = option(doc="The address to which it relays connections.")
+    delay: float = option(
+        default=0.0, low=0.0, doc="Seconds of delay in each direction."
+    )
 
 
 @attrs.frozen
 class StandinSettings:
-    """Everything that the stand-ins are told at their start."""
+    """The settings of the stand-ins' daemon."""
 
-    store: Address = option(doc="Where the platform's store listens.")
-    control: Address = option(doc="Where links are cut and healed over HTTP.")
+    store: Address = option(doc="The address on which the platform's store listens.")
+    control: Address = option(
+        doc="The address on which links are cut and restored over HTTP."
+    )
     engines: tuple[EngineSettings, ...] = option(factory=tuple, doc="Model engines.")
     services: tuple[ServiceSettings, ...] = option(factory=tuple, doc="Plain services.")
     links: tuple[LinkSettings, ...] = option(
@@ -84,23 +88,23 @@
 def load_standin_settings(
     text: str, file: str
 ) -> Result[StandinSettings, tuple[Finding, ...]]:
-    """Return the settings of the stand-ins, or all that is wrong with them."""
+    """Return the stand-ins' settings, or every error found in them."""
     return load_document(text, StandinSettings, file)
 
 
 class Standins:
-    """All the stand-ins of one settings file.
+    """Run all stand-ins of one settings file.
 
     Parameters
     ----------
     settings
-        What they are told.
+        The addresses and parameters of the stand-ins.
     """
 
     def __init__(self, settings: StandinSettings) -> None:
         self._settings = settings
         self._store = PlatformStoreStandin()
-        self._control_server = HttpServer(self._control)
+        self._control_server = HttpServer(self._handle_control)
         self._upstreams: list[tuple[UpstreamServer, Address]] = []
         for engine in settings.engines:
             server = EngineServer(
@@ -117,7 +121,7 @@
         ]
 
     async def start(self) -> None:
-        """Begin to listen everywhere."""
+        """Open all listening ports."""
         settings = self._settings
         await self._store.open_port(settings.store.host, settings.store.port)
         await self._control_server.start(settings.control.host, settings.control.port)
@@ -127,7 +131,7 @@
             await link.start(link_settings.address.host, link_settings.address.port)
 
     async def stop(self) -> None:
-        """Stop everything."""
+        """Stop all stand-ins."""
         for _, link in self._links:
             await link.stop()
         for upstream, _ in self._upstreams:
@@ -135,8 +139,8 @@
         await self._control_server.kill()
         await self._store.close()
 
-    async def _control(self, request: Request, respond: Responder) -> None:
-        """Show the cuts, or cut and heal a data centre's links with a POST.
+    async def _handle_control(self, request: Request, respond: Responder) -> None:
+        """Return the state of the links; a POST cuts or restores a data centre's links.
 
         The body is ``{"data_centre": "kyu-c", "cut": true}``.
         """
@@ -144,19 +148,19 @@
             await not_found(request, respond)
             return
         if request.method == "POST":
-            self._cut(request.json())
-        shown = []
+            self._set_cut(request.json())
+        link_states = []
         for settings, link in self._links:
-            shown.append(
+            link_states.append(
                 {
                     "data_centre": settings.data_centre,
                     "to": str(settings.to),
                     "cut": link.cut,
                 }
             )
-        await respond.json(200, shown)
+        await respond.json(200, link_states)
 
-    def _cut(self, value: Any) -> None:
+    def _set_cut(self, value: Any) -> None:
         if not isinstance(value, dict) or not isinstance(value.get("cut"), bool):
             raise BadRequest(422, "give 'data_centre' and 'cut'")
         for settings, link in self._links:
@@ -166,19 +170,19 @@
 
 
 async def serve(settings: StandinSettings) -> None:
-    """Run the stand-ins until told to stop."""
-    ended = asyncio.Event()
-    install_stop_handlers(ended.set, lambda: os._exit(EXIT_KILLED))
+    """Run the stand-ins until a stop signal arrives."""
+    stopped = asyncio.Event()
+    install_stop_handlers(stopped.set, lambda: os._exit(EXIT_KILLED))
     standins = Standins(settings)
     await standins.start()
     log_event("started", pid=os.getpid())
-    await ended.wait()
+    await stopped.wait()
     await standins.stop()
     log_event("ended")
 
 
 def run(settings: Path, *, check: bool = False) -> None:
-    """Run the stand-ins for store, engines, services and links.
+    """Run the stand-ins of the store, engines, services and links.
 
     Parameters
     ----------
--- a/lynxchute/standins/deployment.py
+++ b/lynxchute/standins/deployment.py
@@ -1,4 +1,4 @@
-"""A whole deployment on stand-ins, over loopback, in one process."""
+"""A complete deployment in one process, with stand-ins over the loopback interface."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
 MODEL = "dispatch-7b"
 ENGINES, SERVICE = "engines", "app"
 OPERATOR_KEY = "operator-key"
-# Seconds between two looks at whether all routers are ready.
-LOOK_SECONDS = 0.01
+# Interval at which the routers' readiness is polled, in seconds.
+POLL_SECONDS = 0.01
 
 
 def caller_key(account: str) -> str:
@@ -51,16 +51,16 @@
     routers_by_data_centre
         How many entry VMs each data centre has.
     engines, services
-        Model replicas and app replicas in each data centre.
+        Replicas of the model engine and of the plain service in each data centre.
     budgets
-        Tokens that each client account has paid, by account.
+        Prepaid tokens of each client account, by account.
     prefix
         The path prefix of the plain service's route.
     limits
-        Bounds on callers.
+        Limits on callers' requests.
     cold_seconds, cold_per_second
         How long an engine is cold after a start, and the requests a second that it
-        bears meanwhile; 0 for any number.
+        can serve meanwhile; 0 for no limit.
     """
 
     routers_by_data_centre: dict[str, int]
@@ -77,13 +77,13 @@
 
 
 @attrs.define(eq=False)
-class _Site:
-    """What stands around one router: its way to the store, and the ways to it.
+class _RouterLinks:
+    """The links of one router: to the store, and from other data centres to its port.
 
     Attributes
     ----------
     peer_links_by_source
-        The links to its port for other routers, from each data centre.
+        The links to its port for other routers, by the data centre that uses them.
     """
 
     data_centre: str
@@ -93,7 +93,7 @@
 
 
 class Deployment:
-    """Run stand-ins and routers, cut links, and kill routers.
+    """Run routers and stand-ins in this process, and inject faults.
 
     Parameters
     ----------
@@ -108,11 +108,11 @@
         self.services_by_name: dict[str, ServiceServer] = {}
         self.routers_by_vm: dict[str, RouterApplication] = {}
         self.document = FleetDocument()
-        self._sites_by_vm: dict[str, _Site] = {}
-        self._vms: dict[str, str] = {}
+        self._links_by_vm: dict[str, _RouterLinks] = {}
+        self._data_centre_by_vm: dict[str, str] = {}
         for data_centre, count in shape.routers_by_data_centre.items():
             for index in range(1, count + 1):
-                self._vms[f"{data_centre}-{index}"] = data_centre
+                self._data_centre_by_vm[f"{data_centre}-{index}"] = data_centre
 
     @property
     def data_centres(self) -> tuple[str, ...]:
@@ -121,61 +121,61 @@
 
     @property
     def upstreams(self) -> list[UpstreamServer]:
-        """Return all stand-ins of upstreams."""
+        """Return the stand-ins of all engines and services."""
         return [*self.engines_by_name.values(), *self.services_by_name.values()]
 
     @property
     def control_bytes(self) -> int:
-        """Return the bytes between routers, and between them and the store."""
+        """Return the bytes sent so far between routers, and to and from the store."""
         carried = 0
-        for site in self._sites_by_vm.values():
-            carried += site.store_link.bytes_carried
-            for link in site.peer_links_by_source.values():
+        for links in self._links_by_vm.values():
+            carried += links.store_link.bytes_carried
+            for link in links.peer_links_by_source.values():
                 carried += link.bytes_carried
         return carried
 
     async def start(self) -> None:
         """Start the stand-ins, then every router."""
         await self._start_upstreams()
-        for vm, data_centre in self._vms.items():
-            await self._prepare(vm, data_centre)
-        await asyncio.gather(*[self.start_router(vm) for vm in self._vms])
+        for vm, data_centre in self._data_centre_by_vm.items():
+            await self._start_links(vm, data_centre)
+        await asyncio.gather(*[self.start_router(vm) for vm in self._data_centre_by_vm])
         await self.wait_until_ready()
 
     async def start_router(self, vm: str) -> RouterApplication:
-        """Start a new run on a VM."""
+        """Start a new router process on a VM."""
         router = RouterApplication(self._settings(vm))
-        source = self._vms[vm]
-        router.peers.address_of = lambda member: self._way_to(member.vm, source)
+        source = self._data_centre_by_vm[vm]
+        router.peers.address_of = lambda member: self._peer_address(member.vm, source)
         self.routers_by_vm[vm] = router
         await router.start()
-        for link in self._sites_by_vm[vm].peer_links_by_source.values():
+        for link in self._links_by_vm[vm].peer_links_by_source.values():
             link.target = f"{HOST}:{router.peer_server.server.port}"
         return router
 
     async def kill_router(self, vm: str) -> None:
-        """End a router at once, as the loss of its VM does."""
+        """Stop a router without draining, as the loss of its VM would."""
         await self.routers_by_vm.pop(vm).kill()
 
     async def stop_router(self, vm: str) -> None:
-        """End a router gracefully."""
+        """Drain a router, then stop it."""
         router = self.routers_by_vm.pop(vm)
         await router.drain()
         await router.kill()
 
     async def wait_until_ready(self) -> None:
-        """Wait until every router serves, holds budgets and knows the others."""
-        while not all(self._is_settled(vm) for vm in self.routers_by_vm):
-            await asyncio.sleep(LOOK_SECONDS)
+        """Wait until every router is ready, knows the others and has budget shares."""
+        while not all(self._is_joined(vm) for vm in self.routers_by_vm):
+            await asyncio.sleep(POLL_SECONDS)
         while not all(self._holds_budgets(place) for place in self.data_centres):
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(POLL_SECONDS)
 
     def caller_port(self, vm: str) -> int:
-        """Return the port where a router listens for callers."""
+        """Return the port on which a router listens for callers."""
         return self.routers_by_vm[vm].callers.port
 
     async def operate(self, vm: str, statement: str) -> tuple[int, dict[str, object]]:
-        """Run an operator's statement through a router."""
+        """Run an operator's statement at a router; return status and answer."""
         client = HttpClient(f"{HOST}:{self.caller_port(vm)}")
         headers = [("Authorization", f"Bearer {OPERATOR_KEY}")]
         try:
@@ -186,31 +186,31 @@
             client.close()
 
     def set_cut(self, data_centre: str, cut: bool) -> None:
-        """Cut a data centre off from the store and the others, or heal it."""
-        for site in self._sites_by_vm.values():
-            if site.data_centre == data_centre:
-                site.store_link.set_cut(cut)
-            for source, link in site.peer_links_by_source.items():
-                if (source == data_centre) != (site.data_centre == data_centre):
+        """Disconnect a data centre from the store and the others, or reconnect it."""
+        for links in self._links_by_vm.values():
+            if links.data_centre == data_centre:
+                links.store_link.set_cut(cut)
+            for source, link in links.peer_links_by_source.items():
+                if (source == data_centre) != (links.data_centre == data_centre):
                     link.set_cut(cut)
 
     def store_faults(self, vm: str) -> StoreFaults:
-        """Return what goes wrong between a router and the store."""
-        return self.store.faults_by_port[self._sites_by_vm[vm].store_port]
+        """Return the faults that the store injects for one router, to be changed."""
+        return self.store.faults_by_port[self._links_by_vm[vm].store_port]
 
     async def stop(self) -> None:
-        """Stop everything at once."""
+        """Stop all routers, links and stand-ins without draining."""
         for router in list(self.routers_by_vm.values()):
             await router.kill()
-        for site in self._sites_by_vm.values():
-            await site.store_link.stop()
-            for link in site.peer_links_by_source.values():
+        for links in self._links_by_vm.values():
+            await links.store_link.stop()
+            for link in links.peer_links_by_source.values():
                 await link.stop()
         for upstream in self.upstreams:
             await upstream.server.kill()
         await self.store.close()
 
-    def _is_settled(self, vm: str) -> bool:
+    def _is_joined(self, vm: str) -> bool:
         router = self.routers_by_vm[vm]
         expected = len(self.routers_by_vm)
         return (
@@ -220,22 +220,22 @@
         )
 
     def _holds_budgets(self, data_centre: str) -> bool:
-        """Return whether a data centre has its part of every budget."""
+        """Return whether a data centre's routers hold a grant of every budget."""
         held: set[str] = set()
         for vm, router in self.routers_by_vm.items():
-            if self._vms[vm] != data_centre:
+            if self._data_centre_by_vm[vm] != data_centre:
                 continue
             for account, share in router.ledger_sync.ledger.shares_by_account.items():
                 if share.terms.granted:
                     held.add(account)
         return held >= set(self.shape.budgets)
 
-    def _way_to(self, vm: str, source: str) -> str:
-        """Return where a router is reached from a data centre."""
-        return f"{HOST}:{self._sites_by_vm[vm].peer_links_by_source[source].port}"
+    def _peer_address(self, vm: str, source: str) -> str:
+        """Return the address at which a data centre reaches a router, over its link."""
+        return f"{HOST}:{self._links_by_vm[vm].peer_links_by_source[source].port}"
 
-    async def _prepare(self, vm: str, data_centre: str) -> None:
-        """Put links before the store and before the router's port for others."""
+    async def _start_links(self, vm: str, data_centre: str) -> None:
+        """Start the links to the store and to the router's port for other routers."""
         port = await self.store.open_port()
         store_link = Link(f"{HOST}:{port}")
         await store_link.start()
@@ -244,7 +244,7 @@
             link = Link(f"{HOST}:1")
             await link.start()
             peer_links_by_source[source] = link
-        self._sites_by_vm[vm] = _Site(
+        self._links_by_vm[vm] = _RouterLinks(
             data_centre, port, store_link, peer_links_by_source
         )
 
@@ -259,11 +259,11 @@
                     token_delay=self.shape.token_delay,
                 )
                 self.engines_by_name[engine.name] = engine
-                documents.append(await _start(engine, ENGINES, data_centre))
+                documents.append(await _start_upstream(engine, ENGINES, data_centre))
             for index in range(1, self.shape.services + 1):
                 service = ServiceServer(f"{data_centre}-app-{index}")
                 self.services_by_name[service.name] = service
-                documents.append(await _start(service, SERVICE, data_centre))
+                documents.append(await _start_upstream(service, SERVICE, data_centre))
         self.document = self._document(tuple(documents))
 
     def _document(self, upstreams: tuple[UpstreamDocument, ...]) -> FleetDocument:
@@ -299,25 +299,25 @@
         )
 
     def _settings(self, vm: str) -> RouterSettings:
-        site = self._sites_by_vm[vm]
-        anywhere = Address(HOST, 0)
+        links = self._links_by_vm[vm]
+        any_port = Address(HOST, 0)
         return RouterSettings(
             vm=vm,
-            data_centre=site.data_centre,
+            data_centre=links.data_centre,
             data_centres=self.data_centres,
             listen=ListenSettings(
-                callers=anywhere,
-                readiness=anywhere,
-                peers=anywhere,
+                callers=any_port,
+                readiness=any_port,
+                peers=any_port,
             ),
-            store=Address(HOST, site.store_link.port),
+            store=Address(HOST, links.store_link.port),
             stop=10.0,
             max_answer_tokens=self.shape.max_answer_tokens,
             configuration=self.document,
         )
 
 
-async def _start(
+async def _start_upstream(
     standin: UpstreamServer, service: str, data_centre: str
 ) -> UpstreamDocument:
     await standin.server.start(HOST, 0)
--- a/lynxchute/standins/engine.py
+++ b/lynxchute/standins/engine.py
@@ -1,7 +1,7 @@
 """A stand-in for a model engine with an OpenAI-style interface.
 
-It answers chat completions token by token, numbers its events, and goes on
-after an event that another engine gave. Its records say what truly ran.
+It answers chat completions token by token, numbers its events, and can resume
+a stream after an event that another engine sent. It records each run.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 from lynxchute.upstreams.load_report import LOAD_PATH
 
 EVENT_STREAM = "text/event-stream"
-# Prompts whose beginnings the stand-in says that it keeps.
-KEPT_PROMPTS = 64
-# Seconds from the beginning of a run that ends the process to its end, and until the
-# next process takes requests.
+# Number of prompt prefixes that the stand-in reports as cached.
+MAX_CACHED_PREFIXES = 64
+# Seconds from the start of a run that crashes the process to the crash, and from the
+# crash until the restarted process serves requests.
 CRASH_SECONDS = 0.03
-DOWN_SECONDS = 0.6
+RESTART_SECONDS = 0.6
 DONE = b"data: [DONE]\n\n"
 
 
@@ -39,7 +39,7 @@
     Attributes
     ----------
     done
-        Tokens of the answer so far; those that another engine gave count.
+        Tokens of the answer so far, including those that another engine sent.
     state
         ``running``, ``finished`` or ``cancelled``.
     """
@@ -54,7 +54,7 @@
     state: str = "running"
 
     def usage(self) -> dict[str, int]:
-        """Return the usage as the interface words it."""
+        """Return the token usage in the fields of the OpenAI API."""
         return {
             "prompt_tokens": self.prompt_tokens,
             "completion_tokens": self.done,
@@ -63,23 +63,23 @@
 
 
 class EngineServer(UpstreamServer):
-    """Serve a model engine over HTTP, with faults.
+    """Serve a simulated model engine over HTTP, and inject faults.
 
     Parameters
     ----------
     name
-        The name under which routers know it.
+        Its name in the routers' configuration.
     models
-        The models that are loaded.
+        The models that it has loaded.
     first_token_delay, token_delay
         Seconds until the first token, and between tokens.
 
     Attributes
     ----------
     deadly_texts
-        Questions that end the process as soon as it works on them.
+        Message texts that crash the process as soon as it runs them.
     ends
-        How often that has happened.
+        The number of crashes so far.
     """
 
     def __init__(
@@ -95,16 +95,16 @@
         self.runs: list[Generation] = []
         self.deadly_texts: set[str] = set()
         self.ends = 0
-        self._ending: asyncio.Task[None] | None = None
-        self._kept_tokens_by_prefix: OrderedDict[str, int] = OrderedDict()
+        self._restart_task: asyncio.Task[None] | None = None
+        self._cached_tokens_by_prefix: OrderedDict[str, int] = OrderedDict()
         self._first_token_delay = first_token_delay
         self._token_delay = token_delay
 
     def records(self) -> list[dict[str, Any]]:
-        """Return what ran, one record for each run."""
-        found = []
+        """Return one record for each run."""
+        rows = []
         for run in self.runs:
-            found.append(
+            rows.append(
                 {
                     "request_id": run.request_id,
                     "account": run.account,
@@ -112,26 +112,26 @@
                     **run.usage(),
                 }
             )
-        return found
+        return rows
 
     async def serve(self, request: Request, respond: Responder) -> None:
         """Serve one request."""
         if request.path == CHAT_PATH:
-            await self._complete(request, respond)
+            await self._serve_chat(request, respond)
             return
         if request.path == LOAD_PATH:
             running = sum(run.state == "running" for run in self.runs)
-            cached = list(self._kept_tokens_by_prefix.items())
+            cached = list(self._cached_tokens_by_prefix.items())
             load = {"running": running, "cached": cached}
             await respond.json(200, load, self.stated())
             return
         await not_found(request, respond)
 
-    async def _complete(self, request: Request, respond: Responder) -> None:
+    async def _serve_chat(self, request: Request, respond: Responder) -> None:
         question = request.json()
         if question.get("model") not in self.models:
             raise BadRequest(404, "the model is not loaded")
-        self._keep(request)
+        self._cache_prefix(request)
         last = request.headers.get(names.LAST_EVENT.lower(), "")
         run = Generation(
             request_id_of(request),
@@ -144,7 +144,7 @@
         )
         self.runs.append(run)
         if question["messages"][-1]["content"] in self.deadly_texts:
-            await self._end(run, respond)
+            await self._crash(run, respond)
             return
         try:
             if question.get("stream"):
@@ -155,31 +155,31 @@
             if run.state == "running":
                 run.state = "cancelled"
 
-    async def _end(self, run: Generation, respond: Responder) -> None:
-        """End the process as it begins to work, with everything that is open."""
+    async def _crash(self, run: Generation, respond: Responder) -> None:
+        """Crash the process shortly after the run starts, with all open connections."""
         run.state = "cancelled"
         headers = [("Content-Type", EVENT_STREAM), (names.REQUEST_ID, run.request_id)]
         await respond.start(200, [*headers, ("Transfer-Encoding", "chunked")])
         await asyncio.sleep(CRASH_SECONDS)
-        if self._ending is None or self._ending.done():
+        if self._restart_task is None or self._restart_task.done():
             self.ends += 1
-            self._ending = asyncio.create_task(self._start_again())
+            self._restart_task = asyncio.create_task(self._restart())
 
-    async def _start_again(self) -> None:
+    async def _restart(self) -> None:
         port = self.server.port
         await self.server.kill()
-        await asyncio.sleep(DOWN_SECONDS)
+        await asyncio.sleep(RESTART_SECONDS)
         await self.server.start("127.0.0.1", port)
 
-    def _keep(self, request: Request) -> None:
+    def _cache_prefix(self, request: Request) -> None:
         parsed = parse_chat_request(request)
         if parsed.is_error():
             return
         question = parsed.ok
-        self._kept_tokens_by_prefix[question.prefix] = question.prefix_bound
-        self._kept_tokens_by_prefix.move_to_end(question.prefix)
-        if len(self._kept_tokens_by_prefix) > KEPT_PROMPTS:
-            self._kept_tokens_by_prefix.popitem(last=False)
+        self._cached_tokens_by_prefix[question.prefix] = question.prefix_bound
+        self._cached_tokens_by_prefix.move_to_end(question.prefix)
+        if len(self._cached_tokens_by_prefix) > MAX_CACHED_PREFIXES:
+            self._cached_tokens_by_prefix.popitem(last=False)
 
     async def _answer(self, run: Generation, respond: Responder) -> None:
         await asyncio.sleep(self._first_token_delay)
@@ -202,31 +202,31 @@
         while run.done < len(run.tokens):
             token = run.tokens[run.done]
             run.done += 1
-            await respond.send(_numbered(run.done, _token_event(run, token)))
+            await respond.send(_with_event_id(run.done, _token_event(run, token)))
             if self.faults.break_streams:
                 run.state = "cancelled"
                 respond.abort()
                 return
             await asyncio.sleep(self._token_delay)
         run.state = "finished"
-        ends = (_stop_event(run), _usage_event(run), DONE)
-        for number, event in enumerate(ends, start=len(run.tokens) + 1):
-            await respond.send(_numbered(number, event))
+        final_events = (_stop_event(run), _usage_event(run), DONE)
+        for number, event in enumerate(final_events, start=len(run.tokens) + 1):
+            await respond.send(_with_event_id(number, event))
         await respond.finish()
 
 
-def _numbered(number: int, event: bytes) -> bytes:
+def _with_event_id(number: int, event: bytes) -> bytes:
     return b"id: %d\n%s" % (number, event)
 
 
-def _chunk(run: Generation, choices: list[Any], **more: Any) -> bytes:
+def _chunk(run: Generation, choices: list[Any], **fields: Any) -> bytes:
     value = {
         "id": f"chatcmpl-{run.request_id}",
         "object": "chat.completion.chunk",
         "created": run.created,
         "model": run.model,
         "choices": choices,
-        **more,
+        **fields,
     }
     return b"data: " + json.dumps(value, separators=(",", ":")).encode() + b"\n\n"
 
--- a/lynxchute/standins/faults.py
+++ b/lynxchute/standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults that can be switched on in a stand-in, over HTTP."""
+"""Faults of a stand-in, which can be read and changed over HTTP."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 @attrs.define
 class Faults:
-    """What a stand-in does wrong at the moment.
+    """The faults that a stand-in injects at present.
 
     Attributes
     ----------
     outage
-        Answer 503 and do nothing.
+        Whether every request is answered 503 without taking effect.
     lose_answers
-        Share of requests, 0 to 1, that take effect but whose answer is lost.
+        Share of requests, 0 to 1, that take effect but get no answer.
     delay
-        Seconds that each request waits before it takes effect.
+        Seconds by which each request is delayed before it takes effect.
     break_streams
-        Cut every open and new stream after its next event.
+        Whether every open or new stream is aborted after its next event.
     seed
-        Seed of the choice which answers are lost.
+        Seed of the random choice of the answers that are lost.
     """
 
     outage: bool = False
@@ -40,7 +40,7 @@
     )
 
     def change(self, values: dict[str, object]) -> None:
-        """Set the named faults; refuse unknown names and wrong types."""
+        """Set the given faults; reject unknown names and wrong types."""
         known = {field.name for field in attrs.fields(Faults)} - {"_random"}
         for name, value in values.items():
             if name not in known:
@@ -51,22 +51,24 @@
             setattr(self, name, expected(value))
         self._random = random.Random(self.seed)
 
-    async def before(self) -> bool:
-        """Wait out the delay; return whether the service is up."""
+    async def is_up_after_delay(self) -> bool:
+        """Delay a request; return False in an outage."""
         if self.delay:
             await asyncio.sleep(self.delay)
         return not self.outage
 
-    def loses_answer(self) -> bool:
-        """Return whether this request's answer is to be lost."""
+    def should_lose_answer(self) -> bool:
+        """Return whether to drop this request's answer, chosen at random."""
         return self.lose_answers > 0 and self._random.random() < self.lose_answers
 
     async def serve(self, request: Request, respond: Responder) -> None:
-        """Show the faults, or change them with a POST."""
+        """Return the faults as JSON; a POST changes them first."""
         if request.method == "POST":
             values = request.json()
             if not isinstance(values, dict):
                 raise BadRequest(422, "faults are a JSON object")
             self.change(values)
-        shown = attrs.asdict(self, filter=lambda field, _: field.name != "_random")
-        await respond.json(200, shown)
+        values_shown = attrs.asdict(
+            self, filter=lambda field, _: field.name != "_random"
+        )
+        await respond.json(200, values_shown)
--- a/lynxchute/standins/link.py
+++ b/lynxchute/standins/link.py
@@ -1,4 +1,4 @@
-"""A stand-in for the network between two places: a relay that can be cut."""
+"""A stand-in for a network link: a TCP relay that can be cut."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 import struct
 
 READ_SIZE = 65536
-# Have the kernel send a reset instead of an orderly end.
+# SO_LINGER value with which the kernel closes a connection by a reset, not a FIN.
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 class Direction(enum.Enum):
-    """Which way bytes go."""
+    """The direction in which bytes are relayed."""
 
     TO_TARGET = "to target"
     FROM_TARGET = "from target"
@@ -22,16 +22,16 @@
 class Link:
     """Relay TCP connections to an address while the link is up.
 
-    A cut link drops what is open and lets new connections hang without an
-    answer, as a lost route does. A held direction keeps its bytes until it is
-    let go; nobody at either end is told.
+    A cut link closes its connections and leaves new ones without an answer, as a
+    lost route does. A held direction buffers its bytes until it is released;
+    neither end is notified.
 
     Parameters
     ----------
     target
-        Where to relay to, as ``host:port``.
+        The address to relay to, as ``host:port``.
     delay
-        Seconds that each piece takes in each direction.
+        Seconds by which each chunk is delayed, in each direction.
     """
 
     def __init__(self, target: str, *, delay: float = 0.0) -> None:
@@ -54,14 +54,14 @@
         self.port = self._server.sockets[0].getsockname()[1]
 
     def set_cut(self, cut: bool) -> None:
-        """Cut the link, or heal it."""
+        """Cut the link, or restore it."""
         self.cut = cut
         if cut:
             for task in self._tasks:
                 task.cancel()
 
     def hold(self, *directions: Direction) -> None:
-        """Hold up the bytes of these directions, and let the others go on."""
+        """Stop relaying bytes in these directions, and resume the others."""
         for direction, is_open in self._open_by_direction.items():
             if direction in directions:
                 is_open.clear()
@@ -78,7 +78,7 @@
             task.cancel()
 
     async def stop(self) -> None:
-        """Close the link."""
+        """Close the listening port and all connections."""
         if self._server is not None:
             self._server.close()
         tasks = list(self._tasks)
--- a/lynxchute/standins/platform_store.py
+++ b/lynxchute/standins/platform_store.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store, at its published protocol, with its faults."""
+"""A stand-in for the platform's metadata store and its HTTP protocol, with faults."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 MAX_ROWS = 500
 MAX_ENTRIES = 100
 MAX_WAIT_MS = 30_000
-# Tables that only the operator and the upstreams write.
-FOREIGN_TABLES = frozenset({OPERATOR_TABLE, UPSTREAM_TABLE})
+# Tables that routers may not write: only the operator and the upstreams do.
+READ_ONLY_TABLES = frozenset({OPERATOR_TABLE, UPSTREAM_TABLE})
 
 RowKey = tuple[str, str, str]
 
 
 class Outage(enum.Enum):
-    """How the store fails one of its callers, or all of them."""
+    """How the store fails the requests at one of its addresses."""
 
     NONE = "none"
     BUSY = "busy"
@@ -43,20 +43,20 @@
 
 @attrs.define
 class StoreFaults:
-    """What goes wrong at one address of the store.
+    """The faults at one address of the store.
 
     Attributes
     ----------
     lost_share
-        Share of the writes that are done and not answered.
+        Share of the writes that are applied but not answered.
     late_share, late_seconds
-        Share of the writes that give no answer and are done so much later, if
-        what they expect still holds.
+        Share of the writes that get no answer and are applied this many seconds
+        later, if the versions that they expect are still current.
     delay
         Seconds before each answer.
     hides_changes
-        Whether questions for changes are told none, though the version that
-        their answers bear has gone on.
+        Whether requests for changes return no rows, although the version in the
+        response has advanced.
     """
 
     outage: Outage = Outage.NONE
@@ -69,14 +69,14 @@
 
 @attrs.frozen
 class StoredRow:
-    """A row as the stand-in keeps it; a value of None marks a dropped one."""
+    """A row of the store; a value of None marks a deleted one."""
 
     key: RowKey
     value: str | None
     version: int
 
     def to_json(self) -> dict[str, Any]:
-        """Return the row as it goes over the wire."""
+        """Return the row in the format of the HTTP protocol."""
         table, part, key = self.key
         row: dict[str, Any] = {"table": table, "part": part, "key": key}
         row["ver"] = self.version
@@ -88,23 +88,23 @@
 
 
 class PlatformStoreStandin:
-    """Keep rows in memory and serve them at one address for each caller.
+    """Keep rows in memory and serve them, at one address for each router.
 
     Parameters
     ----------
     seed
-        Of the faults.
+        Seed of the random choice of writes that are lost or delayed.
     spans_parts
         Whether one write may change rows of several parts.
 
     Attributes
     ----------
     rows
-        What stands now.
+        The current rows, without deleted ones.
     faults_by_port
-        What goes wrong for whom.
+        The faults at each address, by its port.
     calls
-        Calls taken so far.
+        The number of requests so far.
     """
 
     def __init__(self, *, seed: int = 1, spans_parts: bool = True) -> None:
@@ -114,14 +114,14 @@
         self.calls = 0
         self.faults_by_port: dict[int, StoreFaults] = {}
         self._history: list[StoredRow] = []
-        self._forgotten = 0
+        self._discarded_until = 0
         self._random = random.Random(seed)
         self._changed = asyncio.Condition()
         self._servers: list[HttpServer] = []
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def open_port(self, host: str = "127.0.0.1", port: int = 0) -> int:
-        """Listen at one more address, with faults of its own; return its port."""
+        """Listen on another port, with faults of its own; return the port."""
         faults = StoreFaults()
 
         async def handle(request: Request, respond: Responder) -> None:
@@ -134,7 +134,7 @@
         return server.port
 
     async def close(self) -> None:
-        """Stop listening."""
+        """Close all ports and cancel delayed writes."""
         for task in list(self._tasks):
             task.cancel()
         for server in self._servers:
@@ -151,17 +151,17 @@
         return await self.put(OPERATOR_TABLE, CONFIGURATION_KEY, value)
 
     async def drop(self, table: str, key: str) -> int:
-        """Drop a row as the operator or an upstream."""
+        """Delete a row as the operator or an upstream; return the store's version."""
         return await self._apply({(table, "", key): None})
 
     def value(self, table: str, key: str, part: str = "") -> bytes | None:
-        """Return a row's value."""
+        """Return a row's value; None if there is no such row."""
         row = self.rows.get((table, part, key))
         return None if row is None else base64.b64decode(row.value or "")
 
     def forget_history(self) -> None:
-        """Forget which changes were made so far."""
-        self._forgotten = self.version
+        """Discard all changes so far, so that requests for them are answered 410."""
+        self._discarded_until = self.version
         self._history = []
 
     async def _handle(
@@ -201,7 +201,7 @@
         if not self.spans_parts and len({item.get("part", "") for item in entries}) > 1:
             await respond.json(400, {"error": "several parts"})
             return
-        if any(item["table"] in FOREIGN_TABLES for item in [*puts, *deletes]):
+        if any(item["table"] in READ_ONLY_TABLES for item in [*puts, *deletes]):
             await respond.json(403, {"error": "not yours"})
             return
         if self._random.random() < faults.late_share:
@@ -222,63 +222,63 @@
 
     async def _transact(self, body: dict[str, Any]) -> tuple[int, dict[str, Any]]:
         current = []
-        holds = True
+        matches = True
         for item in body.get("expected_revision") or []:
             row = self.rows.get(_key(item))
-            holds = holds and (row.version if row else 0) == item["ver"]
+            matches = matches and (row.version if row else 0) == item["ver"]
             if row is not None:
                 current.append(row.to_json())
-        if not holds:
-            return 412, {"rows": current, **self._stamp()}
+        if not matches:
+            return 412, {"rows": current, **self._version_fields()}
         changes: dict[RowKey, str | None] = {}
         for item in body.get("puts") or []:
             changes[_key(item)] = item["value"]
         for item in body.get("deletes") or []:
             changes[_key(item)] = None
         version = await self._apply(changes)
-        return 200, {**self._stamp(), "ver": version}
+        return 200, {**self._version_fields(), "ver": version}
 
     async def _read(self, request: Request, respond: Responder) -> None:
-        question = dict(parse_qsl(urlsplit(request.target).query))
-        first, end = question.get("from", ""), question.get("to")
-        limit = min(int(question.get("limit", MAX_ROWS)), MAX_ROWS)
-        found = []
+        params = dict(parse_qsl(urlsplit(request.target).query))
+        first, end = params.get("from", ""), params.get("to")
+        limit = min(int(params.get("limit", MAX_ROWS)), MAX_ROWS)
+        matching = []
         for key in sorted(self.rows):
             table, part, name = key
-            if table != question["table"] or part != question.get("part", ""):
+            if table != params["table"] or part != params.get("part", ""):
                 continue
             if name < first or (end is not None and name >= end):
                 continue
-            found.append(self.rows[key].to_json())
-        answer = {"rows": found[:limit], "has_more": len(found) > limit}
-        await respond.json(200, {**answer, **self._stamp()})
+            matching.append(self.rows[key].to_json())
+        answer = {"rows": matching[:limit], "has_more": len(matching) > limit}
+        await respond.json(200, {**answer, **self._version_fields()})
 
     async def _feed(
         self, faults: StoreFaults, request: Request, respond: Responder
     ) -> None:
-        question = dict(parse_qsl(urlsplit(request.target).query))
-        after = int(question["after_revision"])
-        wait = min(int(question.get("wait_ms", 0)), MAX_WAIT_MS) / 1000.0
+        params = dict(parse_qsl(urlsplit(request.target).query))
+        after = int(params["after_revision"])
+        wait = min(int(params.get("wait_ms", 0)), MAX_WAIT_MS) / 1000.0
         try:
             async with asyncio.timeout(wait), self._changed:
                 await self._changed.wait_for(
                     lambda: (
-                        after < self._forgotten
-                        or bool(self._since(question["table"], after))
+                        after < self._discarded_until
+                        or bool(self._changes_after(params["table"], after))
                     )
                 )
         except TimeoutError:
-            # Nothing has changed; the answer says so.
+            # No changes within the wait: the answer is an empty list.
             pass
-        if after < self._forgotten:
+        if after < self._discarded_until:
             await respond.json(410, {"error": "the history is gone"})
             return
-        rows = [row.to_json() for row in self._since(question["table"], after)]
+        rows = [row.to_json() for row in self._changes_after(params["table"], after)]
         if faults.hides_changes:
             rows = []
-        await respond.json(200, {"rows": rows, **self._stamp()})
+        await respond.json(200, {"rows": rows, **self._version_fields()})
 
-    def _since(self, table: str, after: int) -> list[StoredRow]:
+    def _changes_after(self, table: str, after: int) -> list[StoredRow]:
         return [
             row for row in self._history if row.version > after and row.key[0] == table
         ]
@@ -296,7 +296,7 @@
             self._changed.notify_all()
         return self.version
 
-    def _stamp(self) -> dict[str, Any]:
+    def _version_fields(self) -> dict[str, Any]:
         now_ms = int(asyncio.get_running_loop().time() * 1000)
         return {"ver": self.version, "now_ms": now_ms}
 
--- a/lynxchute/standins/platform_upstream.py
+++ b/lynxchute/standins/platform_upstream.py
@@ -1,4 +1,4 @@
-"""Upstreams of the platform, at their published protocol, with their faults."""
+"""Stand-ins for the platform's upstreams and their HTTP protocol, with faults."""
 
 from __future__ import annotations
 
@@ -18,59 +18,61 @@
     Fault,
     Run,
     next_event,
+    parse_run,
     read_body,
-    run_of,
 )
 
 _ids = itertools.count(1)
 
 
 class PlatformUpstreamStandin:
-    """Serve a model engine's or a plain service's requests.
+    """Serve requests as a model engine or a plain service of the platform.
 
     Parameters
     ----------
     service
         The service that it belongs to.
     data_centre
-        Where it stands.
+        The data centre that it registers.
     events
-        Events of each stream; 0 makes it a plain service.
+        Number of events in each stream; 0 makes it a plain service.
     event_delay
         Seconds between two events, and before a plain answer.
 
     Attributes
     ----------
     faults
-        What the next requests meet, in order; then they are served.
+        The faults of the next requests, in order; later requests have none.
     arrivals
-        The ids of all requests that came, run or not.
+        The ids of all requests that arrived, including those that did not run.
     runs
-        What it has worked on.
+        The requests that it ran.
     cache
-        Tokens of the parts of prompts that it says it keeps, by id.
+        Tokens of the prompt parts that it reports as cached, by id of the part.
     started_ms
-        When its process started, in Unix milliseconds; None where it does not say.
+        When its process started, in Unix milliseconds; None if it does not report it.
     reached_at
-        The port that it registers, where a relay stands before it; 0 for its
-        own.
+        The port that it registers if a relay is in front of it; 0 for its own.
     deadly_bodies
-        Requests that end the process as soon as it works on them, by body.
+        Request bodies that crash the process as soon as it runs them.
     crashes
-        How often that has happened.
+        The number of crashes so far.
     taken
-        When it took requests, and when it was cold.
+        The arrival times of requests, and the periods in which it was cold.
     cold_most
-        Requests within a second that end it while it is cold; 0 for none.
+        Requests a second that it can serve while cold; one more crashes it. 0 for no
+        limit.
     limit
-        Requests a second from all routers that its answers name as its limit.
+        The rate limit for all routers together that its answers declare, in requests
+        a second; None for none.
     backoff
         Seconds of backoff that its refusals ask for; 0 for none.
     backoff_until
-        Until when it turns all requests away and asks for the time that is left, on
-        the loop's clock.
+        Until when it refuses all requests and asks for a backoff of the remaining
+        time, on the loop's clock.
     says_it_leaves
-        Whether its answers say that it leaves, whatever its entry says.
+        Whether its answers announce that it is leaving, whatever its registered
+        state.
     """
 
     def __init__(
@@ -103,47 +105,47 @@
         self.says_it_leaves = False
         self.connections = 0
         self.started_ms: int | None = int(time.time() * 1000)
-        self._is_dark = False
+        self._is_unresponsive = False
         self._server: asyncio.Server | None = None
-        self._ending: asyncio.Task[None] | None = None
+        self._crash_task: asyncio.Task[None] | None = None
         self._tasks: set[asyncio.Task[None]] = set()
-        # Held, since a connection that nobody holds is closed.
-        self._dark_writers: list[asyncio.StreamWriter] = []
+        # Writers are kept because a connection without a reference would be closed.
+        self._unresponsive_writers: list[asyncio.StreamWriter] = []
 
     async def start(self, port: int = 0) -> None:
-        """Listen; port 0 takes any free port."""
+        """Listen on a port; 0 chooses a free one."""
         self._server = await asyncio.start_server(self._accept, "127.0.0.1", port)
         self.port = self._server.sockets[0].getsockname()[1]
 
     async def stop(self) -> None:
-        """End at once, like a crash."""
+        """Close all connections at once, as a crash does."""
         if self._server is not None:
             self._server.close()
-        for writer in self._dark_writers:
+        for writer in self._unresponsive_writers:
             writer.transport.abort()
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     async def lose_power(self) -> None:
-        """End without a word: connections stay open and bring nothing more."""
+        """Stop responding without closing connections, as a machine without power."""
         assert self._server is not None
         self._server.close()
-        self._is_dark = True
+        self._is_unresponsive = True
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     async def start_again(self, after_ms: int = 1000) -> None:
-        """Start again under the same id and address, knowing nothing of before."""
+        """Restart under the same id and address, without earlier runs and cache."""
         self.started_ms = (self.started_ms or 0) + after_ms
         self.runs, self.cache, self.faults = [], {}, []
-        self._is_dark = False
+        self._is_unresponsive = False
         await self.start(self.port)
 
     async def start_anew(self, store: PlatformStoreStandin) -> None:
-        """Start as another process at the same address, under an id of its own."""
+        """Start a new process with a new id at the same address, and register it."""
         await store.drop(UPSTREAM_TABLE, self.id)
         self.id = f"i-{next(_ids):06x}"
         self.started_ms = int(time.time() * 1000)
@@ -151,7 +153,7 @@
         await self.register(store)
 
     def grow_cold(self, seconds: float) -> None:
-        """Bear only a few requests for a while, as after a start."""
+        """Be cold for some seconds, as after a start."""
         self.taken.note_cold(seconds, asyncio.get_running_loop().time())
 
     @property
@@ -160,7 +162,7 @@
         return int(max(self.taken.cold_seconds(now), 0.0) * 1000)
 
     def stated(self, *, is_refusal: bool = False) -> list[tuple[str, str]]:
-        """Return the headers in which an answer says what the process wants."""
+        """Return the backpressure headers of an answer: limit, leaving and backoff."""
         headers = []
         if self.limit is not None:
             headers.append((names.UPSTREAM_LIMIT, f"{self.limit:g}"))
@@ -174,7 +176,7 @@
         return headers
 
     async def register(self, store: PlatformStoreStandin) -> None:
-        """Write its entry."""
+        """Write its entry to the store."""
         entry: dict[str, object] = {
             "service": self.service,
             "address": f"127.0.0.1:{self.reached_at or self.port}",
@@ -199,13 +201,13 @@
         try:
             await self._serve(reader, writer)
         except (OSError, h11.ProtocolError, asyncio.CancelledError):
-            if self._is_dark:
-                self._dark_writers.append(writer)
+            if self._is_unresponsive:
+                self._unresponsive_writers.append(writer)
                 return
             writer.transport.abort()
         finally:
             self._tasks.discard(task)
-            if not self._is_dark:
+            if not self._is_unresponsive:
                 writer.close()
 
     async def _serve(
@@ -218,10 +220,10 @@
                 return
             if head.target.decode() in (names.CACHE_LIST, names.REPORT_PATH):
                 await read_body(protocol, reader)
-                await self._tell(protocol, writer)
+                await self._send_report(protocol, writer)
                 continue
             fault = self.faults.pop(0) if self.faults else None
-            run = run_of(head)
+            run = parse_run(head)
             self.arrivals.append(run.request_id)
             if fault is Fault.EARLY:
                 await self._decline_early(writer)
@@ -230,7 +232,10 @@
             expected = run.headers.get(names.EXPECTED_UPSTREAM.lower(), self.id)
             if expected != self.id:
                 fault = Fault.MOVED
-            elif self._is_too_much(run.request_id) or run.body in self.deadly_bodies:
+            elif (
+                self._exceeds_cold_rate(run.request_id)
+                or run.body in self.deadly_bodies
+            ):
                 fault = Fault.CRASH
             elif asyncio.get_running_loop().time() < self.backoff_until:
                 fault = Fault.DECLINE
@@ -252,8 +257,8 @@
                 return
             protocol.start_next_cycle()
 
-    def _is_too_much(self, request_id: str) -> bool:
-        """Note a request; return whether it is more than a cold process bears."""
+    def _exceeds_cold_rate(self, request_id: str) -> bool:
+        """Record a request; return whether it exceeds the rate of a cold process."""
         now = asyncio.get_running_loop().time()
         self.taken.note(now, request_id)
         if not self.cold_most or self.taken.cold_seconds(now) <= 0:
@@ -261,19 +266,26 @@
         return len(self.taken.since(now - 1.0)) > self.cold_most
 
     def _crash(self) -> None:
-        """End the process; every connection goes with it."""
+        """Crash the process, which closes all connections."""
         self.crashes += 1
-        self._ending = asyncio.create_task(self.stop())
+        self._crash_task = asyncio.create_task(self.stop())
 
-    async def _tell(
+    async def _send_report(
         self, protocol: h11.Connection, writer: asyncio.StreamWriter
     ) -> None:
-        """Say what it is doing and what it keeps of prompts."""
-        held = [["", part_id, tokens, "m"] for part_id, tokens in self.cache.items()]
-        told: dict[str, object] = {"epoch": 1, "next": 0, "held": held, "sequence": 1}
+        """Send the report of its start time, cold period and cached prompt parts."""
+        cached_parts = [
+            ["", part_id, tokens, "m"] for part_id, tokens in self.cache.items()
+        ]
+        report: dict[str, object] = {
+            "epoch": 1,
+            "next": 0,
+            "held": cached_parts,
+            "sequence": 1,
+        }
         if self.started_ms is not None:
-            told[names.STARTED] = self.started_ms
-        body = json.dumps(told).encode()
+            report[names.STARTED] = self.started_ms
+        body = json.dumps(report).encode()
         headers = [
             ("Content-Length", str(len(body))),
             (names.COLD_MS, str(self._cold_ms)),
--- a/lynxchute/standins/service.py
+++ b/lynxchute/standins/service.py
@@ -1,4 +1,4 @@
-"""A stand-in for a plain service, such as ticket or score posting."""
+"""A stand-in for a plain HTTP service, for example one that posts tickets or scores."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 class ServiceServer(UpstreamServer):
-    """Serve any method and path; record each call that ran."""
+    """Serve any method and path, and record each request."""
 
     def __init__(self, name: str) -> None:
         super().__init__(name)
         self.runs: list[dict[str, Any]] = []
 
     def records(self) -> list[dict[str, Any]]:
-        """Return what ran, one record for each run."""
+        """Return one record for each run."""
         return self.runs
 
     async def serve(self, request: Request, respond: Responder) -> None:
-        """Run a call."""
+        """Record a request and answer with its path and the digest of its body."""
         request_id = request_id_of(request)
         self.runs.append(
             {
@@ -31,7 +31,7 @@
                 "method": request.method,
             }
         )
-        if self.faults.loses_answer():
+        if self.faults.should_lose_answer():
             respond.abort()
             return
         answer = {
--- a/lynxchute/standins/text.py
+++ b/lynxchute/standins/text.py
@@ -1,7 +1,6 @@
-"""The answers that the stand-in engine gives, worked out from the question.
+"""Deterministic answers of the stand-in engine, derived from the request.
 
-A checker works out the same answer by itself, so that a wrong or partial
-one is found.
+Tests derive the same answer independently, to detect wrong or partial ones.
 """
 
 from __future__ import annotations
@@ -10,7 +9,7 @@
 import json
 from typing import Any
 
-LEAST_TOKENS = 8
+MIN_TOKENS = 8
 LENGTH_SPREAD = 56
 TOKENS_PER_MESSAGE = 4
 DEFAULT_MAX_TOKENS = 256
@@ -22,7 +21,7 @@
     Parameters
     ----------
     question
-        The request's JSON, with ``model``, ``messages`` and perhaps
+        The request's JSON, with ``model``, ``messages`` and optionally
         ``max_tokens``.
 
     Examples
@@ -33,15 +32,15 @@
     """
     source = json.dumps([question["model"], question["messages"]], sort_keys=True)
     digest = hashlib.sha256(source.encode()).digest()
-    wanted = LEAST_TOKENS + int.from_bytes(digest[:4], "big") % LENGTH_SPREAD
+    length = MIN_TOKENS + int.from_bytes(digest[:4], "big") % LENGTH_SPREAD
     limit = question.get("max_tokens") or DEFAULT_MAX_TOKENS
-    count = min(wanted, limit)
-    stem = digest[4:7].hex()
-    return [f" {stem}{index}" for index in range(count)]
+    count = min(length, limit)
+    prefix = digest[4:7].hex()
+    return [f" {prefix}{index}" for index in range(count)]
 
 
 def prompt_tokens(question: dict[str, Any]) -> int:
-    """Return how many tokens the stand-in engine counts for the prompt."""
+    """Return the number of prompt tokens that the stand-in engine counts."""
     count = 0
     for message in question["messages"]:
         count += TOKENS_PER_MESSAGE + len(str(message.get("content") or "").split())
--- a/lynxchute/standins/upstream.py
+++ b/lynxchute/standins/upstream.py
@@ -1,4 +1,4 @@
-"""What stand-ins of engines and of plain services have in common."""
+"""The base class of the stand-ins for engines and plain services."""
 
 from __future__ import annotations
 
@@ -16,25 +16,26 @@
 
 
 class UpstreamServer(ABC):
-    """Serve the product's own interface for upstreams, with faults.
+    """Serve Lynxchute's own protocol for upstreams, and inject faults.
 
     Parameters
     ----------
     name
-        The name under which routers know it.
+        Its name in the configuration.
 
     Attributes
     ----------
     taken
-        When it took requests, and when it was cold.
+        The arrival times of requests, and the periods in which it was cold.
     limit
-        Requests a second from all routers that its answers name; None for none.
+        The rate limit for all routers together that its answers declare, in requests
+        a second; None for none.
     says_it_leaves
-        Whether its answers say that it takes no new work.
+        Whether its answers announce that it is leaving and accepts no new work.
     backoff_until
-        Until when it turns requests away and asks for backoff, on the loop's clock.
+        Until when it refuses requests and asks for a backoff, on the loop's clock.
     refusals
-        The ids of the requests that it has turned away so, and when.
+        Time and id of each request that it refused with a backoff.
     """
 
     def __init__(self, name: str) -> None:
@@ -49,11 +50,11 @@
 
     @abstractmethod
     def records(self) -> list[dict[str, Any]]:
-        """Return what ran, one record for each run."""
+        """Return one record for each run."""
 
     @abstractmethod
     async def serve(self, request: Request, respond: Responder) -> None:
-        """Serve a request that is meant for this upstream."""
+        """Serve a request addressed to this upstream, after faults and backpressure."""
 
     async def _handle(self, request: Request, respond: Responder) -> None:
         if request.path == FAULTS_PATH:
@@ -66,19 +67,19 @@
         if expected != self.name:
             await respond.json(421, {"error": f"this is {self.name}"})
             return
-        if not await self.faults.before():
+        if not await self.faults.is_up_after_delay():
             await respond.json(503, {"error": "outage"}, [NOT_RUN_HEADER])
             return
         if request.headers.get(names.EXPECTED_UPSTREAM.lower()):
             now = asyncio.get_running_loop().time()
             self.taken.note(now, request_id_of(request))
             if now < self.backoff_until:
-                await self._turn_away(request, respond, now)
+                await self._refuse(request, respond, now)
                 return
         await self.serve(request, respond)
 
     def stated(self) -> list[tuple[str, str]]:
-        """Return the headers in which an answer says what this upstream wants."""
+        """Return the backpressure headers of an answer: limit and leaving."""
         headers = []
         if self.limit is not None:
             headers.append((names.LIMIT, f"{self.limit:g}"))
@@ -86,9 +87,7 @@
             headers.append((names.LEAVING, "1"))
         return headers
 
-    async def _turn_away(
-        self, request: Request, respond: Responder, now: float
-    ) -> None:
+    async def _refuse(self, request: Request, respond: Responder, now: float) -> None:
         self.refusals.append((now, request_id_of(request)))
         backoff = ("Retry-After", f"{self.backoff_until - now:.3f}")
         await respond.json(
@@ -97,10 +96,10 @@
 
 
 def request_id_of(request: Request) -> str:
-    """Return the id that a request bears."""
+    """Return the id in a request's header; empty without one."""
     return request.headers.get(names.REQUEST_ID.lower(), "")
 
 
 def account_of(request: Request) -> str:
-    """Return the client account that a router names."""
+    """Return the client account in a request's header; empty without one."""
     return request.headers.get(names.ACCOUNT.lower(), "")
--- a/lynxchute/standins/upstream_exchange.py
+++ b/lynxchute/standins/upstream_exchange.py
@@ -1,4 +1,4 @@
-"""How a stand-in of an upstream answers one request."""
+"""The response of a stand-in upstream to one request, with or without a fault."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 from lynxchute.standins.upstream_run import SILENT_FAULTS, Fault, Run
 
 KEEP_ALIVE_SECONDS = 10
-# Seconds from the head of an answer to the end of a process that its request ends.
+# Seconds from the response head to the crash of a process that its request crashes.
 CRASH_SECONDS = 0.04
 
 
 @attrs.define
 class UpstreamExchange:
-    """One request at a stand-in.
+    """One request at a stand-in upstream.
 
     Attributes
     ----------
     upstream_id
-        Who answers.
+        The id of the upstream that answers.
     runs
-        Gets the run, unless the request is declined.
+        The list to which the run is appended, unless the request is declined.
     events, event_delay
-        Events of a stream, 0 for a plain answer, and seconds before each.
+        Number of events of a stream, 0 for a plain answer, and seconds before each.
     stated
-        Returns the headers in which an answer says what the upstream wants.
+        Returns the backpressure headers of an answer.
     """
 
     upstream_id: str
@@ -45,27 +45,27 @@
     stated: Callable[..., list[tuple[str, str]]] = lambda **_: []
 
     async def answer(self) -> bool:
-        """Answer; return whether the connection can be used again."""
+        """Send the response; return whether the connection can be reused."""
         fault = self.fault
         if fault in (Fault.DECLINE, Fault.BUSY, Fault.MOVED):
             await self._refuse(fault)
             return True
         self.runs.append(self.run)
         if fault in SILENT_FAULTS:
-            return await self._say_nothing_of_use()
+            return await self._fail_without_answer()
         if fault is Fault.CRASH:
-            return await self._begin_only()
+            return await self._run_until_crash()
         if fault is Fault.FAIL:
-            await self._plain(500, b"failed")
+            await self._send_response(500, b"failed")
             return True
         if fault is Fault.LATE_EXTRA:
             self._write_raw(b"another", "another-request")
         if self.events:
-            return await self._stream()
+            return await self._send_stream()
         await asyncio.sleep(self.event_delay)
-        return await self._answer_plain()
+        return await self._send_plain()
 
-    async def _say_nothing_of_use(self) -> bool:
+    async def _fail_without_answer(self) -> bool:
         if self.fault is Fault.HANG:
             self.run.caller_left = not await self.reader.read(1)
         elif self.fault is Fault.RESET:
@@ -75,22 +75,22 @@
             await self.writer.drain()
         return False
 
-    async def _begin_only(self) -> bool:
-        """Work on the request until the process ends."""
+    async def _run_until_crash(self) -> bool:
+        """Run the request, sending no events, until the process crashes."""
         if self.events:
-            self._begin_stream()
+            self._send_stream_head()
             await self.writer.drain()
         await asyncio.sleep(CRASH_SECONDS)
         return False
 
-    async def _answer_plain(self) -> bool:
+    async def _send_plain(self) -> bool:
         if self.fault is Fault.CUT:
             self._write_raw(b"half of it", self.run.request_id, declared=400)
             await self.writer.drain()
             return False
         if self.fault is Fault.UNFRAMED:
-            return await self._unframed()
-        await self._plain(200, b"answer to " + self.run.request_id.encode())
+            return await self._send_unframed()
+        await self._send_response(200, b"answer to " + self.run.request_id.encode())
         if self.fault is Fault.EXTRA:
             self._write_raw(b"a second answer", self.run.request_id)
             await self.writer.drain()
@@ -108,7 +108,7 @@
         self._send(h11.EndOfMessage())
         await self.writer.drain()
 
-    async def _plain(self, status: int, body: bytes) -> None:
+    async def _send_response(self, status: int, body: bytes) -> None:
         headers = [*self._headers(), ("Content-Length", str(len(body)))]
         self._send(h11.Response(status_code=status, headers=headers))
         if self.run.method != "HEAD":
@@ -117,18 +117,18 @@
         self.run.ended = True
         await self.writer.drain()
 
-    async def _unframed(self) -> bool:
+    async def _send_unframed(self) -> bool:
         head = "".join(f"{name}: {value}\r\n" for name, value in self._headers())
         body = b"answer to " + self.run.request_id.encode()
         self.writer.write(f"HTTP/1.1 200 OK\r\n{head}\r\n".encode() + body)
         await self.writer.drain()
         return False
 
-    async def _stream(self) -> bool:
-        self._begin_stream()
+    async def _send_stream(self) -> bool:
+        self._send_stream_head()
         for number in range(self.run.first_event, self.events + 1):
             await asyncio.sleep(self.event_delay)
-            if self._router_left():
+            if self._is_router_gone():
                 self.run.caller_left = True
                 return False
             event = f"id: {number}\ndata: {self.run.request_id}.{number}\n\n"
@@ -144,12 +144,12 @@
         await self.writer.drain()
         return True
 
-    def _begin_stream(self) -> None:
+    def _send_stream_head(self) -> None:
         headers = [*self._headers(), ("Content-Type", "text/event-stream")]
         headers.append(("Transfer-Encoding", "chunked"))
         self._send(h11.Response(status_code=200, headers=headers))
 
-    def _router_left(self) -> bool:
+    def _is_router_gone(self) -> bool:
         closing = self.writer.transport.is_closing()
         return closing or self.reader.at_eof() or self.reader.exception() is not None
 
--- a/lynxchute/standins/upstream_run.py
+++ b/lynxchute/standins/upstream_run.py
@@ -1,4 +1,4 @@
-"""What a stand-in of an upstream does with a request, and what it remembers of it."""
+"""The faults of stand-in upstreams, their records of runs, and request parsing."""
 
 from __future__ import annotations
 
@@ -14,36 +14,36 @@
 
 
 class Fault(enum.Enum):
-    """What an upstream does with a request instead of serving it.
+    """What a stand-in upstream does wrong with one request.
 
     Attributes
     ----------
     DECLINE, BUSY
-        Say that it was not run, with 503 or 429.
+        Answer 503 or 429 and state that the request did not run.
     FAIL
         Run it and answer 500.
     HANG
-        Take it and say nothing.
+        Run it and never answer.
     LOSE, RESET
         Run it and close or reset the connection without an answer.
     CUT
-        Run it and break the answer off within an event or the body.
+        Run it and break off in the middle of an event or of the body.
     GARBLE
         Run it and send bytes that are not HTTP.
     EXTRA
-        Serve it, and send a second answer after the first.
+        Serve it, and send a second response after the first.
     LATE_EXTRA
-        Before the answer, send one to another request.
+        Send a response to another request before its own.
     UNFRAMED
-        Serve it without a length, ending with the connection.
+        Answer without a body length; the end of the connection ends the body.
     UNSIGNED
         Answer without a signature.
     MOVED
-        Say that another upstream has the address.
+        Answer 421: another upstream has this address.
     EARLY
         Decline before the body has been read.
     CRASH
-        Begin to run it, and end with everything that is open.
+        Start to run it, then crash the process and close all connections.
     """
 
     DECLINE = "decline"
@@ -65,7 +65,7 @@
 
 @attrs.define(eq=False)
 class Run:
-    """A request that an upstream has worked on."""
+    """A request that a stand-in upstream ran."""
 
     request_id: str
     method: str
@@ -81,8 +81,8 @@
 SILENT_FAULTS = frozenset({Fault.HANG, Fault.LOSE, Fault.RESET, Fault.GARBLE})
 
 
-def run_of(head: h11.Request) -> Run:
-    """Return what a request's head says."""
+def parse_run(head: h11.Request) -> Run:
+    """Return the run that a request's head describes, without its body."""
     headers = {
         name.decode("latin-1"): value.decode("latin-1") for name, value in head.headers
     }
@@ -93,13 +93,13 @@
         head.target.decode(),
         headers,
         b"",
-        # An id that it has never given is passed over.
+        # An event id that this upstream cannot have sent is ignored.
         first_event=int(last) + 1 if last.isdigit() else 1,
     )
 
 
 async def next_event(protocol: h11.Connection, reader: asyncio.StreamReader) -> object:
-    """Return the next event of a connection."""
+    """Return the next event of a connection, reading as much as it needs."""
     while True:
         event = protocol.next_event()
         if event is not h11.NEED_DATA:
@@ -108,7 +108,7 @@
 
 
 async def read_body(protocol: h11.Connection, reader: asyncio.StreamReader) -> bytes:
-    """Return the rest of a request; raise where the router leaves within it."""
+    """Return a request's body; raise if the router disconnects before its end."""
     parts = []
     while True:
         event = await next_event(protocol, reader)
@@ -117,4 +117,6 @@
             continue
         if isinstance(event, h11.EndOfMessage):
             return b"".join(parts)
-        raise ConnectionResetError("the router left within its request")
+        raise ConnectionResetError(
+            "the router disconnected before the end of its request"
+        )
--- a/tests/support.py
+++ b/tests/support.py
@@ -7,7 +7,7 @@
 
 from lynxchute.event_loop import run as run_loop
 from lynxchute.http import HttpClient
-from lynxchute.standins.callers import text_of
+from lynxchute.standins.callers import streamed_text
 from lynxchute.standins.counts import counted_by_account, served_by_account
 from lynxchute.standins.deployment import MODEL, Deployment, Shape, caller_key
 from lynxchute.upstreams.rate_limits import RateLimits
@@ -109,4 +109,4 @@
 
 def stream_text(body):
     """Return the text of a streamed answer and whether it ended whole."""
-    return text_of(body), body.endswith(b"data: [DONE]\n\n")
+    return streamed_text(body), body.endswith(b"data: [DONE]\n\n")
