--- a/lynxchute/bench/__init__.py
+++ b/lynxchute/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements."""
+"""Benchmarks and simulations of routers."""
--- a/lynxchute/bench/base.py
+++ b/lynxchute/bench/base.py
@@ -1,4 +1,4 @@
-"""Measure what a router's process takes before it has done anything."""
+"""Measure the resident memory of a router's process before it starts to serve."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def resident_kb() -> int:
-    """Return the resident memory of this process now, in kilobytes."""
+    """Return the current resident memory of this process, in kilobytes."""
     for line in STATUS.read_text(encoding="ascii").splitlines():
         if line.startswith("VmRSS:"):
             return int(line.split()[1])
@@ -18,7 +18,7 @@
 
 
 def main() -> None:
-    """Print the memory before and after the libraries are imported."""
+    """Print the memory before and after the router's modules are imported."""
     before = resident_kb()
     import lynxchute.router  # noqa: F401
 
--- a/lynxchute/bench/budget_kept.py
+++ b/lynxchute/bench/budget_kept.py
@@ -1,8 +1,8 @@
-"""Budgets whose tokens stand where demand is: the real decisions."""
+"""A budget scheme in which every router holds a local reserve of tokens."""
 
 from __future__ import annotations
 
-from lynxchute.bench.budget_scene import FRONTS, Arrival, Deployment
+from lynxchute.bench.budget_scene import ROUTERS, Arrival, Deployment
 from lynxchute.bench.budget_schemes import Escrow
 from lynxchute.budgets import DemandLinePolicy, DemandPolicy, GrantPolicy, Ledger
 from lynxchute.budgets.standing import LocalReservePolicy, LocalReserveView
@@ -10,14 +10,14 @@
 
 
 class KeptEscrow(Escrow):
-    """Grants and lines as escrow has them; routers that are no home keep tokens."""
+    """Escrow in which routers other than the home also hold a reserve of tokens."""
 
     name = "escrow_kept"
 
     def __init__(self, deployment: Deployment) -> None:
-        self._rule = LocalReservePolicy()
-        self._keepers: dict[tuple[str, int], Ledger] = {}
-        self._arrivals: dict[tuple[str, int, str], CallerDemand] = {}
+        self._reserve_policy = LocalReservePolicy()
+        self._reserve_ledgers: dict[tuple[str, int], Ledger] = {}
+        self._demand_by_key: dict[tuple[str, int, str], CallerDemand] = {}
         super().__init__(deployment)
 
     def policy(self) -> GrantPolicy:
@@ -25,51 +25,65 @@
         return DemandLinePolicy()
 
     def reserve(self, arrival: Arrival) -> bool:
-        """Reserve of what is kept at the router, else at the home."""
-        place, front = arrival.data_centre, arrival.front
-        if place in self._dead:
+        """Reserve from the router's local reserve, or else at the home."""
+        data_centre, router = arrival.data_centre, arrival.router
+        if data_centre in self._killed:
             return False
-        if not front:
+        if not router:
             return super().reserve(arrival)
-        key = (place, front, arrival.account)
-        arrivals = self._arrivals.setdefault(key, CallerDemand())
-        arrivals.demand.add(arrival.reserved, arrival.at)
-        arrivals.requests.add(1, arrival.at)
-        if self._try(self._keepers[place, front], arrival):
+        key = (data_centre, router, arrival.account)
+        caller_demand = self._demand_by_key.setdefault(key, CallerDemand())
+        caller_demand.demand.add(arrival.reserved, arrival.at)
+        caller_demand.requests.add(1, arrival.at)
+        if self._try_reserve(self._reserve_ledgers[data_centre, router], arrival):
             self.tally.added_ms.append(0.0)
             return True
         return super().reserve(arrival)
 
     def settle(self, arrival: Arrival, now: float) -> None:
-        """Settle where it was reserved."""
-        keeper = self._keepers.get((arrival.data_centre, arrival.front))
+        """Settle at the ledger that reserved."""
+        reserve_ledger = self._reserve_ledgers.get(
+            (arrival.data_centre, arrival.router)
+        )
         name = str(arrival.number)
-        if keeper is not None and name in keeper.reservations_by_id:
-            keeper.settle(name, arrival.used)
+        if reserve_ledger is not None and name in reserve_ledger.reservations_by_id:
+            reserve_ledger.settle(name, arrival.used)
             return
         super().settle(arrival, now)
 
     def tick(self, now: float) -> None:
-        """Write the lines anew; fetch what lacks and give back what is too much."""
+        """Write the homes' rows; borrow for short local reserves and return excess."""
         super().tick(now)
-        if self.apart:
+        if self.is_partitioned:
             return
-        for (place, front, account), arrivals in self._arrivals.items():
-            if place not in self._dead:
-                self._balance(place, front, account, arrivals, now)
+        for (
+            data_centre,
+            router,
+            account,
+        ), caller_demand in self._demand_by_key.items():
+            if data_centre not in self._killed:
+                self._balance(data_centre, router, account, caller_demand, now)
 
     def _balance(
-        self, place: str, front: int, account: str, arrivals: CallerDemand, now: float
+        self,
+        data_centre: str,
+        router: int,
+        account: str,
+        caller_demand: CallerDemand,
+        now: float,
     ) -> None:
-        keeper, home = self._keepers[place, front], self._homes[place]
+        reserve_ledger, home = (
+            self._reserve_ledgers[data_centre, router],
+            self._homes[data_centre],
+        )
         now_ms = int(now * 1000)
         view = LocalReserveView(
-            arrivals.demand.rate(now),
-            arrivals.requests.rate(now),
-            keeper.available(account, now_ms),
+            caller_demand.demand.rate(now),
+            caller_demand.requests.rate(now),
+            reserve_ledger.available(account, now_ms),
             self.deployment.budgets[account],
         )
-        shortfall = self._rule.shortfall(view)
+        shortfall = self._reserve_policy.shortfall(view)
         if shortfall:
             self._loans += 1
             self.tally.messages += 1
@@ -82,31 +96,32 @@
                 now=now,
                 for_reserve=True,
             )
-            keeper.borrow(account, lent)
+            reserve_ledger.borrow(account, lent)
             return
-        if account not in keeper.shares_by_account:
+        if account not in reserve_ledger.shares_by_account:
             return
-        retained = self._rule.retained(view)
-        tokens = keeper.leftover(account, now_ms, retained=retained)
+        retained = self._reserve_policy.retained(view)
+        tokens = reserve_ledger.leftover(account, now_ms, retained=retained)
         if tokens:
             self.tally.messages += 1
-            keeper.transfer_out(account, tokens)
+            reserve_ledger.transfer_out(account, tokens)
             home.borrow(account, tokens)
 
-    def _start(self, place: str, now: float) -> None:
-        super()._start(place, now)
-        for front in range(1, FRONTS):
-            vm = f"{place}-{front}"
+    def _start_home(self, data_centre: str, now: float) -> None:
+        super()._start_home(data_centre, now)
+        for router in range(1, ROUTERS):
+            vm = f"{data_centre}-{router}"
             run = f"{vm}-run-{self._runs}"
-            keeper = Ledger(vm, run, DemandPolicy(), parts=1)
-            keeper.is_open = True
-            self._keepers[place, front] = keeper
+            reserve_ledger = Ledger(vm, run, DemandPolicy(), parts=1)
+            reserve_ledger.is_open = True
+            self._reserve_ledgers[data_centre, router] = reserve_ledger
 
-    def at_hand(self) -> int:
-        """Return what living routers hold of loans."""
-        total = super().at_hand()
-        for keeper in self._keepers.values():
+    def unused_loans(self) -> int:
+        """Return the borrowed tokens that running routers have not used."""
+        total = super().unused_loans()
+        for reserve_ledger in self._reserve_ledgers.values():
             total += sum(
-                s.borrowed - s.settled for s in keeper.shares_by_account.values()
+                s.borrowed - s.settled
+                for s in reserve_ledger.shares_by_account.values()
             )
         return total
--- a/lynxchute/bench/budget_scene.py
+++ b/lynxchute/bench/budget_scene.py
@@ -1,4 +1,4 @@
-"""The traces and faults on which ways of keeping budgets are compared."""
+"""Request traces and fault scenes for the comparison of budget schemes."""
 
 from __future__ import annotations
 
@@ -6,36 +6,38 @@
 
 import attrs
 
-# Seconds that a killed process takes to be back.
+# Seconds until a killed process has restarted.
 RESTART_AFTER = 1.5
 TOKENS_PER_SECOND = 25.0
 MEAN_ANSWER = 310
 MAX_ANSWER = 2000
 PROMPT = 90
-# Shares of the trace at which the store goes away, and for how many seconds.
+# Times at which the store becomes unreachable, as shares of the trace, and seconds of
+# each outage.
 OUTAGES_AT = (0.1, 0.3, 0.5, 0.7, 0.8)
 OUTAGE_SECONDS = 9.0
-# Shares of the trace at which all routers are apart, and for how many seconds.
-APART_AT = (0.15, 0.45, 0.75)
-APART_SECONDS = 8.0
-# Routers of a data centre; the first of them is the home of all accounts.
-FRONTS = 5
-# From when to when the largest account sends so many times its usual, all of it to one
-# router that is not its home, as shares of the trace.
+# Times at which a network partition separates all routers, as shares of the trace, and
+# seconds of each partition.
+PARTITIONS_AT = (0.15, 0.45, 0.75)
+PARTITION_SECONDS = 8.0
+# Routers in each data centre; the first one is the home of all accounts.
+ROUTERS = 5
+# Start and end, as shares of the trace, of the period in which the largest account
+# sends HOT_FACTOR times its usual rate, all of it to one router that is not its home.
 HOT_FROM, HOT_UNTIL, HOT_FACTOR = 0.42, 0.48, 5.0
-HOT_FRONT = 1
+HOT_ROUTER = 1
 
 
 @attrs.frozen
 class Deployment:
-    """A user's deployment, as far as budgets go.
+    """The properties of a deployment that matter for budgets.
 
     Attributes
     ----------
     link_ms
-        One way between data centres, in milliseconds.
+        One-way latency between data centres, in milliseconds.
     rate
-        Requests a second over all accounts.
+        Requests a second of all accounts together.
     """
 
     name: str
@@ -47,13 +49,13 @@
 
 @attrs.frozen
 class Fault:
-    """Something that happens to a data centre, or to all of them.
+    """A fault of a data centre, or its end.
 
     Attributes
     ----------
     kind
-        ``cut``, ``heal``, ``kill``, ``restart``; ``apart`` and ``together`` for all
-        routers.
+        ``cut`` or ``heal`` its link to the store, ``kill`` or ``restart`` its home;
+        ``apart`` and ``together`` begin and end a partition of all routers.
     """
 
     at: float
@@ -67,8 +69,8 @@
 
     Attributes
     ----------
-    front
-        Which router of the data centre it comes to.
+    router
+        The index of the router in the data centre that receives it; 0 is the home.
     """
 
     at: float
@@ -76,33 +78,33 @@
     data_centre: str
     account: str
     used: int
-    front: int = 0
+    router: int = 0
 
     @property
     def reserved(self) -> int:
-        """Return what the worst case needs, in tokens."""
+        """Return the tokens that the longest possible answer needs."""
         return PROMPT + MAX_ANSWER
 
     @property
     def seconds(self) -> float:
-        """Return how long the answer takes."""
+        """Return the duration of the answer."""
         return self.used / TOKENS_PER_SECOND
 
 
 def make_trace(
     deployment: Deployment, seconds: float, seed: int, *, hot: bool = False
 ) -> list[Arrival]:
-    """Return seeded arrivals; a few accounts and places see most of them.
+    """Return a seeded trace in which a few accounts and data centres get most requests.
 
     Parameters
     ----------
     hot
-        Whether one account sends many times its usual for a while.
+        Whether the largest account exceeds its usual rate for a while.
     """
     rng = random.Random(seed)
     accounts = list(deployment.budgets)
     weights = [deployment.budgets[account] for account in accounts]
-    places = list(deployment.data_centres)
+    data_centres = list(deployment.data_centres)
     largest = max(accounts, key=lambda account: deployment.budgets[account])
     hot_weights = [
         weight * (HOT_FACTOR if account == largest else 1.0)
@@ -118,16 +120,16 @@
             return trace
         used = PROMPT + min(int(rng.expovariate(1 / MEAN_ANSWER)) + 1, MAX_ANSWER)
         (account,) = rng.choices(accounts, hot_weights if is_hot else weights)
-        (place,) = rng.choices(places, range(len(places), 0, -1))
+        (data_centre,) = rng.choices(data_centres, range(len(data_centres), 0, -1))
         number = len(trace)
-        front = number % FRONTS
+        router = number % ROUTERS
         if is_hot and account == largest:
-            place, front = places[0], HOT_FRONT
-        trace.append(Arrival(now, number, place, account, used, front))
+            data_centre, router = data_centres[0], HOT_ROUTER
+        trace.append(Arrival(now, number, data_centre, account, used, router))
 
 
 def deployments() -> tuple[Deployment, ...]:
-    """Return the users' deployments at today's size."""
+    """Return the two deployments that are compared."""
     crews = {f"crew-{index}": 150_000 for index in range(1, 9)}
     crews.update({"road-1": 900_000, "road-2": 900_000})
     clubs = {f"club-{index}": 150_000 for index in range(1, 9)}
@@ -141,12 +143,12 @@
 
 
 def scenes(deployment: Deployment, seconds: float) -> dict[str, list[Fault]]:
-    """Return the faults of each scene."""
+    """Return the faults of each scene, by its name."""
     first, *_, last = deployment.data_centres
-    deaths = []
-    for place in deployment.data_centres:
-        deaths.append(Fault(seconds * 0.8, "kill", place))
-        deaths.append(Fault(seconds * 0.8 + RESTART_AFTER, "restart", place))
+    restarts = []
+    for data_centre in deployment.data_centres:
+        restarts.append(Fault(seconds * 0.8, "kill", data_centre))
+        restarts.append(Fault(seconds * 0.8 + RESTART_AFTER, "restart", data_centre))
     return {
         "no_faults": [],
         "cut_and_death": [
@@ -155,28 +157,30 @@
             Fault(seconds * 0.4 + RESTART_AFTER, "restart", first),
             Fault(seconds * 0.7, "heal", last),
         ],
-        "all_die": deaths,
+        "all_die": restarts,
         "store_away": _outages(deployment, seconds),
-        "apart": _apart(deployment, seconds),
-        "hot_apart": _apart(deployment, seconds),
+        "apart": _partitions(deployment, seconds),
+        "hot_apart": _partitions(deployment, seconds),
     }
 
 
 def _outages(deployment: Deployment, seconds: float) -> list[Fault]:
-    """Cut all data centres off from the store, some times for some seconds."""
+    """Return repeated outages of the store for all data centres."""
     faults = []
     for share in OUTAGES_AT:
-        for place in deployment.data_centres:
-            faults.append(Fault(seconds * share, "cut", place))
-            faults.append(Fault(seconds * share + OUTAGE_SECONDS, "heal", place))
+        for data_centre in deployment.data_centres:
+            faults.append(Fault(seconds * share, "cut", data_centre))
+            faults.append(Fault(seconds * share + OUTAGE_SECONDS, "heal", data_centre))
     return faults
 
 
-def _apart(deployment: Deployment, seconds: float) -> list[Fault]:
-    """Cut all routers off from one another and from the store."""
+def _partitions(deployment: Deployment, seconds: float) -> list[Fault]:
+    """Return repeated partitions of all routers from one another and the store."""
     faults = []
-    for share in APART_AT:
-        for place in deployment.data_centres:
-            faults.append(Fault(seconds * share, "apart", place))
-            faults.append(Fault(seconds * share + APART_SECONDS, "together", place))
+    for share in PARTITIONS_AT:
+        for data_centre in deployment.data_centres:
+            faults.append(Fault(seconds * share, "apart", data_centre))
+            faults.append(
+                Fault(seconds * share + PARTITION_SECONDS, "together", data_centre)
+            )
     return faults
--- a/lynxchute/bench/budget_schemes.py
+++ b/lynxchute/bench/budget_schemes.py
@@ -1,4 +1,4 @@
-"""Ways of keeping budgets: the real decisions, and what they are held against."""
+"""Budget schemes to compare: the router's own ledger, and simpler alternatives."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 from lynxchute.budgets.rows import holder_id, totals_id
 
 REFRESH_INTERVAL = 5.0
-# Writes that a request waits for at most.
-COVER_ROUNDS = 3
-# Milliseconds of a write at the store.
+# Maximum number of writes that a request waits for.
+MAX_WRITE_ROUNDS = 3
+# Duration of a write to the store, in milliseconds.
 WRITE_MS = 5.0
 
 
 @attrs.define
 class Tally:
-    """What a scheme did.
+    """The counts of a scheme's decisions, messages and errors.
 
     Attributes
     ----------
     apart_refusals
-        Those of the false refusals that came while no router reached any other one.
+        The false refusals during partitions, in which no router reaches another.
     lost
-        Tokens that count as used and were not; those of deaths, mostly.
+        Tokens that count as used but were not, mostly through killed processes.
     """
 
     overspend: int = 0
@@ -41,21 +41,21 @@
 
 
 class Scheme(ABC):
-    """A way of keeping budgets.
+    """A scheme that enforces prepaid budgets in a deployment.
 
     Parameters
     ----------
     deployment
-        Where it runs.
+        The deployment in which it runs.
 
     Attributes
     ----------
-    apart
-        Whether no router reaches any other one.
+    is_partitioned
+        Whether a partition separates every router from all others.
     """
 
     name = ""
-    apart = False
+    is_partitioned = False
 
     def __init__(self, deployment: Deployment) -> None:
         self.deployment = deployment
@@ -64,33 +64,33 @@
 
     @abstractmethod
     def reserve(self, arrival: Arrival) -> bool:
-        """Return whether a request may start."""
+        """Reserve the tokens of a request; return whether it is admitted."""
 
     @abstractmethod
     def settle(self, arrival: Arrival, now: float) -> None:
-        """Take what a request used."""
+        """Charge what a finished request used."""
 
     def tick(self, now: float) -> None:
-        """Do what is done again and again."""
+        """Run the periodic work of the scheme."""
 
     def kill(self, data_centre: str, now: float) -> None:
-        """Lose the process that holds a data centre's grants."""
+        """Stop the process that holds a data centre's grants, without a shutdown."""
 
     def restart(self, data_centre: str, now: float) -> None:
-        """Start another one on the same VM."""
+        """Start a new process on the same VM."""
 
     def counted(self) -> int:
-        """Return the tokens that count as used; 0 where nobody keeps count."""
+        """Return the tokens that count as used; 0 if the scheme does not count them."""
         return 0
 
     @property
     def round_trip_ms(self) -> float:
-        """Return a round trip between data centres."""
+        """Return the round-trip time between data centres."""
         return 2 * self.deployment.link_ms
 
 
 class Central(Scheme):
-    """Check and charge at the store for each request."""
+    """Check and charge the budget in the store for each request."""
 
     name = "central"
 
@@ -99,7 +99,7 @@
         self._left = dict(deployment.budgets)
 
     def reserve(self, arrival: Arrival) -> bool:
-        """Reserve at the store, if it is in reach."""
+        """Reserve in the store; refuse if it cannot be reached."""
         if arrival.data_centre in self.cut:
             return False
         self.tally.store_calls += 1
@@ -110,47 +110,48 @@
         return True
 
     def settle(self, arrival: Arrival, now: float) -> None:
-        """Give the unused rest back."""
+        """Return the tokens that were reserved and not used."""
         self.tally.store_calls += 1
         self._left[arrival.account] += arrival.reserved - arrival.used
 
 
 class Cached(Scheme):
-    """Check a total that is refreshed now and then; charge afterwards."""
+    """Check a cached total that is refreshed periodically; charge afterwards."""
 
     name = "cached"
 
     def __init__(self, deployment: Deployment) -> None:
         super().__init__(deployment)
         self._left = dict(deployment.budgets)
-        self._seen = {
-            place: dict(deployment.budgets) for place in deployment.data_centres
+        self._cached_left = {
+            data_centre: dict(deployment.budgets)
+            for data_centre in deployment.data_centres
         }
         self._refreshed = 0.0
 
     def reserve(self, arrival: Arrival) -> bool:
-        """Check against the total as last seen."""
+        """Check the cached total."""
         self.tally.added_ms.append(0.0)
-        return self._seen[arrival.data_centre][arrival.account] > 0
+        return self._cached_left[arrival.data_centre][arrival.account] > 0
 
     def settle(self, arrival: Arrival, now: float) -> None:
-        """Charge at the store, and note it here."""
+        """Charge the store's total and the cached one."""
         self._left[arrival.account] -= arrival.used
-        self._seen[arrival.data_centre][arrival.account] -= arrival.used
+        self._cached_left[arrival.data_centre][arrival.account] -= arrival.used
 
     def tick(self, now: float) -> None:
-        """Refresh the totals of the data centres in reach."""
+        """Refresh the cached totals of the data centres that reach the store."""
         if now - self._refreshed < REFRESH_INTERVAL:
             return
         self._refreshed = now
-        for place in self.deployment.data_centres:
-            if place not in self.cut:
+        for data_centre in self.deployment.data_centres:
+            if data_centre not in self.cut:
                 self.tally.store_calls += 2
-                self._seen[place] = dict(self._left)
+                self._cached_left[data_centre] = dict(self._left)
 
 
 class Escrow(Scheme):
-    """Grants and lines, a home in each data centre: the real decisions."""
+    """The router's own ledger: each data centre has a home that holds grants."""
 
     name = "escrow"
 
@@ -159,95 +160,97 @@
         self.rows = MemoryRows()
         self._runs = 0
         self._loans = 0
-        self._dead: set[str] = set()
+        self._killed: set[str] = set()
         self._homes: dict[str, Ledger] = {}
-        for place in deployment.data_centres:
-            self._start(place, 0.0)
+        for data_centre in deployment.data_centres:
+            self._start_home(data_centre, 0.0)
 
     def policy(self) -> GrantPolicy:
         """Return the policy of a home."""
         return DemandPolicy()
 
     def reserve(self, arrival: Arrival) -> bool:
-        """Reserve at the home; fetch tokens where it runs short."""
-        if arrival.data_centre in self._dead or (self.apart and arrival.front):
+        """Reserve at the home; get more tokens if it has too few."""
+        if arrival.data_centre in self._killed or (
+            self.is_partitioned and arrival.router
+        ):
             return False
         home = self._homes[arrival.data_centre]
         share = home.share(arrival.account)
         share.demand.add(arrival.reserved, arrival.at)
         added = 0.0
-        for turn in range(COVER_ROUNDS):
-            if self._try(home, arrival):
+        for round_number in range(MAX_WRITE_ROUNDS):
+            if self._try_reserve(home, arrival):
                 self.tally.added_ms.append(added)
                 return True
             if arrival.data_centre in self.cut:
                 break
-            if turn:
-                added += self._gather(home, arrival)
+            if round_number:
+                added += self._collect_tokens(home, arrival)
             share.waiting = arrival.reserved
-            self._look(home)
+            self._refresh_totals(home)
             self._write(home, arrival.at)
             share.waiting = 0
             added += WRITE_MS
         self.tally.added_ms.append(added)
-        return self._try(home, arrival)
+        return self._try_reserve(home, arrival)
 
     def settle(self, arrival: Arrival, now: float) -> None:
-        """Settle at the home, if it is still the one that reserved."""
+        """Settle at the home, unless it has been restarted since the reservation."""
         name = str(arrival.number)
         home = self._homes.get(arrival.data_centre)
         if home is not None and name in home.reservations_by_id:
             home.settle(name, arrival.used)
 
     def tick(self, now: float) -> None:
-        """Write the lines anew."""
-        for place, home in self._homes.items():
-            if place not in self.cut and place not in self._dead:
+        """Write the rows of all homes that reach the store."""
+        for data_centre, home in self._homes.items():
+            if data_centre not in self.cut and data_centre not in self._killed:
                 self._write(home, now)
 
     def kill(self, data_centre: str, now: float) -> None:
-        """Lose a home's process."""
-        self._dead.add(data_centre)
+        """Stop a home's process without a shutdown."""
+        self._killed.add(data_centre)
 
     def restart(self, data_centre: str, now: float) -> None:
-        """Take over what the process before has left."""
-        self._dead.discard(data_centre)
-        self._start(data_centre, now)
+        """Start a home that takes over the row of its predecessor."""
+        self._killed.discard(data_centre)
+        self._start_home(data_centre, now)
 
     def counted(self) -> int:
-        """Return what the homes count as used, less what lies unused in loans."""
+        """Return the tokens that homes count as used, without unused loans."""
         total = 0
         for home in self._homes.values():
             for share in home.shares_by_account.values():
                 total += share.settled + share.reserved
-        return total - self.at_hand()
+        return total - self.unused_loans()
 
-    def at_hand(self) -> int:
-        """Return what living routers hold of loans."""
+    def unused_loans(self) -> int:
+        """Return the borrowed tokens that running routers hold."""
         return sum(
             share.borrowed
             for home in self._homes.values()
             for share in home.shares_by_account.values()
         )
 
-    def _start(self, place: str, now: float) -> None:
+    def _start_home(self, data_centre: str, now: float) -> None:
         self._runs += 1
         ledger = Ledger(
-            place,
+            data_centre,
             f"run-{self._runs}",
             self.policy(),
             parts=len(self.deployment.data_centres),
         )
         ledger.prepaid_by_account.update(self.deployment.budgets)
-        self._look(ledger)
-        ledger.take_over(self.rows.get(holder_id(place)), int(now * 1000))
+        self._refresh_totals(ledger)
+        ledger.take_over(self.rows.get(holder_id(data_centre)), int(now * 1000))
         for account in self.deployment.budgets:
             ledger.share(account).is_home = True
-        self._homes[place] = ledger
+        self._homes[data_centre] = ledger
         for _ in range(2):
             self._write(ledger, now)
 
-    def _try(self, home: Ledger, arrival: Arrival) -> bool:
+    def _try_reserve(self, home: Ledger, arrival: Arrival) -> bool:
         problem = home.reserve(
             str(arrival.number),
             arrival.account,
@@ -256,7 +259,7 @@
         )
         return problem is None
 
-    def _look(self, home: Ledger) -> None:
+    def _refresh_totals(self, home: Ledger) -> None:
         rows = [self.rows.get(totals_id(name)) for name in self.deployment.budgets]
         home.update_totals(row for row in rows if row is not None)
 
@@ -265,37 +268,37 @@
         plan = home.plan(now_ms=int(now * 1000), now=now)
         home.apply_outcome(self.rows.write(plan.write))
 
-    def _gather(self, home: Ledger, arrival: Arrival) -> float:
-        """Have the other homes give tokens back; return the milliseconds."""
+    def _collect_tokens(self, home: Ledger, arrival: Arrival) -> float:
+        """Have other homes release tokens; return the milliseconds that this takes."""
         added = 0.0
-        for place, other in self._homes.items():
-            if other is home or place in self.cut or place in self._dead:
+        for data_centre, other in self._homes.items():
+            if other is home or data_centre in self.cut or data_centre in self._killed:
                 continue
-            lacking = arrival.reserved - home.available(
+            shortfall = arrival.reserved - home.available(
                 arrival.account, int(arrival.at * 1000)
             )
             self.tally.messages += 1
             added += self.round_trip_ms + WRITE_MS
-            given = other.release(
-                arrival.account, needed=lacking, wanted=lacking, now=arrival.at
+            released_tokens = other.release(
+                arrival.account, needed=shortfall, wanted=shortfall, now=arrival.at
             )
-            if given is not None:
-                self._look(other)
+            if released_tokens is not None:
+                self._refresh_totals(other)
                 self._write(other, arrival.at)
         return added
 
 
 @attrs.frozen
 class FixedParts(GrantPolicy):
-    """Hold a fixed part of each budget in each data centre."""
+    """Grant each data centre a fixed part of each budget."""
 
     def grant(self, view: ShareView) -> int:
-        """Return the part."""
+        """Return the fixed part, limited by what is free."""
         part = view.prepaid // view.parts
         return max(min(part, view.granted + view.free), view.used)
 
     def burst(self, view: ShareView) -> int:
-        """Return all that is granted: a fixed part needs no line."""
+        """Return the whole unused grant, since a fixed part needs no growing line."""
         return max(view.granted - view.used, 0)
 
     def rate(self, view: ShareView) -> int:
@@ -308,7 +311,7 @@
 
 
 class Static(Escrow):
-    """A fixed part for each data centre."""
+    """A fixed part of each budget for each data centre."""
 
     name = "static"
 
@@ -316,7 +319,7 @@
         """Return the policy of a home."""
         return FixedParts()
 
-    def _gather(self, home: Ledger, arrival: Arrival) -> float:
+    def _collect_tokens(self, home: Ledger, arrival: Arrival) -> float:
         return 0.0
 
 
--- a/lynxchute/bench/budgets.py
+++ b/lynxchute/bench/budgets.py
@@ -1,8 +1,8 @@
-"""Compare ways of keeping budgets, on one trace of requests and faults.
+"""Compare budget schemes on the same traces of requests and faults.
 
-The real decisions run on a virtual clock against rows in memory; nothing goes
-over sockets. An oracle knows the true balance at each moment: a refusal is
-false where the balance covered what the request used.
+The router's own ledger runs on a virtual clock against rows in memory, without
+sockets. An oracle tracks the true balance: a refusal is false if the balance
+covered what the request would have used.
 """
 
 from __future__ import annotations
@@ -22,24 +22,24 @@
 )
 from lynxchute.bench.budget_schemes import SCHEMES, Scheme, Tally
 
-# Seconds between two writes of a router for which no request waits.
+# Interval of a router's periodic writes, in seconds.
 WRITE_INTERVAL = 0.5
-SCHEMES_PLAYED: tuple[type[Scheme], ...] = (*SCHEMES, KeptEscrow)
+ALL_SCHEMES: tuple[type[Scheme], ...] = (*SCHEMES, KeptEscrow)
 
 
 def play(scheme: Scheme, trace: list[Arrival], faults: list[Fault]) -> Tally:
-    """Run a trace through a scheme."""
+    """Replay a trace with faults on a scheme; return its counts."""
     true_left = dict(scheme.deployment.budgets)
     running: list[tuple[float, int, Arrival]] = []
     pending = sorted(faults, key=lambda fault: fault.at)
     next_tick = 0.0
     for arrival in trace:
         while running and running[0][0] <= arrival.at:
-            ended, _, done = heapq.heappop(running)
-            scheme.settle(done, ended)
+            ended, _, finished = heapq.heappop(running)
+            scheme.settle(finished, ended)
         while next_tick <= arrival.at:
             while pending and pending[0].at <= next_tick:
-                _strike(scheme, pending.pop(0))
+                _apply_fault(scheme, pending.pop(0))
             scheme.tick(next_tick)
             next_tick += WRITE_INTERVAL
         if scheme.reserve(arrival):
@@ -50,29 +50,29 @@
             continue
         if true_left[arrival.account] >= arrival.used:
             scheme.tally.false_refusals += 1
-            scheme.tally.apart_refusals += scheme.apart
+            scheme.tally.apart_refusals += scheme.is_partitioned
         else:
             scheme.tally.right_refusals += 1
     while running:
-        ended, _, done = heapq.heappop(running)
-        scheme.settle(done, ended)
+        ended, _, finished = heapq.heappop(running)
+        scheme.settle(finished, ended)
     scheme.tally.overspend = sum(max(-left, 0) for left in true_left.values())
     used = sum(scheme.deployment.budgets.values()) - sum(true_left.values())
     scheme.tally.lost = scheme.counted() - used
     return scheme.tally
 
 
-def _strike(scheme: Scheme, fault: Fault) -> None:
+def _apply_fault(scheme: Scheme, fault: Fault) -> None:
     if fault.kind == "cut":
         scheme.cut.add(fault.data_centre)
     elif fault.kind == "heal":
         scheme.cut.discard(fault.data_centre)
     elif fault.kind == "apart":
         scheme.cut.add(fault.data_centre)
-        scheme.apart = True
+        scheme.is_partitioned = True
     elif fault.kind == "together":
         scheme.cut.discard(fault.data_centre)
-        scheme.apart = False
+        scheme.is_partitioned = False
     elif fault.kind == "kill":
         scheme.kill(fault.data_centre, fault.at)
     else:
@@ -101,12 +101,12 @@
 
 
 def run(*, seconds: float = 900.0, seed: int = 1) -> None:
-    """Compare the ways of keeping budgets.
+    """Compare the budget schemes.
 
     Parameters
     ----------
     seconds
-        Length of the trace; the demand drains the budgets towards its end.
+        Length of the trace; the budgets run out towards its end.
     seed
         Seed of the trace.
     """
@@ -114,8 +114,8 @@
         for scene, faults in scenes(deployment, seconds).items():
             hot = scene.startswith("hot")
             trace = make_trace(deployment, seconds, seed, hot=hot)
-            for cls in SCHEMES_PLAYED:
-                scheme = cls(deployment)
+            for scheme_type in ALL_SCHEMES:
+                scheme = scheme_type(deployment)
                 tally = play(scheme, trace, faults)
                 _report(scheme, scene, len(trace), seconds, tally)
 
--- a/lynxchute/bench/emulator/__init__.py
+++ b/lynxchute/bench/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Model engines, their callers and their troubles, on a virtual clock."""
+"""A simulation of model engines, callers and faults on a virtual clock."""
--- a/lynxchute/bench/emulator/engine.py
+++ b/lynxchute/bench/emulator/engine.py
@@ -1,8 +1,8 @@
-"""A model engine that works in steps: one token for each stream, one chunk to read.
+"""A simulated model engine with continuous batching and chunked prefill.
 
-Between two tokens of its running streams an engine reads a chunk of the prompts
-that wait, so that a long prompt holds up everybody's next event. Parts of prompts
-are kept until memory is needed, least recently used first.
+Each step generates one token of every running stream and prefills one chunk of waiting
+prompts, so that a long prompt delays the next event of every stream. Prompt parts stay
+cached until memory is needed; the least recently used are evicted first.
 """
 
 from __future__ import annotations
@@ -20,31 +20,43 @@
 
 @attrs.frozen
 class EngineShape:
-    """What an engine can do, and how fast; times are milliseconds."""
+    """The capacity and speed of an engine."""
 
-    slots: int = option(default=128, low=1, doc="Requests that run at once.")
+    slots: int = option(default=128, low=1, doc="Maximum number of running requests.")
     memory_tokens: int = option(
-        default=261_197, low=1, doc="Tokens that fit, of running requests and parts."
+        default=261_197,
+        low=1,
+        doc="Tokens of running requests and cached parts that fit in memory.",
+    )
+    step_ms: float = option(
+        default=6.12, low=0.01, doc="Duration of an empty step, in milliseconds."
     )
-    step_ms: float = option(default=6.12, low=0.01, doc="A step that does nothing.")
     step_ms_per_stream: float = option(
-        default=0.0234, low=0.0, doc="What each running stream adds to a step."
+        default=0.0234,
+        low=0.0,
+        doc="Milliseconds that each running stream adds to a step.",
     )
     step_ms_per_thousand: float = option(
-        default=0.0131, low=0.0, doc="What a thousand tokens of context add to it."
+        default=0.0131,
+        low=0.0,
+        doc="Milliseconds that a thousand tokens of context add to a step.",
     )
     tokens_per_ms: float = option(
-        default=32.4, low=0.1, doc="Prompt tokens read in a millisecond."
+        default=32.4, low=0.1, doc="Prompt tokens prefilled in a millisecond."
     )
     attention_ms: float = option(
-        default=1.18, low=0.0, doc="Reading a million pairs of tokens, besides."
+        default=1.18,
+        low=0.0,
+        doc="Milliseconds that a million token pairs add to the prefill.",
     )
     chunk_tokens: int = option(
-        default=2048, low=1, doc="Prompt tokens read between two steps."
+        default=2048, low=1, doc="Prompt tokens prefilled in one step."
+    )
+    tokens_per_event: int = option(
+        default=3, low=1, doc="Answer tokens in one stream event."
     )
-    tokens_per_event: int = option(default=3, low=1, doc="Tokens of an event.")
     first_event_ms: float = option(
-        default=20.0, low=0.0, doc="Added to each first event."
+        default=20.0, low=0.0, doc="Milliseconds by which each first event is delayed."
     )
 
 
@@ -55,14 +67,18 @@
     Attributes
     ----------
     arrived_at, first_at, last_at, ended_at
-        When it came, when its first and its last event left, and when it ended,
-        in seconds; None before that.
+        The times of its arrival, of its first and latest event, and of its end, in
+        seconds; None before that.
     position
-        Tokens of its prompt that are in memory.
+        Number of its tokens that are in memory, of prompt and answer.
     left_to_read, left_to_write
-        Tokens of its prompt and of its answer that are not done.
+        Remaining tokens of the prompt to prefill, and of the answer to generate.
+    in_event
+        Tokens generated for the next event.
     longest_pause
         The longest time between two of its events, in seconds.
+    has_left
+        Whether its caller has disconnected.
     """
 
     name: str
@@ -81,109 +97,109 @@
 
 
 class EmulatedEngine:
-    """One engine.
+    """Simulate one engine.
 
     Parameters
     ----------
     shape
-        What it can do.
+        Its capacity and speed.
     slowness
-        How many times longer than the shape says its steps take.
+        Factor by which its steps take longer than the shape defines.
 
     Attributes
     ----------
     read_again
-        Shared tokens that it read although some engine had read them before.
+        Shared prompt tokens that it prefilled although an engine had done so before.
     """
 
     def __init__(self, shape: EngineShape, *, slowness: float = 1.0) -> None:
         self.shape = shape
         self.slowness = slowness
-        self.is_dark = False
+        self.is_down = False
         self.read_again = 0
         self.waiting: deque[EngineRun] = deque()
         self.reading: deque[EngineRun] = deque()
         self.running: list[EngineRun] = []
         self.next_step_at: float | None = None
-        self._read_now: list[EngineRun] = []
-        self._kept: OrderedDict[str, int] = OrderedDict()
-        self._kept_tokens = 0
+        self._prefilled_in_step: list[EngineRun] = []
+        self._cached: OrderedDict[str, int] = OrderedDict()
+        self._cached_tokens = 0
         self._occupied = 0
 
     @property
     def open_runs(self) -> int:
-        """Return how many requests it has."""
+        """Return the number of waiting and running requests."""
         return len(self.waiting) + len(self.reading) + len(self.running)
 
-    def take(self, run: EngineRun, now: float, seen: set[str]) -> None:
-        """Take a request.
+    def take(self, run: EngineRun, now: float, prefilled_parts: set[str]) -> None:
+        """Queue a request, and start a step if the engine is idle.
 
         Parameters
         ----------
-        seen
-            The shared parts that any engine has read so far.
+        prefilled_parts
+            Ids of the shared parts that any engine has prefilled; added to in place.
         """
         self.waiting.append(run)
         if self.next_step_at is None:
-            self._begin_step(now, seen)
+            self._start_step(now, prefilled_parts)
 
     def drop(self, run: EngineRun) -> None:
-        """Give a request up, whose caller has left."""
+        """Cancel a request whose caller has disconnected."""
         run.has_left = True
 
-    def step(self, seen: set[str]) -> list[EngineRun]:
-        """End the step at hand and begin the next; return the runs that got an event.
+    def step(self, prefilled_parts: set[str]) -> list[EngineRun]:
+        """Finish the current step and start the next; return runs that sent an event.
 
-        Those that ended with it have their end set.
+        The end time of runs that finished is set.
         """
         now = self.next_step_at
         assert now is not None
-        told = []
+        runs_with_event = []
         for run in list(self.running):
             if run.has_left:
                 self._end(run, now)
                 continue
-            if self._write_token(run, now):
-                told.append(run)
-        for run in self._read_now:
+            if self._generate_token(run, now):
+                runs_with_event.append(run)
+        for run in self._prefilled_in_step:
             if run.left_to_read or run.has_left:
                 continue
             self.running.append(run)
-            if self._write_token(run, now):
-                told.append(run)
-        self._read_now = []
-        self._forget_read()
-        self._begin_step(now, seen)
-        return told
+            if self._generate_token(run, now):
+                runs_with_event.append(run)
+        self._prefilled_in_step = []
+        self._discard_finished_prefills()
+        self._start_step(now, prefilled_parts)
+        return runs_with_event
 
     def clear(self) -> list[EngineRun]:
-        """Lose everything, as in a crash; return what was open."""
+        """Discard requests and cache, as in a crash; return the open requests."""
         lost = [*self.waiting, *self.reading, *self.running]
         self.waiting.clear()
         self.reading.clear()
         self.running.clear()
-        self._read_now.clear()
-        self._kept.clear()
-        self._kept_tokens = 0
+        self._prefilled_in_step.clear()
+        self._cached.clear()
+        self._cached_tokens = 0
         self._occupied = 0
         self.next_step_at = None
         return lost
 
     def cached_tokens(self, generation: Generation) -> int:
-        """Return how much of a prompt needs no reading."""
+        """Return the tokens of a prompt that are cached."""
         found = 0
         for part in generation.shared_parts:
-            if part.id not in self._kept:
+            if part.id not in self._cached:
                 break
             found += part.tokens
         return found
 
     def fetch(self, generation: Generation) -> None:
-        """Take the shared parts of a prompt from another engine."""
-        self._keep(generation)
+        """Cache the shared parts of a prompt, fetched from another engine."""
+        self._cache_parts(generation)
 
-    def _begin_step(self, now: float, seen: set[str]) -> None:
-        self._admit(seen)
+    def _start_step(self, now: float, prefilled_parts: set[str]) -> None:
+        self._admit(prefilled_parts)
         if not self.running and not self.reading:
             self.next_step_at = None
             return
@@ -191,20 +207,20 @@
         context = sum(run.position for run in self.running)
         step_ms = shape.step_ms + shape.step_ms_per_stream * len(self.running)
         step_ms += shape.step_ms_per_thousand * context / THOUSAND
-        step_ms += self._read_chunk()
+        step_ms += self._prefill_chunk()
         self.next_step_at = now + step_ms * self.slowness / 1000.0
 
-    def _forget_read(self) -> None:
-        still = deque[EngineRun]()
+    def _discard_finished_prefills(self) -> None:
+        remaining = deque[EngineRun]()
         for run in self.reading:
             if run.has_left:
                 self._occupied -= run.generation.max_total_tokens
                 continue
             if run.left_to_read:
-                still.append(run)
-        self.reading = still
+                remaining.append(run)
+        self.reading = remaining
 
-    def _admit(self, seen: set[str]) -> None:
+    def _admit(self, prefilled_parts: set[str]) -> None:
         while self.waiting:
             run = self.waiting[0]
             if run.has_left:
@@ -218,9 +234,9 @@
             ):
                 return
             self.waiting.popleft()
-            self._begin_reading(run, seen)
+            self._start_prefill(run, prefilled_parts)
 
-    def _begin_reading(self, run: EngineRun, seen: set[str]) -> None:
+    def _start_prefill(self, run: EngineRun, prefilled_parts: set[str]) -> None:
         generation = run.generation
         run.position = self.cached_tokens(generation)
         run.left_to_read = max(generation.prompt_tokens - run.position, 1)
@@ -230,26 +246,26 @@
                 cached -= part.tokens
                 continue
             cached = 0
-            self.read_again += part.tokens if part.id in seen else 0
-            seen.add(part.id)
+            self.read_again += part.tokens if part.id in prefilled_parts else 0
+            prefilled_parts.add(part.id)
         self._occupied += generation.max_total_tokens
-        self._keep(generation)
+        self._cache_parts(generation)
         self.reading.append(run)
 
-    def _keep(self, generation: Generation) -> None:
+    def _cache_parts(self, generation: Generation) -> None:
         for part in reversed(generation.shared_parts):
-            if part.id not in self._kept:
-                self._kept[part.id] = part.tokens
-                self._kept_tokens += part.tokens
-            self._kept.move_to_end(part.id)
-        while self._kept and self._occupied + self._kept_tokens > (
+            if part.id not in self._cached:
+                self._cached[part.id] = part.tokens
+                self._cached_tokens += part.tokens
+            self._cached.move_to_end(part.id)
+        while self._cached and self._occupied + self._cached_tokens > (
             self.shape.memory_tokens
         ):
-            _, dropped = self._kept.popitem(last=False)
-            self._kept_tokens -= dropped
+            _, evicted_tokens = self._cached.popitem(last=False)
+            self._cached_tokens -= evicted_tokens
 
-    def _read_chunk(self) -> float:
-        """Read up to a chunk of the prompts at hand; return the milliseconds."""
+    def _prefill_chunk(self) -> float:
+        """Prefill up to one chunk of the admitted prompts; return the milliseconds."""
         budget = self.shape.chunk_tokens
         took_ms = 0.0
         for run in self.reading:
@@ -264,16 +280,16 @@
             run.position += tokens
             run.left_to_read -= tokens
             budget -= tokens
-            self._read_now.append(run)
+            self._prefilled_in_step.append(run)
         return took_ms
 
-    def _write_token(self, run: EngineRun, now: float) -> bool:
-        """Write one token; return whether an event left with it."""
+    def _generate_token(self, run: EngineRun, now: float) -> bool:
+        """Generate one token; return whether that completed an event."""
         run.position += 1
         run.left_to_write -= 1
         run.in_event += 1
-        is_whole = run.in_event >= self.shape.tokens_per_event
-        if not is_whole and run.left_to_write > 0:
+        is_complete = run.in_event >= self.shape.tokens_per_event
+        if not is_complete and run.left_to_write > 0:
             return False
         run.in_event = 0
         run.events += 1
--- a/lynxchute/bench/emulator/play.py
+++ b/lynxchute/bench/emulator/play.py
@@ -1,4 +1,4 @@
-"""Play a scenario with a way of placing generations, on a virtual clock."""
+"""Simulate a scenario with a placement policy, on a virtual clock."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
 from lynxchute.standins.arrivals import Arrivals
 from lynxchute.upstreams.aims import LatencyTargets
 
-# Callers leave a stream that does not begin within the longest of two seconds, four
-# times its objective and eight times the longest pause; a router refuses what is
-# expected later than nine tenths of that.
-LEAST_WAIT = 2.0
-REFUSE_SHARE = 0.9
-# Seconds after which a caller that was refused comes back, and how often.
-RETRY_AFTER = 0.4
-RETRIES = 1
-# Seconds until a router finds out that an engine has gone dark.
-NOTICE_SECONDS = 0.5
+# Callers give up on a stream whose first event takes longer than the largest of two
+# seconds, four times its objective and eight times the longest pause. A router refuses
+# a request whose expected first event is later than this share of that time.
+MIN_WAIT = 2.0
+MAX_EXPECTED_SHARE = 0.9
+# Seconds until a caller retries a refused request, and the maximum number of retries.
+RETRY_SECONDS = 0.4
+MAX_RETRIES = 1
+# Seconds until a router detects that an engine is down.
+DETECTION_SECONDS = 0.5
 
 
 class Outcome(enum.Enum):
-    """What became of a request."""
+    """The result of a request for its caller."""
 
     ON_TIME = "on time"
     LATE_FIRST = "late by first event"
@@ -42,11 +42,11 @@
 
 @attrs.define(eq=False)
 class Request:
-    """A request while it is played."""
+    """A request with its state in the simulation."""
 
     arrival: Arrival
     run_id: str
-    tries: int = 0
+    retries: int = 0
     engine: int = -1
     run: EngineRun | None = None
     has_paused: bool = False
@@ -54,7 +54,7 @@
 
     @property
     def objective_at(self) -> float:
-        """Return when its first event would be late, in seconds."""
+        """Return the time by which its first event is due, in seconds."""
         return self.arrival.at + self.arrival.kind.objective_ms / 1000.0
 
     @property
@@ -62,19 +62,19 @@
         """Return the seconds for which its caller waits for the first event."""
         kind = self.arrival.kind
         longest = max(4 * kind.objective_ms, 8 * kind.max_pause_ms) / 1000.0
-        return max(LEAST_WAIT, longest)
+        return max(MIN_WAIT, longest)
 
 
 @attrs.frozen
 class Played:
-    """What came of a scenario.
+    """The result of a simulation.
 
     Attributes
     ----------
     cold_most
-        Requests that came to a cold engine in its fullest second.
+        The most requests that reached a cold engine within one second.
     sent_to_evacuated
-        Requests that came to an engine after its evacuation was known.
+        Requests sent to an engine after its evacuation was known.
     """
 
     requests: list[Request]
@@ -85,16 +85,16 @@
 
 
 class Play:
-    """One run of a scenario.
+    """A simulation of one scenario with one policy.
 
     Parameters
     ----------
     scenario
-        What is asked of which engines.
+        The engines, requests and faults.
     make_policy
-        Returns the way of placing generations.
+        Builds the placement policy.
     seed
-        Of the requests and of the policy's choices.
+        Seed of the requests and of the policy's random choices.
     """
 
     def __init__(
@@ -110,46 +110,54 @@
             EmulatedEngine(scenario.shape, slowness=next(self._slowness))
             for _ in range(scenario.engines)
         ]
-        self._usual = [engine.slowness for engine in self._engines]
-        self._known_dark: set[int] = set()
+        self._usual_slowness = [engine.slowness for engine in self._engines]
+        self._known_down: set[int] = set()
         self._evacuated: set[int] = set()
-        self._taken = [Arrivals() for _ in self._engines]
+        self._arrivals_by_engine = [Arrivals() for _ in self._engines]
         self._sent_to_evacuated = 0
         self._stepping: set[int] = set()
-        self._seen: set[str] = set()
+        self._prefilled_parts: set[str] = set()
         self._fetched = 0
         self._requests: list[Request] = []
-        self._by_run: dict[EngineRun, Request] = {}
+        self._requests_by_run: dict[EngineRun, Request] = {}
         self._queue: list[tuple[float, int, Callable[[float], None]]] = []
-        self._number = itertools.count()
+        self._event_numbers = itertools.count()
         self._seed = seed
 
     def run(self) -> Played:
-        """Play to the end; return what came of it."""
+        """Run the simulation to its end; return the result."""
         for number, arrival in enumerate(make_trace(self._scenario, self._seed)):
             request = Request(arrival, str(number))
             self._requests.append(request)
-            self._at(arrival.at, partial(self._send, request))
+            self._schedule(arrival.at, partial(self._send, request))
         for trouble in self._scenario.troubles:
-            self._at(trouble.at, partial(self._strike, trouble))
-        self._plan_noise()
+            self._schedule(trouble.at, partial(self._start_trouble, trouble))
+        self._schedule_noise()
         while self._queue:
             now, _, action = heapq.heappop(self._queue)
             action(now)
-        again = sum(engine.read_again for engine in self._engines)
-        cold_most = max(taken.most_while_cold() for taken in self._taken)
+        read_again = sum(engine.read_again for engine in self._engines)
+        cold_most = max(
+            arrivals.most_while_cold() for arrivals in self._arrivals_by_engine
+        )
         return Played(
-            self._requests, again, self._fetched, cold_most, self._sent_to_evacuated
+            self._requests,
+            read_again,
+            self._fetched,
+            cold_most,
+            self._sent_to_evacuated,
         )
 
-    def _at(self, when: float, action: Callable[[float], None]) -> None:
-        heapq.heappush(self._queue, (when, next(self._number), action))
+    def _schedule(self, when: float, action: Callable[[float], None]) -> None:
+        heapq.heappush(self._queue, (when, next(self._event_numbers), action))
 
-    def _tell(self, tell: Callable[[str, int, float], None], request: Request) -> None:
-        """Have the scheduling router hear of a run a little later."""
+    def _notify_policy(
+        self, notify: Callable[[str, int, float], None], request: Request
+    ) -> None:
+        """Notify the policy of a run after the scenario's ``news_ms``."""
         run_id, engine = request.run_id, request.engine
         when = self._now + self._scenario.news_ms / 1000.0
-        self._at(when, lambda now: tell(run_id, engine, now))
+        self._schedule(when, lambda now: notify(run_id, engine, now))
 
     # Requests.
 
@@ -157,13 +165,13 @@
         self._now = now
         if request.outcome is not None:
             return
-        closed = self._known_dark | self._evacuated
-        engines = [n for n in range(len(self._engines)) if n not in closed]
+        unavailable = self._known_down | self._evacuated
+        engines = [n for n in range(len(self._engines)) if n not in unavailable]
         if not engines:
             self._refuse(request, now)
             return
         kind = request.arrival.kind
-        request.run_id = f"{request.run_id.partition('.')[0]}.{request.tries}"
+        request.run_id = f"{request.run_id.partition('.')[0]}.{request.retries}"
         newcomer = PendingRequest(
             request.run_id,
             request.arrival.generation,
@@ -176,21 +184,21 @@
         self._sent_to_evacuated += choice.engine in self._evacuated
         self._policy.open[choice.engine] += 1
         request.engine = choice.engine
-        if choice.expected_ms / 1000.0 > request.longest_wait * REFUSE_SHARE:
-            self._tell(self._policy.ended, request)
+        if choice.expected_ms / 1000.0 > request.longest_wait * MAX_EXPECTED_SHARE:
+            self._notify_policy(self._policy.record_end, request)
             self._refuse(request, now)
             return
         when = now + 2 * self._scenario.ask_ms / 1000.0
         if choice.fetch_from is not None:
             when += self._fetch(choice.engine, choice.fetch_from, request)
-        self._at(when, partial(self._arrive, request))
+        self._schedule(when, partial(self._arrive, request))
 
     def _fetch(self, engine: int, source: int, request: Request) -> float:
-        """Hand over what an engine keeps of a prompt; return the seconds."""
+        """Copy a cached prompt prefix from another engine; return the seconds."""
         generation = request.arrival.generation
-        kept = self._engines[source].cached_tokens(generation)
-        tokens = kept - self._engines[engine].cached_tokens(generation)
-        if tokens <= 0 or self._engines[source].is_dark:
+        cached = self._engines[source].cached_tokens(generation)
+        tokens = cached - self._engines[engine].cached_tokens(generation)
+        if tokens <= 0 or self._engines[source].is_down:
             return 0.0
         self._engines[engine].fetch(generation)
         self._fetched += tokens
@@ -202,132 +210,141 @@
         arrival = request.arrival
         run = EngineRun(request.run_id, arrival.generation, now, arrival.output_tokens)
         request.run = run
-        self._by_run[run] = request
-        self._taken[request.engine].note(now)
-        if engine.is_dark:
-            self._at(now + NOTICE_SECONDS, partial(self._break, request, run))
+        self._requests_by_run[run] = request
+        self._arrivals_by_engine[request.engine].note(now)
+        if engine.is_down:
+            self._schedule(
+                now + DETECTION_SECONDS, partial(self._fail_run, request, run)
+            )
             return
-        engine.take(run, now, self._seen)
-        self._step_later(request.engine)
+        engine.take(run, now, self._prefilled_parts)
+        self._schedule_step(request.engine)
         waits_until = arrival.at + request.longest_wait
-        self._at(waits_until, partial(self._leave, request, run))
+        self._schedule(waits_until, partial(self._time_out, request, run))
 
     def _refuse(self, request: Request, now: float) -> None:
-        if request.tries < RETRIES:
-            request.tries += 1
-            self._at(now + RETRY_AFTER, partial(self._send, request))
+        if request.retries < MAX_RETRIES:
+            request.retries += 1
+            self._schedule(now + RETRY_SECONDS, partial(self._send, request))
             return
         request.outcome = Outcome.REFUSED
 
-    def _break(self, request: Request, run: EngineRun, now: float) -> None:
-        """Go on elsewhere after an engine went dark, or fail."""
+    def _fail_run(self, request: Request, run: EngineRun, now: float) -> None:
+        """Resume a run elsewhere after its engine went down, or fail the request."""
         self._now = now
         if request.run is not run or request.outcome is not None:
             return
-        self._tell(self._policy.failed, request)
-        self._by_run.pop(run, None)
+        self._notify_policy(self._policy.record_failure, request)
+        self._requests_by_run.pop(run, None)
         started = run.events > 0
-        if request.tries >= RETRIES or not request.arrival.kind.is_resumable:
+        if request.retries >= MAX_RETRIES or not request.arrival.kind.is_resumable:
             request.outcome = Outcome.FAILED
             return
-        request.tries += 1
+        request.retries += 1
         request.has_paused = request.has_paused or started
         self._send(request, now)
 
-    def _leave(self, request: Request, run: EngineRun, now: float) -> None:
+    def _time_out(self, request: Request, run: EngineRun, now: float) -> None:
         self._now = now
         if request.run is not run or run.first_at is not None:
             return
         if request.outcome is None:
             self._engines[request.engine].drop(run)
             request.outcome = Outcome.FAILED
-            self._tell(self._policy.ended, request)
+            self._notify_policy(self._policy.record_end, request)
 
     # Engines.
 
-    def _step_later(self, number: int) -> None:
+    def _schedule_step(self, number: int) -> None:
         when = self._engines[number].next_step_at
         if number in self._stepping or when is None:
             return
         self._stepping.add(number)
-        self._at(when, partial(self._step, number))
+        self._schedule(when, partial(self._step, number))
 
     def _step(self, number: int, now: float) -> None:
         self._now = now
         self._stepping.discard(number)
         engine = self._engines[number]
-        if engine.is_dark or engine.next_step_at is None:
+        if engine.is_down or engine.next_step_at is None:
             return
         if engine.next_step_at > now:
-            # It went dark and came back since this step was due.
-            self._step_later(number)
+            # The engine went down and recovered after this step had been scheduled.
+            self._schedule_step(number)
             return
-        for run in engine.step(self._seen):
-            self._note_event(self._by_run[run], run)
-        self._step_later(number)
+        for run in engine.step(self._prefilled_parts):
+            self._record_event(self._requests_by_run[run], run)
+        self._schedule_step(number)
 
-    def _note_event(self, request: Request, run: EngineRun) -> None:
+    def _record_event(self, request: Request, run: EngineRun) -> None:
         limit = request.arrival.kind.max_pause_ms / 1000.0
         if run.events == 1:
             assert run.first_at is not None
             took_ms = (run.first_at - run.arrived_at) * 1000.0
             run_id, engine = request.run_id, request.engine
             when = self._now + self._scenario.news_ms / 1000.0
-            self._at(when, lambda now: self._policy.begun(run_id, engine, now, took_ms))
+            self._schedule(
+                when,
+                lambda now: self._policy.record_first_event(
+                    run_id, engine, now, took_ms
+                ),
+            )
         if run.longest_pause > limit and not request.has_paused:
             request.has_paused = True
-            self._tell(self._policy.paused, request)
+            self._notify_policy(self._policy.record_pause, request)
         if run.ended_at is None:
             return
-        self._tell(self._policy.ended, request)
+        self._notify_policy(self._policy.record_end, request)
         if request.outcome is None:
-            request.outcome = _outcome(request, run)
+            request.outcome = _outcome_on_end(request, run)
 
-    # Troubles.
+    # Faults.
 
-    def _plan_noise(self) -> None:
+    def _schedule_noise(self) -> None:
         noise = self._scenario.noise
         for number in range(len(self._engines)):
             rng = random.Random(f"{self._seed} noise {number}")
             for begin, end in noise.spans(self._scenario.seconds, rng):
-                self._at(begin, partial(self._slow_down, number, noise.times))
-                self._at(end, partial(self._slow_down, number, 1.0))
+                self._schedule(begin, partial(self._set_slowness, number, noise.times))
+                self._schedule(end, partial(self._set_slowness, number, 1.0))
 
-    def _slow_down(self, number: int, times: float, now: float) -> None:
-        self._engines[number].slowness = self._usual[number] * times
+    def _set_slowness(self, number: int, times: float, now: float) -> None:
+        self._engines[number].slowness = self._usual_slowness[number] * times
 
-    def _strike(self, trouble: Trouble, now: float) -> None:
+    def _start_trouble(self, trouble: Trouble, now: float) -> None:
         self._now = now
-        self._at(now + trouble.seconds, partial(self._mend, trouble))
+        self._schedule(now + trouble.seconds, partial(self._end_trouble, trouble))
         for number in trouble.engines:
             engine = self._engines[number]
             if trouble.is_evacuated:
                 self._evacuated.add(number)
                 continue
             if trouble.slower:
-                engine.slowness = self._usual[number] * trouble.slower
+                engine.slowness = self._usual_slowness[number] * trouble.slower
                 continue
-            engine.is_dark = True
+            engine.is_down = True
             for run in engine.clear():
-                request = self._by_run[run]
-                self._at(now + NOTICE_SECONDS, partial(self._break, request, run))
-            self._at(now + NOTICE_SECONDS, partial(self._note_dark, number))
+                request = self._requests_by_run[run]
+                self._schedule(
+                    now + DETECTION_SECONDS, partial(self._fail_run, request, run)
+                )
+            self._schedule(now + DETECTION_SECONDS, partial(self._record_down, number))
 
-    def _note_dark(self, number: int, now: float) -> None:
-        self._known_dark.add(number)
+    def _record_down(self, number: int, now: float) -> None:
+        self._known_down.add(number)
 
-    def _mend(self, trouble: Trouble, now: float) -> None:
+    def _end_trouble(self, trouble: Trouble, now: float) -> None:
         for number in trouble.engines:
-            self._engines[number].slowness = self._usual[number]
-            self._engines[number].is_dark = False
-            self._known_dark.discard(number)
+            self._engines[number].slowness = self._usual_slowness[number]
+            self._engines[number].is_down = False
+            self._known_down.discard(number)
             self._evacuated.discard(number)
             if trouble.cold_seconds:
-                self._taken[number].note_cold(trouble.cold_seconds, now)
+                self._arrivals_by_engine[number].note_cold(trouble.cold_seconds, now)
                 self._policy.cold_until[number] = now + trouble.cold_seconds
 
 
-def _outcome(request: Request, run: EngineRun) -> Outcome:
+def _outcome_on_end(request: Request, run: EngineRun) -> Outcome:
     assert run.first_at is not None
     if run.first_at > request.objective_at:
         return Outcome.LATE_FIRST
--- a/lynxchute/bench/emulator/policies.py
+++ b/lynxchute/bench/emulator/policies.py
@@ -1,4 +1,4 @@
-"""Ways of placing generations that are compared."""
+"""The placement policies that are compared."""
 
 from __future__ import annotations
 
@@ -30,23 +30,23 @@
 from lynxchute.upstreams.upstream import Upstream
 
 SERVICE = "pool"
-# An engine may have this many times the mean of open requests before a prompt part
-# goes elsewhere.
+# An engine is passed over for a prompt part if its open requests exceed the mean by
+# more than this factor.
 LOAD_BOUND = 1.25
 
 
 @attrs.frozen
 class Choice:
-    """Where a request goes.
+    """The engine chosen for a request.
 
     Attributes
     ----------
     engine
-        Its number.
+        The index of the engine.
     fetch_from
-        The engine that hands over what it keeps of the prompt; None for none.
+        The engine from which cached prompt parts are fetched; None for none.
     expected_ms
-        When its first event is expected; 0 where nobody knows.
+        Estimated time to the first event, in milliseconds; 0 if it is unknown.
     """
 
     engine: int
@@ -55,19 +55,21 @@
 
 
 class PlacementPolicy(ABC):
-    """Choose engines.
+    """Choose an engine for each request.
 
     Parameters
     ----------
     scenario
-        What the engines are.
+        The scenario, with the engines.
     rng
         The source of randomness.
 
     Attributes
     ----------
+    open
+        The number of open requests of each engine.
     cold_until
-        Until when each engine is cold, in seconds.
+        The time until which each engine is cold, in seconds.
     """
 
     name = ""
@@ -82,25 +84,27 @@
     def choose(
         self, newcomer: PendingRequest, engines: list[int], now: float
     ) -> Choice | None:
-        """Return the engine for a request, of those that answer; None for none."""
+        """Return the engine for a request, of the available ones; None to refuse it."""
 
-    def begun(self, run_id: str, engine: int, now: float, took_ms: float) -> None:
-        """Note the first event of a request, which came so long after the send."""
+    def record_first_event(
+        self, run_id: str, engine: int, now: float, took_ms: float
+    ) -> None:
+        """Record the first event of a run, ``took_ms`` after its arrival."""
 
-    def paused(self, run_id: str, engine: int, now: float) -> None:
-        """Note that a stream has paused for longer than is on time."""
+    def record_pause(self, run_id: str, engine: int, now: float) -> None:
+        """Record that a stream has paused for longer than its kind allows."""
 
-    def ended(self, run_id: str, engine: int, now: float) -> None:
-        """Note the end of a request."""
+    def record_end(self, run_id: str, engine: int, now: float) -> None:
+        """Record the end of a run."""
         self.open[engine] -= 1
 
-    def failed(self, run_id: str, engine: int, now: float) -> None:
-        """Note that a request broke."""
+    def record_failure(self, run_id: str, engine: int, now: float) -> None:
+        """Record that a run failed because its engine went down."""
         self.open[engine] -= 1
 
 
 class RoundRobin(PlacementPolicy):
-    """Take the engines in turn."""
+    """Choose the engines in turn."""
 
     name = "round_robin"
 
@@ -117,27 +121,27 @@
 
 
 class LeastOpen(PlacementPolicy):
-    """Take the engine with the fewest open requests."""
+    """Choose the engine with the fewest open requests."""
 
     name = "least_open"
 
     def choose(
         self, newcomer: PendingRequest, engines: list[int], now: float
     ) -> Choice:
-        """Return the engine with the least to do."""
+        """Return an engine with the fewest open requests, at random among equals."""
         least = min(self.open[engine] for engine in engines)
         return Choice(self.random.choice([e for e in engines if self.open[e] == least]))
 
 
 class PartAffinity(PlacementPolicy):
-    """Rendezvous of the first shared part, within a load bound."""
+    """Choose by rendezvous hashing of the first shared part, within a load bound."""
 
     name = "part_affinity"
 
     def choose(
         self, newcomer: PendingRequest, engines: list[int], now: float
     ) -> Choice:
-        """Return the part's engine, or the next one that is not loaded."""
+        """Return the part's first engine whose load is within the bound."""
         bound = (sum(self.open) + 1) / len(engines) * LOAD_BOUND
         parts = newcomer.generation.shared_parts
         key = parts[0].id if parts else newcomer.run_id
@@ -148,7 +152,7 @@
 
 
 class Board(PlacementPolicy):
-    """The product's own: one router decides, with all that was sent in view."""
+    """The router's own policy: one router places all requests, by its board."""
 
     name = "board"
     may_fetch = True
@@ -170,13 +174,13 @@
         ]
 
     def make_placement_cost(self) -> PlacementCost:
-        """Return what weighs who is harmed."""
+        """Return the cost function that compares engines."""
         return LoadAdaptiveCost()
 
     def choose(
         self, newcomer: PendingRequest, engines: list[int], now: float
     ) -> Choice | None:
-        """Return the engine that costs callers and operators least."""
+        """Return the engine with the lowest placement cost."""
         shape = self.scenario.shape
         parts = newcomer.generation.shared_parts
         key = parts[-1].id if parts else newcomer.run_id
@@ -200,51 +204,53 @@
         source = int(place.fetch_from) if place.fetch_from else None
         return Choice(int(place.upstream_id), source, place.expected_ms)
 
-    def begun(self, run_id: str, engine: int, now: float, took_ms: float) -> None:
-        """Note the first event of a request, which came so long after the send."""
+    def record_first_event(
+        self, run_id: str, engine: int, now: float, took_ms: float
+    ) -> None:
+        """Record the first event of a run, ``took_ms`` after its arrival."""
         self.board.record_first_event(str(engine), run_id, now, took_ms=took_ms)
 
-    def paused(self, run_id: str, engine: int, now: float) -> None:
-        """Note that a stream has paused for longer than is on time."""
+    def record_pause(self, run_id: str, engine: int, now: float) -> None:
+        """Record that a stream has paused for longer than its kind allows."""
         self.board.record_pause(str(engine), run_id, now)
 
-    def ended(self, run_id: str, engine: int, now: float) -> None:
-        """Note the end of a request."""
-        super().ended(run_id, engine, now)
+    def record_end(self, run_id: str, engine: int, now: float) -> None:
+        """Record the end of a run."""
+        super().record_end(run_id, engine, now)
         self.board.record_end(str(engine), run_id, now)
 
-    def failed(self, run_id: str, engine: int, now: float) -> None:
-        """Note that a request broke."""
-        super().failed(run_id, engine, now)
+    def record_failure(self, run_id: str, engine: int, now: float) -> None:
+        """Record that a run failed because its engine went down."""
+        super().record_failure(run_id, engine, now)
         self.board.record_failure(str(engine), run_id, now)
 
 
 class WeightedBoard(Board):
-    """The board with a fixed weight for each stream beside a long prompt."""
+    """The board with a fixed cost for each stream that a long prompt delays."""
 
     name = "board_with_weights"
 
     def make_placement_cost(self) -> PlacementCost:
-        """Return what weighs who is harmed."""
+        """Return the cost function that compares engines."""
         return StreamPauseCost()
 
 
 class LearningBoard(Board):
-    """The board that tells slow moments from lasting speeds."""
+    """The board that tells transient slowness from an engine's lasting speed."""
 
     name = "board_learning"
     tracks_transients = True
 
 
 class BoardWithoutFetch(Board):
-    """The board where no engine hands over what it keeps."""
+    """The board without fetching cached prompt parts from other engines."""
 
     name = "board_without_fetch"
     may_fetch = False
 
 
 class WarmBoard(Board):
-    """The board where nothing is sent to cold engines."""
+    """The board that sends no requests to cold engines."""
 
     name = "board_warm_only"
     admission = WarmOnly()
@@ -258,14 +264,14 @@
 
 
 class UnboundBoard(Board):
-    """The board that does not know that engines are cold."""
+    """The board that ignores whether engines are cold."""
 
     name = "board_unbound"
 
     def choose(
         self, newcomer: PendingRequest, engines: list[int], now: float
     ) -> Choice | None:
-        """Return the engine that costs callers and operators least."""
+        """Return the engine with the lowest placement cost."""
         self.cold_until = [0.0] * len(self.cold_until)
         return super().choose(newcomer, engines, now)
 
--- a/lynxchute/bench/emulator/results.py
+++ b/lynxchute/bench/emulator/results.py
@@ -1,4 +1,4 @@
-"""What a played scenario gave its callers, in figures."""
+"""Summary figures of a simulated scenario."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 
 from lynxchute.bench.emulator.play import Outcome, Played, Request
 
-# A request is worth this much of its kind's value whatever its size, and the rest
-# by its size against the mean of its kind.
+# This share of a request's value is independent of its size; the rest is proportional
+# to its size relative to the mean size.
 FLAT_SHARE = 0.3
-# Tokens of a prompt that cost an engine about as much as one of an answer.
+# Number of prompt tokens that cost an engine about as much as one answer token.
 OUTPUT_WEIGHT = 10
 
 
 @attrs.frozen
 class Figures:
-    """Figures of one play; shares are of requests unless they say otherwise.
+    """Figures of one simulation; shares are of requests unless stated otherwise.
 
     Attributes
     ----------
     value
-        What callers got, as a share of what they would have got on time.
+        The value for callers, as a share of the value if all requests were on time.
     fairness
-        Jain's index of the accounts' shares on time: 1 where all are equal.
+        Jain's fairness index of the accounts' shares on time: 1 if all are equal.
     worst_tenth
-        The share on time of the worst tenth of the accounts.
+        The mean share on time of the worst tenth of the accounts.
     """
 
     value: float
@@ -58,24 +58,24 @@
     count = max(len(requests), 1)
     sizes = [_size(request) for request in requests]
     mean_size = sum(sizes) / count
-    earned = owed = 0.0
+    earned_value = total_value = 0.0
     outcomes: dict[Outcome | None, int] = defaultdict(int)
-    firsts = []
+    first_event_ms = []
     for request, size in zip(requests, sizes, strict=True):
         kind = request.arrival.kind
         factor = min(FLAT_SHARE + (1 - FLAT_SHARE) * size / mean_size, 4.0)
-        owed += kind.value * factor
+        total_value += kind.value * factor
         outcomes[request.outcome] += 1
         if request.outcome is Outcome.ON_TIME:
-            earned += kind.value * factor
+            earned_value += kind.value * factor
         elif request.outcome in (Outcome.LATE_FIRST, Outcome.LATE_PAUSE):
-            earned += kind.late_value * factor
+            earned_value += kind.late_value * factor
         if request.run is not None and request.run.first_at is not None:
-            firsts.append((request.run.first_at - request.arrival.at) * 1000.0)
-    firsts.sort()
-    shares = _shares_by_account(requests)
+            first_event_ms.append((request.run.first_at - request.arrival.at) * 1000.0)
+    first_event_ms.sort()
+    shares = _shares_on_time(requests)
     return Figures(
-        value=earned / owed if owed else 1.0,
+        value=earned_value / total_value if total_value else 1.0,
         on_time=outcomes[Outcome.ON_TIME] / count,
         late_first=outcomes[Outcome.LATE_FIRST] / count,
         late_pause=outcomes[Outcome.LATE_PAUSE] / count,
@@ -83,8 +83,8 @@
         failed=(outcomes[Outcome.FAILED] + outcomes[None]) / count,
         read_again_per_request=played.read_again / max(len(played.requests), 1),
         fetched_per_request=played.fetched / max(len(played.requests), 1),
-        first_event_ms_p50=_percentile(firsts, 0.5),
-        first_event_ms_p95=_percentile(firsts, 0.95),
+        first_event_ms_p50=_percentile(first_event_ms, 0.5),
+        first_event_ms_p95=_percentile(first_event_ms, 0.95),
         fairness=_jain(shares),
         worst_tenth=_mean(sorted(shares)[: max(len(shares) // 10, 1)]),
     )
@@ -95,8 +95,8 @@
     return arrival.generation.prompt_tokens + OUTPUT_WEIGHT * arrival.output_tokens
 
 
-def _shares_by_account(requests: list[Request]) -> list[float]:
-    """Return the share on time of each account."""
+def _shares_on_time(requests: list[Request]) -> list[float]:
+    """Return the share of requests on time for each account."""
     on_time: dict[str, int] = defaultdict(int)
     counts: dict[str, int] = defaultdict(int)
     for request in requests:
--- a/lynxchute/bench/emulator/scenario.py
+++ b/lynxchute/bench/emulator/scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios of engines, callers and troubles, in checked YAML files."""
+"""Scenarios of engines, requests and faults, in validated YAML files."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
     spread: float = option(
         default=0.0, low=0.0, doc="Standard deviation of its natural logarithm."
     )
-    most: float = option(default=1e9, low=1.0, doc="No draw is larger, in tokens.")
+    most: float = option(default=1e9, low=1.0, doc="Its maximum, in tokens.")
 
     def draw(self, rng: random.Random) -> int:
-        """Return a number of tokens, at least one."""
+        """Return a random number of tokens, at least one; 0 if the mean is 0."""
         if not self.mean:
             return 0
         # The mean of a log-normal is exp(mu + sigma^2 / 2).
@@ -37,69 +37,80 @@
 
 @attrs.frozen
 class SharedPart:
-    """A part that many prompts begin with."""
+    """A prompt part that many prompts share at their beginning."""
 
-    length: Length = option(doc="Its length.")
-    count: int = option(low=1, doc="How many different ones there are.")
+    length: Length = option(doc="Its length, in tokens.")
+    count: int = option(low=1, doc="Number of different parts.")
 
 
 @attrs.frozen
 class Kind:
     """A kind of request."""
 
-    name: str = option(doc="What it is called in the table.")
+    name: str = option(doc="Its name in the table.")
     per_second: float = option(low=0.0, doc="Requests a second.")
-    objective_ms: float = option(low=1.0, doc="The first event is on time by then.")
-    max_pause_ms: float = option(low=1.0, doc="Longest pause that is on time.")
-    deadline_ms: float = option(low=1.0, doc="The caller leaves by then.")
-    value: float = option(default=1.0, doc="What one that is on time is worth.")
-    late_value: float = option(default=0.3, doc="What a late one is worth.")
-    is_resumable: bool = option(default=False, doc="Whether it may go on elsewhere.")
-    parts: tuple[SharedPart, ...] = option(default=(), doc="What prompts begin with.")
-    own: Length = option(doc="Tokens of the prompt that nobody else has.")
+    objective_ms: float = option(
+        low=1.0, doc="Time to the first event that counts as on time."
+    )
+    max_pause_ms: float = option(
+        low=1.0, doc="Longest pause between events that counts as on time."
+    )
+    deadline_ms: float = option(low=1.0, doc="Deadline of the caller.")
+    value: float = option(default=1.0, doc="Value of a request that is on time.")
+    late_value: float = option(default=0.3, doc="Value of a request that is late.")
+    is_resumable: bool = option(
+        default=False, doc="Whether another engine may resume it."
+    )
+    parts: tuple[SharedPart, ...] = option(
+        default=(), doc="Shared parts at the beginning of prompts."
+    )
+    own: Length = option(doc="Prompt tokens that are unique to each request.")
     output: Length = option(doc="Tokens of the answer.")
-    accounts: int = option(default=10, low=1, doc="Client accounts that send it.")
+    accounts: int = option(
+        default=10, low=1, doc="Number of client accounts that send it."
+    )
 
 
 @attrs.frozen
 class Burst:
-    """A time in which more comes than usual."""
+    """A period with a higher rate of requests."""
 
-    at: float = option(low=0.0, doc="When it begins, in seconds.")
-    seconds: float = option(low=0.0, doc="How long it lasts.")
-    times: float = option(low=0.0, doc="How many times the usual comes.")
-    kind: str = option(default="", doc="Of which kind; of all where empty.")
-    account: str = option(default="", doc="Of which account; of all where empty.")
+    at: float = option(low=0.0, doc="Its start, in seconds.")
+    seconds: float = option(low=0.0, doc="Its duration.")
+    times: float = option(low=0.0, doc="Factor on the usual rate.")
+    kind: str = option(default="", doc="The affected kind of request; empty for all.")
+    account: str = option(default="", doc="The affected account; empty for all.")
 
 
 @attrs.frozen
 class Trouble:
-    """Something that happens to engines."""
+    """A fault or an evacuation of some engines."""
 
-    at: float = option(low=0.0, doc="When it begins, in seconds.")
-    seconds: float = option(low=0.0, doc="How long it lasts.")
-    engines: tuple[int, ...] = option(doc="Which engines, counted from 0.")
+    at: float = option(low=0.0, doc="Its start, in seconds.")
+    seconds: float = option(low=0.0, doc="Its duration.")
+    engines: tuple[int, ...] = option(doc="Indices of the engines, from 0.")
     slower: float = option(
-        default=0.0, low=0.0, doc="How many times slower; 0 where they go dark."
+        default=0.0, low=0.0, doc="Factor of slowness; 0 if the engines are down."
     )
     is_evacuated: bool = option(
-        default=False, doc="Whether they only get nothing new, and run on."
+        default=False,
+        doc="Whether the engines are evacuated: they only get no new requests.",
     )
     cold_seconds: float = option(
-        default=0.0, low=0.0, doc="How long they are cold after it."
+        default=0.0, low=0.0, doc="Seconds for which they are cold afterwards."
     )
 
 
 @attrs.frozen
 class Noise:
-    """Moments in which each engine is slower than it usually is."""
+    """Random short periods in which an engine is slower than usual."""
 
     share: float = option(default=0.0, low=0.0, doc="Share of the time, below 1.")
-    times: float = option(default=2.5, low=0.01, doc="How many times slower.")
-    seconds: float = option(default=0.6, low=0.01, doc="How long each lasts.")
+    times: float = option(default=2.5, low=0.01, doc="Factor of slowness.")
+    seconds: float = option(default=0.6, low=0.01, doc="Duration of each period.")
 
     def spans(self, until: float, rng: random.Random) -> list[tuple[float, float]]:
-        """Return when they begin and end, in seconds."""
+        """Return the start and end of each period, in seconds."""
         found: list[tuple[float, float]] = []
         if not 0 < self.share < 1:
             return found
@@ -113,32 +124,48 @@
 
 @attrs.frozen
 class Scenario:
-    """Engines, what they are asked, and what goes wrong."""
+    """Engines, the requests for them, and faults."""
 
-    name: str = option(doc="What it is called.")
-    seconds: float = option(default=60.0, low=1.0, doc="How long requests come.")
-    load: float = option(default=1.0, low=0.0, doc="Times the usual requests.")
-    engines: int = option(default=6, low=1, doc="How many engines.")
+    name: str = option(doc="Its name.")
+    seconds: float = option(
+        default=60.0, low=1.0, doc="Duration in which requests arrive."
+    )
+    load: float = option(
+        default=1.0, low=0.0, doc="Factor on the rates of all kinds of requests."
+    )
+    engines: int = option(default=6, low=1, doc="Number of engines.")
     slowness: tuple[float, ...] = option(
-        default=(1.0,), doc="How slow they are, in turn."
+        default=(1.0,), doc="Factors of slowness, assigned to engines in turn."
+    )
+    noise: Noise = option(factory=Noise, doc="Short periods of slowness.")
+    shape: EngineShape = option(
+        factory=EngineShape, doc="Capacity and speed of each engine."
     )
-    noise: Noise = option(factory=Noise, doc="When each is slower for a moment.")
-    shape: EngineShape = option(factory=EngineShape, doc="What each engine can do.")
-    kinds: tuple[Kind, ...] = option(doc="What is asked.")
-    bursts: tuple[Burst, ...] = option(default=(), doc="When more comes.")
-    troubles: tuple[Trouble, ...] = option(default=(), doc="What goes wrong.")
+    kinds: tuple[Kind, ...] = option(doc="Kinds of requests.")
+    bursts: tuple[Burst, ...] = option(
+        default=(), doc="Periods with more requests than usual."
+    )
+    troubles: tuple[Trouble, ...] = option(default=(), doc="Faults and evacuations.")
     news_ms: float = option(
-        default=50.0, low=0.0, doc="How late the scheduling router hears of runs."
+        default=50.0,
+        low=0.0,
+        doc="Delay until the scheduling router learns of changes of runs.",
+    )
+    ask_ms: float = option(
+        default=3.0, low=0.0, doc="One-way delay to and from the scheduling router."
     )
-    ask_ms: float = option(default=3.0, low=0.0, doc="How long it takes to ask it.")
     fetch_tokens_per_ms: float = option(
-        default=0.0, low=0.0, doc="How fast engines hand kept parts over; 0 if not."
+        default=0.0,
+        low=0.0,
+        doc="Rate at which engines fetch cached parts from others; 0 for no fetching.",
     )
     cold_per_second: float = option(
-        default=0.0, low=0.0, doc="Requests that a cold engine bears in a second."
+        default=0.0, low=0.0, doc="Requests a second that a cold engine can serve."
     )
     hint_spread: float = option(
-        default=0.5, low=0.0, doc="How far callers' guesses of lengths are off."
+        default=0.5,
+        low=0.0,
+        doc="Standard deviation of the log error of callers' length estimates.",
     )
 
 
@@ -156,7 +183,7 @@
 def load_scenario(
     text: str, file: str = "scenario.yaml"
 ) -> Result[Scenario, tuple[Finding, ...]]:
-    """Return a scenario, or everything that is wrong with it."""
+    """Return a scenario, or every error found in it."""
     return load_document(text, Scenario, file, _check)
 
 
@@ -178,7 +205,7 @@
 
 
 def make_trace(scenario: Scenario, seed: int) -> list[Arrival]:
-    """Return the seeded requests of a scenario, in order of time."""
+    """Return the seeded requests of a scenario, in order of arrival."""
     rng = random.Random(seed)
     trace: list[Arrival] = []
     for index, kind in enumerate(scenario.kinds):
@@ -188,12 +215,12 @@
         rate = kind.per_second * scenario.load * highest
         while rate and (now := now + rng.expovariate(rate)) < scenario.seconds:
             account = f"account-{rng.randrange(kind.accounts)}"
-            if rng.random() * highest < _times(scenario, kind, account, now):
+            if rng.random() * highest < _rate_factor(scenario, kind, account, now):
                 trace.append(_arrival(scenario, kind, account, choices, now, rng))
     return sorted(trace, key=lambda arrival: arrival.at)
 
 
-def _times(scenario: Scenario, kind: Kind, account: str, now: float) -> float:
+def _rate_factor(scenario: Scenario, kind: Kind, account: str, now: float) -> float:
     times = 1.0
     for burst in scenario.bursts:
         if not burst.at <= now < burst.at + burst.seconds:
@@ -224,7 +251,8 @@
     rng: random.Random,
 ) -> Arrival:
     parts = []
-    # Later parts belong to one of the earlier ones, as a depot's to its firm's.
+    # Shared parts are nested: each later part always follows the same earlier one, as a
+    # depot's prompt part follows that of its firm.
     number = rng.randrange(max((len(row) for row in choices), default=1))
     for row in choices:
         parts.append(row[number % len(row)])
--- a/lynxchute/bench/experiment.py
+++ b/lynxchute/bench/experiment.py
@@ -1,7 +1,7 @@
-"""Compare ways of placing generations on emulated engines, with paired seeds.
+"""Compare placement policies on emulated engines, with paired seeds.
 
-Each seed gives one trace of requests, which every policy serves; differences are
-taken seed by seed, so that what the traces differ in cancels out.
+Each seed gives one trace of requests, on which every policy runs. Differences are
+computed seed by seed, so that the variation between traces cancels out.
 """
 
 from __future__ import annotations
@@ -26,8 +26,8 @@
 from lynxchute.bench.emulator.results import Figures, figures_by_kind
 from lynxchute.bench.emulator.scenario import Scenario, read_scenario
 
-# Two-sided 95% points of Student's t distribution, by degrees of freedom; beyond
-# the last of them that of the normal distribution.
+# Two-sided 95% quantiles of Student's t distribution, by degrees of freedom from 1; for
+# more degrees, the quantile of the normal distribution is used.
 T_POINTS = (12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23)
 NORMAL_POINT = 1.96
 EXIT_FINDINGS = 2
@@ -36,7 +36,7 @@
 
 @attrs.frozen
 class Job:
-    """One play: a scenario, a policy and a seed."""
+    """One simulation run: a scenario, a policy and a seed."""
 
     scenario: Scenario
     policy: str
@@ -45,7 +45,7 @@
 
 @attrs.frozen
 class Interval:
-    """A mean, and half the width of its 95% interval."""
+    """A mean, and half the width of its 95% confidence interval."""
 
     mean: float
     half_width: float
@@ -55,14 +55,14 @@
 
 
 def play_job(job: Job) -> dict[str, Figures]:
-    """Play once; return the figures of each kind of request."""
+    """Run one simulation; return the figures of each kind of request."""
     return figures_by_kind(
         Play(job.scenario, POLICIES_BY_NAME[job.policy], job.seed).run()
     )
 
 
 def interval(values: list[float]) -> Interval:
-    """Return the mean of some values with its 95% interval.
+    """Return the mean of some values with its 95% confidence interval.
 
     Examples
     --------
@@ -79,23 +79,23 @@
 
 
 def play_all(jobs: list[Job], processes: int) -> list[dict[str, Figures]]:
-    """Play all jobs in parallel; return their figures in the same order."""
+    """Run all simulations in parallel; return their figures in the same order."""
     if processes <= 1:
         return [play_job(job) for job in jobs]
     with ProcessPoolExecutor(processes) as pool:
-        played = pool.map(play_job, jobs)
-        watched = track(
-            played,
+        all_figures = pool.map(play_job, jobs)
+        tracked = track(
+            all_figures,
             total=len(jobs),
             description="playing",
             console=Console(stderr=True),
             disable=not sys.stderr.isatty(),
         )
-        return list(watched)
+        return list(tracked)
 
 
-def _mean(found: Iterable[Figures], column: str) -> float:
-    return statistics.fmean(getattr(figures, column) for figures in found)
+def _mean(matching: Iterable[Figures], column: str) -> float:
+    return statistics.fmean(getattr(figures, column) for figures in matching)
 
 
 def _print_scenario(
@@ -106,20 +106,20 @@
     for title in (*titles, f"value less {policies[0]}'s"):
         table.add_column(title, justify="left" if title == "policy" else "right")
     for policy in policies:
-        played = by_policy[policy]
-        for kind in played[0]:
-            found = [figures[kind] for figures in played]
+        all_figures = by_policy[policy]
+        for kind in all_figures[0]:
+            matching = [figures[kind] for figures in all_figures]
             first = [figures[kind] for figures in by_policy[policies[0]]]
-            pairs = zip(found, first, strict=True)
-            less = interval([own.value - other.value for own, other in pairs])
+            pairs = zip(matching, first, strict=True)
+            difference = interval([own.value - other.value for own, other in pairs])
             table.add_row(
                 policy if kind == "all" else "",
                 kind,
-                *(f"{_mean(found, column):.3f}" for column in COLUMNS),
-                f"{_mean(found, 'read_again_per_request'):.0f}",
-                f"{_mean(found, 'first_event_ms_p95'):.0f}",
-                f"{_mean(found, 'worst_tenth'):.3f}",
-                "" if policy == policies[0] else str(less),
+                *(f"{_mean(matching, column):.3f}" for column in COLUMNS),
+                f"{_mean(matching, 'read_again_per_request'):.0f}",
+                f"{_mean(matching, 'first_event_ms_p95'):.0f}",
+                f"{_mean(matching, 'worst_tenth'):.3f}",
+                "" if policy == policies[0] else str(difference),
             )
     Console(width=160).print(table)
 
@@ -132,23 +132,22 @@
     processes: int = max((os.cpu_count() or 2) // 2, 1),
     out: Path | None = None,
 ) -> None:
-    """Play scenarios with several policies and print what callers got.
+    """Simulate scenarios with several policies and print the results for callers.
 
     Parameters
     ----------
     scenario
         Names of scenarios, or paths of their files.
     policy
-        The policies; the others are compared with the first one. All where none
-        is named.
+        The policies to run; the others are compared with the first one. Default: all.
     seeds
-        How many traces of each scenario are played.
+        Number of traces of each scenario.
     first_seed
         The seed of the first trace.
     processes
-        Plays at once; half of the processors where not given.
+        Number of parallel simulations; default: half of the processors.
     out
-        A file that gets one line of JSON for each play and kind of request.
+        A file for one line of JSON for each simulation and kind of request.
     """
     policies = policy or list(POLICIES_BY_NAME)
     unknown = sorted(set(policies) - set(POLICIES_BY_NAME))
@@ -166,9 +165,9 @@
         for chosen in policies:
             for seed in range(first_seed, first_seed + seeds):
                 jobs.append(Job(result.ok, chosen, seed))
-        played = play_all(jobs, processes)
+        all_figures = play_all(jobs, processes)
         by_policy: dict[str, list[dict[str, Figures]]] = {}
-        for job, figures in zip(jobs, played, strict=True):
+        for job, figures in zip(jobs, all_figures, strict=True):
             by_policy.setdefault(job.policy, []).append(figures)
             lines.extend(_lines(job, figures))
         _print_scenario(result.ok.name, policies, by_policy)
@@ -177,7 +176,7 @@
 
 
 def _lines(job: Job, figures: dict[str, Figures]) -> list[str]:
-    found = []
+    lines = []
     for kind, values in figures.items():
         head = {
             "scenario": job.scenario.name,
@@ -185,8 +184,8 @@
             "seed": job.seed,
             "requests": kind,
         }
-        found.append(json.dumps({**head, **attrs.asdict(values)}))
-    return found
+        lines.append(json.dumps({**head, **attrs.asdict(values)}))
+    return lines
 
 
 def main() -> None:
--- a/lynxchute/bench/limits.py
+++ b/lynxchute/bench/limits.py
@@ -1,8 +1,8 @@
-"""How much of a named limit routers use, and how far they pass it, by way of sharing.
+"""Simulate how far routers use or exceed an upstream's rate limit.
 
-Routers get requests at random and send what they may to the one upstream that names a
-limit, on a virtual clock; whatever they may not send goes to others. Prints a JSON line
-for each way and fleet.
+Routers get requests at random and send as many as their share allows to the one
+upstream that declares a limit, on a virtual clock; the others count as sent elsewhere.
+Prints a JSON line for each fleet and each method of sharing the limit.
 """
 
 from __future__ import annotations
@@ -20,27 +20,27 @@
 from lynxchute.upstreams.statement import Statement
 from lynxchute.upstreams.upstream import Upstream
 
-# Seconds over which an upstream's bound is stated.
+# Length of the window in which an upstream's requests are counted, in seconds.
 SPAN_SECONDS = 4.0
 PLAY_SECONDS = 400.0
-# The store's clock where a play begins, in milliseconds.
+# The store's clock at the start of a simulation, in milliseconds.
 CLOCK_MS = 1_000_000
 
 
 @attrs.frozen
 class Fleet:
-    """Routers and what reaches them.
+    """A number of routers, and the load on them.
 
     Attributes
     ----------
     routers
-        How many there are.
+        The number of routers.
     limit
-        What the upstream names, in requests a second.
+        The limit that the upstream declares, in requests a second.
     demand
-        Requests a second at all routers that it could serve.
+        Requests a second at all routers together that could go to this upstream.
     is_cut
-        Whether no router reaches another one, or the store.
+        Whether every router is cut off from the others and from the store.
     """
 
     routers: int
@@ -50,15 +50,15 @@
 
 
 @attrs.frozen
-class Shared:
-    """What came of a fleet.
+class SharingResult:
+    """The result of a simulation.
 
     Attributes
     ----------
     used
-        Share of the limit that was used.
+        The share of the limit that was used.
     most
-        Requests in the fullest span, over what the limit allows for it.
+        Requests in the busiest window, divided by what the limit allows in it.
     """
 
     used: float
@@ -76,21 +76,21 @@
 )
 
 
-def play(fleet: Fleet, way: str, seed: int = 1) -> Shared:
-    """Play a fleet with a way of sharing; return what came of it."""
+def play(fleet: Fleet, sharing: str, seed: int = 1) -> SharingResult:
+    """Simulate a fleet with a method of sharing the limit; return the result."""
     rng = random.Random(seed)
     entry = Entry(Upstream("e", "pool", "127.0.0.1:1", "a"))
     entry.backpressure.record_answer(
         Statement(fleet.limit), asked_at=0.0, now=0.0, clock_ms=0
     )
-    routers = [_limits(fleet, way, rank) for rank in range(fleet.routers)]
+    routers = [_rate_limits(fleet, sharing, rank) for rank in range(fleet.routers)]
     now, sent, most = TAKE_OVER_SECONDS, 0, 0
     recent: deque[float] = deque()
     while now < PLAY_SECONDS:
         now += rng.expovariate(fleet.demand)
         router = rng.choice(routers)
-        counting = router if fleet.is_cut else routers[0]
-        if not (router.use_turn(entry, now) or counting.admit(entry, now)):
+        admitting = router if fleet.is_cut else routers[0]
+        if not (router.use_turn(entry, now) or admitting.admit(entry, now)):
             continue
         sent += 1
         recent.append(now)
@@ -98,14 +98,14 @@
             recent.popleft()
         most = max(most, len(recent))
     seconds = PLAY_SECONDS - TAKE_OVER_SECONDS
-    return Shared(
+    return SharingResult(
         used=sent / (fleet.limit * seconds), most=most / (fleet.limit * SPAN_SECONDS)
     )
 
 
-def _limits(fleet: Fleet, way: str, rank: int) -> RateLimits:
+def _rate_limits(fleet: Fleet, sharing: str, rank: int) -> RateLimits:
     return RateLimits(
-        SHARINGS_BY_NAME[way](),
+        SHARINGS_BY_NAME[sharing](),
         lambda service, now: HeldRank(rank, now),
         lambda service: TurnPosition(rank, fleet.routers),
         lambda now: CLOCK_MS + int(now * 1000.0),
@@ -114,12 +114,12 @@
 
 
 def main() -> None:
-    """Print what came of each fleet with each way."""
+    """Print the result of each fleet with each method of sharing."""
     for fleet in FLEETS:
-        for way in SHARINGS_BY_NAME:
-            shared = play(fleet, way)
-            row = {**attrs.asdict(fleet), "way": way}
-            row.update(used=round(shared.used, 3), most=round(shared.most, 2))
+        for sharing in SHARINGS_BY_NAME:
+            result = play(fleet, sharing)
+            row = {**attrs.asdict(fleet), "way": sharing}
+            row.update(used=round(result.used, 3), most=round(result.most, 2))
             print(json.dumps(row))
 
 
--- a/lynxchute/bench/memory_rows.py
+++ b/lynxchute/bench/memory_rows.py
@@ -1,4 +1,4 @@
-"""Versioned rows in memory, without a clock or a network."""
+"""An in-memory store of versioned rows, without a clock or a network."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @attrs.define
 class MemoryRows:
-    """Rows that writes change as a store does.
+    """Versioned rows with the conditional writes of the store.
 
     Examples
     --------
@@ -27,11 +27,11 @@
     writes: int = 0
 
     def get(self, row_id: RowId) -> Row | None:
-        """Return a row; None where there is none."""
+        """Return a row; None if it does not exist."""
         return self.rows_by_id.get(row_id)
 
     def write(self, write: Write) -> Outcome:
-        """Apply a write, or return the rows that it expected otherwise."""
+        """Apply a write, or return the current rows if a version is not as expected."""
         self.writes += 1
         rows = {item.id: self.get(item.id) for item in write.expected}
         for item in write.expected:
--- a/lynxchute/bench/request_cost.py
+++ b/lynxchute/bench/request_cost.py
@@ -1,9 +1,9 @@
-"""Measure what requests, events, starts and rest cost a router's processor.
+"""Measure the processor time of a router for requests, events, its start and idling.
 
-Prints a JSON line for each checkout of the code. One router in a process of its own
-serves callers; a second one places its requests and holds its budgets. Callers, the
-store and upstreams are stand-ins in this process and do not count. Of several checkouts
-each is measured once a round, in turns.
+Prints a JSON line for each checkout of the code. One router in its own process serves
+callers; a second one places its requests and holds its budgets. Callers, the store and
+upstreams are stand-ins in this process and are not measured. Several checkouts are
+measured alternately, each once a round.
 """
 
 from __future__ import annotations
@@ -36,26 +36,27 @@
 ENGINES, SERVICES = 4, 2
 EVENTS_LONG, EVENTS_SHORT = 43, 3
 EVENT_DELAY = 0.02
-# Requests at once, so that the router is never without work and never behind.
-AT_ONCE = 12
+# Number of concurrent requests: enough that the router is always busy, and few enough
+# that it does not fall behind.
+CONCURRENCY = 12
 SETTLING_SECONDS = 2.0
-REST_SECONDS = 2.0
+IDLE_SECONDS = 2.0
 _numbers = itertools.count(1)
 
 
 @attrs.frozen
 class Costs:
-    """What one run of a router has cost.
+    """The processor time of one run of a router.
 
     Attributes
     ----------
     start_ms
-        Milliseconds of the processor until it was ready.
+        Milliseconds of processor time until it was ready.
     rest_ms_per_s
-        Milliseconds of the processor a second without requests.
+        Milliseconds of processor time a second while idle.
     plain_us, stream_us, event_us
-        Microseconds of a plain request, of a stream without its events, and of an
-        event, less those of rest.
+        Microseconds of processor time of a plain request, of a stream without its
+        events, and of an event, beyond those while idle.
     """
 
     start_ms: float
@@ -67,11 +68,11 @@
 
 @attrs.define(eq=False)
 class Scene:
-    """Two routers and their stand-ins."""
+    """The measured router, a second router and their stand-ins."""
 
     store: PlatformStoreStandin
     engines: list[PlatformUpstreamStandin]
-    front: RouterProcess
+    measured: RouterProcess
     other: RouterProcess
 
 
@@ -126,8 +127,8 @@
     }
 
 
-def vms() -> tuple[str, str]:
-    """Return the names of two routers; the second does for the first what it can."""
+def router_vms() -> tuple[str, str]:
+    """Return two routers' names, of which the second holds budgets and schedules."""
     for number in itertools.count(2):
         pair = ["a-1", f"a-{number}"]
         keys = (ACCOUNT, scheduling_key("pool"), scheduling_key("app"))
@@ -137,7 +138,9 @@
 
 
 @contextlib.asynccontextmanager
-async def scene(folder: Path, code: Path, profile: Path | None) -> AsyncIterator[Scene]:
+async def running_scene(
+    folder: Path, code: Path, profile: Path | None
+) -> AsyncIterator[Scene]:
     """Run two routers and their stand-ins."""
     store = PlatformStoreStandin()
     engines, apps = [], []
@@ -153,25 +156,25 @@
         await upstream.start()
         await upstream.register(store)
     await store.configure(_configuration())
-    front_vm, other_vm = vms()
+    front_vm, other_vm = router_vms()
     port = await store.open_port()
     other = RouterProcess(folder, other_vm, port, code=code)
-    front = RouterProcess(folder, front_vm, port, code=code, profile=profile)
+    measured = RouterProcess(folder, front_vm, port, code=code, profile=profile)
     try:
         await other.start()
-        await other.ready()
-        await front.start()
-        await front.ready()
-        yield Scene(store, engines, front, other)
+        await other.wait_until_ready()
+        await measured.start()
+        await measured.wait_until_ready()
+        yield Scene(store, engines, measured, other)
     finally:
-        await front.stop()
+        await measured.stop()
         await other.stop()
         for upstream in upstreams:
             await upstream.stop()
         await store.close()
 
 
-async def _ask(client: HttpClient, path: str, *, is_stream: bool) -> None:
+async def _send_request(client: HttpClient, path: str, *, is_stream: bool) -> None:
     number = next(_numbers)
     headers = [
         ("Host", SITE),
@@ -188,75 +191,75 @@
     )
     body = await response.body()
     if response.status != 200:
-        raise RuntimeError(f"{path} was answered {response.status}: {body!r}")
+        raise RuntimeError(f"request to {path} got {response.status}: {body!r}")
 
 
-async def _requests(client: HttpClient, path: str, count: int) -> None:
-    left = iter(range(count))
+async def _send_requests(client: HttpClient, path: str, count: int) -> None:
+    numbers = iter(range(count))
 
     async def caller() -> None:
-        for _ in left:
-            await _ask(client, path, is_stream=path == "/ask/x")
+        for _ in numbers:
+            await _send_request(client, path, is_stream=path == "/ask/x")
 
-    await asyncio.gather(*[caller() for _ in range(AT_ONCE)])
+    await asyncio.gather(*[caller() for _ in range(CONCURRENCY)])
 
 
-async def _cost(
-    router: RouterProcess, rest: float, work: Callable[[], Awaitable[None]]
+async def _processor_seconds(
+    router: RouterProcess, idle: float, work: Callable[[], Awaitable[None]]
 ) -> float:
-    """Return the seconds of the processor that a piece of work takes beyond rest."""
+    """Return the processor seconds that the work takes beyond those while idle."""
     loop = asyncio.get_running_loop()
-    begun, before = loop.time(), router.processor_seconds
+    started_at, before = loop.time(), router.processor_seconds
     await work()
     await asyncio.sleep(0.3)
-    taken = router.processor_seconds - before
-    return taken - rest * (loop.time() - begun)
+    used = router.processor_seconds - before
+    return used - idle * (loop.time() - started_at)
 
 
 async def measure(code: Path, requests: int, profile: Path | None = None) -> Costs:
-    """Return what one run of a router costs.
+    """Run a router once and return its processor times.
 
     Parameters
     ----------
     code
-        A checkout.
+        The checkout of the code to run.
     requests
-        Requests of each kind.
+        Number of requests of each kind.
     profile
-        Where the router's profile goes.
+        The file to which the router's profile is written; None for none.
     """
     with tempfile.TemporaryDirectory() as folder:
-        async with scene(Path(folder), code, profile) as running:
-            front = running.front
-            start = front.processor_seconds
+        async with running_scene(Path(folder), code, profile) as running:
+            measured = running.measured
+            start = measured.processor_seconds
             await asyncio.sleep(SETTLING_SECONDS)
             client = HttpClient(
-                f"{HOST}:{front.front}",
+                f"{HOST}:{measured.caller_port}",
                 timeouts=Timeouts(first_byte=10.0, between_bytes=10.0),
             )
-            # Opens the connections and fills what is kept.
-            await _requests(client, "/ask/x", AT_ONCE)
-            await _requests(client, "/book/x", AT_ONCE)
+            # Opens connections and fills caches before the measurement.
+            await _send_requests(client, "/ask/x", CONCURRENCY)
+            await _send_requests(client, "/book/x", CONCURRENCY)
             await asyncio.sleep(SETTLING_SECONDS / 2)
-            before = front.processor_seconds
-            await asyncio.sleep(REST_SECONDS)
-            rest = (front.processor_seconds - before) / REST_SECONDS
-            plain = await _cost(
-                front, rest, lambda: _requests(client, "/book/x", requests)
+            before = measured.processor_seconds
+            await asyncio.sleep(IDLE_SECONDS)
+            idle = (measured.processor_seconds - before) / IDLE_SECONDS
+            plain = await _processor_seconds(
+                measured, idle, lambda: _send_requests(client, "/book/x", requests)
             )
-            short = await _cost(
-                front, rest, lambda: _requests(client, "/ask/x", requests)
+            short = await _processor_seconds(
+                measured, idle, lambda: _send_requests(client, "/ask/x", requests)
             )
             for engine in running.engines:
                 engine.events = EVENTS_LONG
-            long = await _cost(
-                front, rest, lambda: _requests(client, "/ask/x", requests)
+            long = await _processor_seconds(
+                measured, idle, lambda: _send_requests(client, "/ask/x", requests)
             )
             client.close()
     event = (long - short) / requests / (EVENTS_LONG - EVENTS_SHORT)
     return Costs(
         start_ms=start * 1e3,
-        rest_ms_per_s=rest * 1e3,
+        rest_ms_per_s=idle * 1e3,
         plain_us=plain / requests * 1e6,
         stream_us=(short / requests - event * EVENTS_SHORT) * 1e6,
         event_us=event * 1e6,
@@ -290,18 +293,18 @@
     requests: int = 240,
     profile: Path | None = None,
 ) -> None:
-    """Measure what requests cost.
+    """Measure the processor time of requests.
 
     Parameters
     ----------
     against
-        Further checkouts to measure in turns with this one.
+        Further checkouts to measure alternately with this one.
     rounds
-        Runs of each.
+        Number of runs of each checkout.
     requests
-        Requests of each kind in a run.
+        Number of requests of each kind in a run.
     profile
-        A file for the profile of the last run; its figures are of no use then.
+        A file for the profile of the last run; profiling distorts the printed figures.
     """
     logging.set_verbosity(logging.ERROR)
     run_loop(_measure_all([OWN_CODE, *against], rounds, requests, profile))
--- a/lynxchute/bench/router_process.py
+++ b/lynxchute/bench/router_process.py
@@ -1,4 +1,4 @@
-"""A router in a process of its own, and what it has taken of the processor."""
+"""A router in a separate process, and its processor time."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 HOST = "127.0.0.1"
 DATA_CENTRE = "a"
-READY_WITHIN = 20.0
-LOOK_SECONDS = 0.02
+READY_TIMEOUT = 20.0
+POLL_SECONDS = 0.02
 
 
 def free_port() -> int:
-    """Return a port that nothing listens at."""
+    """Return a free port."""
     with socket.socket() as sock:
         sock.bind((HOST, 0))
         return int(sock.getsockname()[1])
@@ -32,15 +32,15 @@
     Parameters
     ----------
     folder
-        Takes its settings file and its log.
+        The folder for its settings file and its log.
     vm
-        Its name.
+        The name of its VM.
     store_port
-        Where it reaches the store.
+        The port at which it reaches the store.
     code
         The checkout whose code it runs.
     profile
-        Where its profile goes; None for none.
+        The file to which its profile is written; None for none.
     """
 
     def __init__(
@@ -53,8 +53,8 @@
         profile: Path | None = None,
     ) -> None:
         self.vm = vm
-        self.front = free_port()
-        self._ready = free_port()
+        self.caller_port = free_port()
+        self._ready_port = free_port()
         self._folder = folder
         self._store_port = store_port
         self._code = code
@@ -63,7 +63,7 @@
 
     @property
     def processor_seconds(self) -> float:
-        """Return what the process has taken of the processor so far."""
+        """Return the processor time of the process so far."""
         assert self._process is not None
         stat = Path(f"/proc/{self._process.pid}/schedstat").read_text(encoding="ascii")
         return int(stat.split()[0]) / 1e9
@@ -71,10 +71,10 @@
     async def start(self) -> None:
         """Start the process."""
         file = self._folder / f"{self.vm}.yaml"
-        # JSON is YAML.
+        # Any JSON document is valid YAML.
         file.write_text(json.dumps(self._settings()), encoding="utf-8")
         environment = {**os.environ, SETTINGS_VARIABLE: str(file)}
-        # A deployed router's code is compiled before its start.
+        # Bytecode caching is enabled because a deployed router's code is precompiled.
         environment.pop("PYTHONDONTWRITEBYTECODE", None)
         environment["PYTHONPATH"] = str(self._code)
         command = ["-m", "lynxchute.platform"]
@@ -85,16 +85,16 @@
                 sys.executable, *command, stdout=log, env=environment, cwd=self._code
             )
 
-    async def ready(self) -> None:
-        """Wait until it serves."""
-        client = HttpClient(f"{HOST}:{self._ready}")
-        async with asyncio.timeout(READY_WITHIN):
+    async def wait_until_ready(self) -> None:
+        """Wait until the router reports that it is ready."""
+        client = HttpClient(f"{HOST}:{self._ready_port}")
+        async with asyncio.timeout(READY_TIMEOUT):
             while not await self._is_ready(client):
-                await asyncio.sleep(LOOK_SECONDS)
+                await asyncio.sleep(POLL_SECONDS)
         client.close()
 
     async def stop(self) -> None:
-        """End it; gracefully where a profile is to be written."""
+        """Kill the process, or terminate it gracefully if it has a profile to write."""
         if self._process is None:
             return
         if self._profile is not None:
@@ -118,8 +118,8 @@
             "zones": {DATA_CENTRE: "r"},
             "ip": HOST,
             "listen": {
-                "front": f"{HOST}:{self.front}",
-                "ready": f"{HOST}:{self._ready}",
+                "front": f"{HOST}:{self.caller_port}",
+                "ready": f"{HOST}:{self._ready_port}",
             },
             "internal_ports": [peers, peers],
             "bootstrap": False,
--- a/lynxchute/bench/shares.py
+++ b/lynxchute/bench/shares.py
@@ -1,7 +1,7 @@
-"""Play callers who compete for places, by the way that accounts' shares are counted.
+"""Simulate accounts that compete for slots, with each method of fair sharing.
 
-Requests arrive at random and wait in the real queue for one of some places, on a
-virtual clock. Prints a JSON line for each scene and way, and what a decision costs.
+Requests arrive at random and wait in the router's own queue for a free slot, on a
+virtual clock. Prints a JSON line for each scene and method, and the time per decision.
 """
 
 from __future__ import annotations
@@ -22,49 +22,55 @@
 from lynxchute.overload.ticket_queue import FairTicketQueue
 
 PLAY_SECONDS = 120.0
-# What is counted begins once the queue is as long as it will be.
-WARM_SECONDS = 10.0
-PLACES = 24
+# Requests are counted after a warm-up in which the queue reaches its usual length.
+WARMUP_SECONDS = 10.0
+SLOTS = 24
 WORK_SECONDS = 0.2
-# Share of the places that the usual load takes.
-USUAL_USE = 0.9
-PATIENCE = 2.5
-DUE = 0.5
-# What the names of large requests end in.
+# Share of the slots that the usual load occupies.
+USUAL_UTILIZATION = 0.9
+CALLER_TIMEOUT = 2.5
+TARGET_WAIT = 0.5
+# Suffix of the account name under which large requests are counted.
 LARGE = "+"
 
 
 @attrs.frozen
 class Source:
-    """An account's requests of one kind.
+    """The requests of one account.
 
     Attributes
     ----------
-    times
-        How many times its usual rate.
+    rate_factor
+        Its rate, as a multiple of the usual one.
     large_share
-        Share of them that take four times the work.
-    repeats
-        How often a refused one is sent again.
-    as_told
-        Whether it is sent again when it was told, and not at once.
+        Share of its requests that need four times the work.
+    max_retries
+        Maximum number of retries of a refused request.
+    honours_retry_after
+        Whether it retries after the delay that the refusal states, and not at once.
     """
 
     account: str
     rank: int = 3
-    times: float = 1.0
+    rate_factor: float = 1.0
     large_share: float = 0.0
-    repeats: int = 0
-    as_told: bool = True
+    max_retries: int = 0
+    honours_retry_after: bool = True
 
 
 @attrs.frozen
 class Scene:
-    """Who asks, and how many shares of the usual load that would be."""
+    """The accounts that send requests.
+
+    Attributes
+    ----------
+    usual_accounts
+        The number of accounts whose usual rates together are the usual load.
+    """
 
     name: str
     sources: tuple[Source, ...]
-    usual: float
+    usual_accounts: float
 
 
 def _small(count: int, **more: float) -> tuple[Source, ...]:
@@ -72,51 +78,51 @@
 
 
 SCENES = (
-    Scene("one at 7.5 times", (*_small(20), Source("large", times=7.5)), 21.0),
-    Scene("a lone account", (Source("large", times=30.0),), 21.0),
+    Scene("one at 7.5 times", (*_small(20), Source("large", rate_factor=7.5)), 21.0),
+    Scene("a lone account", (Source("large", rate_factor=30.0),), 21.0),
     Scene(
         "least urgent at 2.6 times",
-        (*_small(20), *(Source(f"b-{n}", 5, times=2.6) for n in range(20))),
+        (*_small(20), *(Source(f"b-{n}", 5, rate_factor=2.6) for n in range(20))),
         40.0,
     ),
     Scene(
         "most urgent too many",
         (
-            *_small(20, times=1.6),
-            *(Source(f"b-{n}", 5, times=0.3) for n in range(20)),
+            *_small(20, rate_factor=1.6),
+            *(Source(f"b-{n}", 5, rate_factor=0.3) for n in range(20)),
         ),
         20.0,
     ),
     Scene(
         "one repeats at once",
         (
-            *_small(20, repeats=1),
-            Source("large", times=6.0, repeats=20, as_told=False),
+            *_small(20, max_retries=1),
+            Source("large", rate_factor=6.0, max_retries=20, honours_retry_after=False),
         ),
         21.0,
     ),
     Scene(
         "all too many, a tenth large",
-        _small(20, times=1.6, large_share=0.1, repeats=1),
+        _small(20, rate_factor=1.6, large_share=0.1, max_retries=1),
         27.0,
     ),
 )
 
 
 class NoShares(AccountShares):
-    """Weigh nobody."""
+    """No fair sharing: every account counts as within its share."""
 
     def record_use(self, account: str, cost: float, now: float) -> None:
-        """Count nothing."""
+        """Ignore the use."""
 
     def excess(self, account: str, now: float) -> float:
-        """Take everybody for one within its share."""
+        """Return 0, so that no account exceeds its share."""
         return 0.0
 
 
 @attrs.define
-class Asked:
-    """One request through its attempts."""
+class Request:
+    """A request with all its attempts."""
 
     source: Source
     number: int
@@ -127,12 +133,12 @@
 
 @attrs.define
 class Outcome:
-    """What came of a play.
+    """The result of a simulation.
 
     Attributes
     ----------
     busy
-        Share of the places' time that was used.
+        Share of the slots' time that was used.
     """
 
     asked: Counter[str] = attrs.Factory(Counter)
@@ -141,7 +147,7 @@
     busy: float = 0.0
 
     def share(self, prefix: str, *, suffix: str = "") -> float:
-        """Return the share of requests that were served, of what is called so."""
+        """Return the share of requests served, of names with this prefix and suffix."""
         asked = served = 0
         for name, count in self.asked.items():
             if name.startswith(prefix) and name.endswith(suffix):
@@ -151,110 +157,113 @@
 
 
 class Play:
-    """One scene with one way to count shares."""
+    """A simulation of one scene with one method of fair sharing."""
 
     def __init__(self, scene: Scene, shares: AccountShares, seed: int = 1) -> None:
         self.outcome = Outcome()
         self._scene = scene
         self._shares = shares
         self._rng = random.Random(seed)
-        work = PLACES / WORK_SECONDS
+        work = SLOTS / WORK_SECONDS
         self.queue = FairTicketQueue(shares, DrainRate(work))
         self._drain = self.queue.drain
-        self._returns = ExpectedRetries()
-        self._free = PLACES
-        self._rate = USUAL_USE * work / scene.usual
-        self._asked_by_run: dict[str, Asked] = {}
-        self._events: list[tuple[float, int, str, Asked]] = []
+        self._expected_retries = ExpectedRetries()
+        self._free_slots = SLOTS
+        self._rate = USUAL_UTILIZATION * work / scene.usual_accounts
+        self._requests_by_run: dict[str, Request] = {}
+        self._events: list[tuple[float, int, str, Request]] = []
         self._number = 0
 
     def run(self) -> Outcome:
-        """Play to the end."""
+        """Run the simulation to its end; return the result."""
         for source in self._scene.sources:
-            self._plan_next(source, 0.0)
+            self._schedule_next(source, 0.0)
         while self._events:
-            now, _, what, asked = heapq.heappop(self._events)
+            now, _, event, request = heapq.heappop(self._events)
             if now > PLAY_SECONDS:
                 break
-            if what == "arrive":
-                self._plan_next(asked.source, now)
-                self._count(self.outcome.asked, asked, now)
-            if what == "end":
-                self._free += 1
+            if event == "arrive":
+                self._schedule_next(request.source, now)
+                self._count(self.outcome.asked, request, now)
+            if event == "end":
+                self._free_slots += 1
                 self._drain.record_freed(now)
             else:
-                self._ask(asked, now)
+                self._submit(request, now)
             self._serve(now)
-        self.outcome.busy /= PLACES * (PLAY_SECONDS - WARM_SECONDS)
+        self.outcome.busy /= SLOTS * (PLAY_SECONDS - WARMUP_SECONDS)
         return self.outcome
 
-    def _plan_next(self, source: Source, now: float) -> None:
-        at = now + self._rng.expovariate(self._rate * source.times)
+    def _schedule_next(self, source: Source, now: float) -> None:
+        at = now + self._rng.expovariate(self._rate * source.rate_factor)
         is_large = self._rng.random() < source.large_share
         work = WORK_SECONDS * (4.0 if is_large else 1.0)
         self._number += 1
-        self._plan(at, "arrive", Asked(source, self._number, work, at))
+        self._schedule(at, "arrive", Request(source, self._number, work, at))
 
-    def _plan(self, at: float, what: str, asked: Asked) -> None:
+    def _schedule(self, at: float, event: str, request: Request) -> None:
         self._number += 1
-        heapq.heappush(self._events, (at, self._number, what, asked))
+        heapq.heappush(self._events, (at, self._number, event, request))
 
-    def _ask(self, asked: Asked, now: float) -> None:
-        source = asked.source
-        asked.attempts += 1
-        content = str(asked.number)
-        is_timely_retry = self._returns.consume(source.account, content, now)
+    def _submit(self, request: Request, now: float) -> None:
+        source = request.source
+        request.attempts += 1
+        content = str(request.number)
+        is_timely_retry = self._expected_retries.consume(source.account, content, now)
         if not is_timely_retry:
-            self._shares.record_use(source.account, asked.work, now)
-        run_id = f"{asked.number}.{asked.attempts}"
+            self._shares.record_use(source.account, request.work, now)
+        run_id = f"{request.number}.{request.attempts}"
         ticket = Ticket(
             run_id=run_id,
             router="r",
             account=source.account,
             rank=source.rank,
-            cost=asked.work,
+            cost=request.work,
             arrived_at=now,
-            expires_at=asked.first_at + PATIENCE,
+            expires_at=request.first_at + CALLER_TIMEOUT,
             is_timely_retry=is_timely_retry,
-            due_at=asked.first_at + DUE,
+            due_at=request.first_at + TARGET_WAIT,
         )
-        after = self.queue.put(ticket, now)
-        if after is None:
-            self._asked_by_run[run_id] = asked
+        retry_after = self.queue.put(ticket, now)
+        if retry_after is None:
+            self._requests_by_run[run_id] = request
             return
-        if asked.attempts > 1:
+        if request.attempts > 1:
             self.outcome.refused_again += 1
-        if asked.attempts > source.repeats:
+        if request.attempts > source.max_retries:
             return
-        self._returns.record_refusal(source.account, content, after, now)
-        wait = max(after, 0.05) if source.as_told else 0.005
-        self._plan(now + wait, "again", asked)
+        self._expected_retries.record_refusal(source.account, content, retry_after, now)
+        wait = max(retry_after, 0.05) if source.honours_retry_after else 0.005
+        self._schedule(now + wait, "again", request)
 
     def _serve(self, now: float) -> None:
-        while self._free:
+        while self._free_slots:
             ticket = self.queue.consume(now)
             if ticket is None:
                 return
-            asked = self._asked_by_run.pop(ticket.run_id)
+            request = self._requests_by_run.pop(ticket.run_id)
             if ticket.expires_at <= now:
                 continue
-            self._free -= 1
-            self._count(self.outcome.served, asked, now)
-            work = asked.work * self._rng.uniform(0.5, 1.5)
-            if now > WARM_SECONDS:
+            self._free_slots -= 1
+            self._count(self.outcome.served, request, now)
+            work = request.work * self._rng.uniform(0.5, 1.5)
+            if now > WARMUP_SECONDS:
                 self.outcome.busy += min(work, PLAY_SECONDS - now)
-            self._plan(now + work, "end", asked)
+            self._schedule(now + work, "end", request)
 
-    def _count(self, counter: Counter[str], asked: Asked, now: float) -> None:
-        if asked.first_at <= WARM_SECONDS or asked.first_at > PLAY_SECONDS - PATIENCE:
+    def _count(self, counter: Counter[str], request: Request, now: float) -> None:
+        if (
+            request.first_at <= WARMUP_SECONDS
+            or request.first_at > PLAY_SECONDS - CALLER_TIMEOUT
+        ):
             return
-        size = LARGE if asked.work > WORK_SECONDS else ""
-        counter[f"{asked.source.account}{size}"] += 1
+        size = LARGE if request.work > WORK_SECONDS else ""
+        counter[f"{request.source.account}{size}"] += 1
 
 
-def decision_us(way: str, accounts: int) -> float:
-    """Return the microseconds that noting a use and asking for an excess take."""
-    shares = SHARES_BY_NAME[way]()
+def decision_us(method: str, accounts: int) -> float:
+    """Return the microseconds to record a use and look up an account's excess."""
+    shares = SHARES_BY_NAME[method]()
     rng = random.Random(1)
     names = [f"account-{rng.randrange(accounts)}" for _ in range(50_000)]
     started = time.process_time()
@@ -265,7 +274,7 @@
 
 
 def ticket_us(waiting: int) -> float:
-    """Return the microseconds that a ticket takes that is put, asked for and served."""
+    """Return the microseconds to put a ticket, look up its position and serve one."""
     queue = FairTicketQueue(SHARES_BY_NAME["equal"](), DrainRate(1e6))
     rng = random.Random(1)
     count = 20_000
@@ -287,12 +296,16 @@
 
 
 def main() -> None:
-    """Print what came of each scene with each way, and what decisions cost."""
+    """Print the result of each scene and method, and the time of decisions."""
     for scene in SCENES:
-        for way in ("none", *SHARES_BY_NAME):
-            shares = NoShares() if way == "none" else SHARES_BY_NAME[way]()
+        for method in ("none", *SHARES_BY_NAME):
+            shares = NoShares() if method == "none" else SHARES_BY_NAME[method]()
             outcome = Play(scene, shares).run()
-            row = {"scene": scene.name, "shares": way, "busy": round(outcome.busy, 3)}
+            row = {
+                "scene": scene.name,
+                "shares": method,
+                "busy": round(outcome.busy, 3),
+            }
             for prefix in ("small", "large", "b-"):
                 if any(name.startswith(prefix) for name in outcome.asked):
                     row[prefix] = round(outcome.share(prefix), 3)
@@ -300,10 +313,10 @@
                 row["large requests"] = round(outcome.share("", suffix=LARGE), 3)
             row["refused_again"] = outcome.refused_again
             print(json.dumps(row))
-    for way in SHARES_BY_NAME:
+    for method in SHARES_BY_NAME:
         for accounts in (100, 260_000):
-            cost = round(decision_us(way, accounts), 2)
-            print(json.dumps({"shares": way, "accounts": accounts, "us": cost}))
+            cost = round(decision_us(method, accounts), 2)
+            print(json.dumps({"shares": method, "accounts": accounts, "us": cost}))
     for waiting in (10, 100, 500):
         print(json.dumps({"waiting": waiting, "us": round(ticket_us(waiting), 1)}))
 
--- a/lynxchute/bench/slopes.py
+++ b/lynxchute/bench/slopes.py
@@ -1,8 +1,8 @@
-"""Measure what control costs, as slopes over counts of things.
+"""Measure the cost of control operations as linear functions of a count.
 
-Prints one JSON line a slope: the cost of nothing (``fixed``), of one thing
-more (``each``), the points measured, and the spread of ``each`` over
-repetitions. docs/CAPACITY.md works the size of letter 1 out from them.
+Prints one JSON line for each operation: the cost at zero (``fixed``), the cost of each
+further item (``each``), the measured points, and the spread of ``each`` over
+repetitions. docs/CAPACITY.md derives the capacity of a deployment from these figures.
 """
 
 from __future__ import annotations
@@ -63,7 +63,7 @@
 
 
 def print_slope(name: str, unit: str, points: list[int], measure: Measure) -> None:
-    """Measure at each point, several times, and print the slope."""
+    """Measure each point several times, fit a line and print it."""
     slopes = []
     fixed = []
     values: list[float] = []
@@ -88,14 +88,14 @@
 
 
 class Exchange:
-    """Send one message again and again over loopback, and count its cost.
+    """Send one message repeatedly over loopback, and measure its cost.
 
     Parameters
     ----------
     message
-        The message.
+        The message to send.
     reply
-        The answer to it.
+        The reply to it.
     """
 
     def __init__(self, message: Message[Any], reply: object) -> None:
@@ -105,7 +105,7 @@
         self.cpu_us_each = 0.0
 
     def run(self) -> Exchange:
-        """Measure; both ends run in this process, so halve the time for one."""
+        """Measure the bytes and the processor time of both ends together."""
         run_loop(self._run())
         return self
 
@@ -116,10 +116,10 @@
         await link.start()
         direct, relayed = _peers(server.port), _peers(link.port)
         await direct.ask("b", self._message)
-        begun = time.process_time()
+        started_at = time.process_time()
         for _ in range(EXCHANGES):
             await direct.ask("b", self._message)
-        self.cpu_us_each = (time.process_time() - begun) / EXCHANGES * 1e6
+        self.cpu_us_each = (time.process_time() - started_at) / EXCHANGES * 1e6
         await relayed.ask("b", self._message)
         before = link.bytes_carried
         for _ in range(10):
@@ -142,19 +142,19 @@
 
 
 def reserve() -> Exchange:
-    """Return the exchange that sets tokens aside for one request."""
+    """Measure the exchange that reserves tokens for one request."""
     request = ReserveRequest(f"{7:016x}.01234567", "account-17", 2020)
     return Exchange(request, ReserveReply(ReserveOutcome.RESERVED)).run()
 
 
 def settle(count: int) -> Exchange:
-    """Return the exchange that settles requests at their holder."""
+    """Measure the exchange that settles some requests at the holder of their budget."""
     settlements = [Settlement(f"{n:016x}.01234567", 1576) for n in range(count)]
     return Exchange(SettleRequest(tuple(settlements)), Ack()).run()
 
 
 def place(parts: int) -> Exchange:
-    """Return the exchange that places one generation."""
+    """Measure the exchange that places one generation with some prompt parts."""
     request = PlacementRequest(
         run_id=f"{7:016x}.0",
         service="engines",
@@ -168,16 +168,16 @@
     return Exchange(request, PlacementReply("i-0123456789", "", 120.5)).run()
 
 
-def news(count: int) -> Exchange:
-    """Return the exchange that tells of runs' beginnings and ends."""
-    told = [
+def run_updates(count: int) -> Exchange:
+    """Measure the exchange that reports the starts and ends of some runs."""
+    updates = [
         RunUpdate(f"{n:016x}.0", "i-0123456789", RunStage.ENDED) for n in range(count)
     ]
-    return Exchange(RunUpdateRequest(tuple(told)), Ack()).run()
+    return Exchange(RunUpdateRequest(tuple(updates)), Ack()).run()
 
 
 def ledger_with_shares(count: int) -> Ledger:
-    """Return a ledger that is home of many budgets, all written."""
+    """Return a ledger that is the home of many budgets and has written its rows."""
     rows = MemoryRows()
     ledger = Ledger("kyu-a-1", "0123456789ab", DemandPolicy(), parts=13)
     ledger.take_over(None, 0)
@@ -191,54 +191,54 @@
 
 
 def plan_us(count: int) -> float:
-    """Return the processor time to plan a write over many shares."""
+    """Return the processor time to plan a write with many shares, in microseconds."""
     ledger = ledger_with_shares(count)
-    begun = time.process_time()
+    started_at = time.process_time()
     for _ in range(10):
         ledger.plan(now_ms=2000, now=2.0)
         ledger.record_write_failed()
-    return (time.process_time() - begun) / 10 * 1e6
+    return (time.process_time() - started_at) / 10 * 1e6
 
 
 def row_bytes(count: int) -> float:
-    """Return the bytes of a router's row with many shares."""
+    """Return the size of a router's row with many shares, in bytes."""
     ledger = ledger_with_shares(count)
     plan = ledger.plan(now_ms=2000, now=2.0, with_grants=False)
     return float(sum(len(put.value) for put in plan.write.puts))
 
 
 def place_us(engines: int) -> float:
-    """Return the processor time to place a generation among many engines."""
+    """Return the processor time to place a generation on one of many engines."""
     board = EngineBoard()
     candidates = [Candidate(f"i-{n:010x}", 64, 450_000, False) for n in range(engines)]
     generation = Generation(
         "m", 17_000, 400, (PromptPart("a", 13_300), PromptPart("b", 3_700))
     )
-    begun = time.process_time()
+    started_at = time.process_time()
     for number in range(PLACEMENTS):
         own = PromptPart(f"own-{number}", 3_700)
         asked = attrs.evolve(generation, parts=(generation.parts[0], own))
         board.place(PendingRequest(str(number), asked), candidates, number * 0.001)
-    return (time.process_time() - begun) / PLACEMENTS * 1e6
+    return (time.process_time() - started_at) / PLACEMENTS * 1e6
 
 
 def memory_of(build: Callable[[int], Any]) -> Measure:
-    """Return a measure of the bytes that a structure of a size holds."""
+    """Return a function that measures the memory of a structure, in bytes."""
 
     def measure(count: int) -> float:
         gc.collect()
         tracemalloc.start()
-        kept = build(count)
+        structure = build(count)
         size, _ = tracemalloc.get_traced_memory()
         tracemalloc.stop()
-        del kept
+        del structure
         return float(size)
 
     return measure
 
 
 def version_with(upstreams: int) -> Version:
-    """Return a version with many upstreams and the accounts of letter 1."""
+    """Return a configuration version with some upstreams and `ACCOUNTS` accounts."""
     accounts = []
     for number in range(ACCOUNTS):
         accounts.append(
@@ -246,9 +246,9 @@
                 name=f"account-{number}", key_hashes=("0" * 64,), paid=10**6
             )
         )
-    listed = []
+    upstream_documents = []
     for number in range(upstreams):
-        listed.append(
+        upstream_documents.append(
             UpstreamDocument(
                 name=f"kyu-a-engine-{number}",
                 service="engines",
@@ -259,27 +259,27 @@
     document = FleetDocument(
         accounts=tuple(accounts),
         services=(ServiceDocument(name="engines", kind=ServiceKind.ENGINE),),
-        upstreams=tuple(listed),
+        upstreams=tuple(upstream_documents),
         routes=(RouteDocument(name="chat", service="engines", model="m"),),
     )
     return Version(1, document)
 
 
 def version_bytes(upstreams: int) -> float:
-    """Return the bytes of a version with many upstreams."""
+    """Return the encoded size of a configuration version, in bytes."""
     return float(len(version_with(upstreams).encode()))
 
 
 def version_us(upstreams: int) -> float:
-    """Return the processor time to bring a version into force."""
+    """Return the processor time to decode and apply a version, in microseconds."""
     value = version_with(upstreams).encode()
-    begun = time.process_time()
+    started_at = time.process_time()
     configuration_of(Version.decode(value).ok)
-    return (time.process_time() - begun) * 1e6
+    return (time.process_time() - started_at) * 1e6
 
 
 def run() -> None:
-    """Measure and print every slope."""
+    """Measure and print the cost of every operation."""
     counts = [1, 4, 16, 50]
     exchange = reserve()
     line = {
@@ -290,8 +290,10 @@
     print(json.dumps(line), flush=True)
     print_slope("settle_bytes", "bytes", counts, lambda n: settle(n).bytes_each)
     print_slope("settle_cpu", "us, both ends", counts, lambda n: settle(n).cpu_us_each)
-    print_slope("news_bytes", "bytes", counts, lambda n: news(n).bytes_each)
-    print_slope("news_cpu", "us, both ends", counts, lambda n: news(n).cpu_us_each)
+    print_slope("news_bytes", "bytes", counts, lambda n: run_updates(n).bytes_each)
+    print_slope(
+        "news_cpu", "us, both ends", counts, lambda n: run_updates(n).cpu_us_each
+    )
     print_slope(
         "place_bytes_per_part", "bytes", [1, 2, 4, 8], lambda n: place(n).bytes_each
     )
--- a/lynxchute/bench/stream.py
+++ b/lynxchute/bench/stream.py
@@ -1,8 +1,8 @@
-"""Measure what a router adds: to the first byte, and for each token event.
+"""Measure the overhead of a router: on the first byte, and on each token event.
 
-Prints JSON lines, all from one run: the same requests go straight to a
-stand-in engine and through a router, side by side. Everything shares this
-process, so that the router's share is the difference of the two.
+Prints JSON lines, all from one run: the same requests go directly to a stand-in engine
+and through a router, alternately. All parts run in this process, so that the router's
+cost is the difference of the two.
 """
 
 from __future__ import annotations
@@ -32,13 +32,13 @@
 
 
 def percentile(values: list[float], share: float) -> float:
-    """Return a percentile of values, by the nearest rank."""
+    """Return the percentile of values at a share from 0 to 1, by the nearest rank."""
     ordered = sorted(values)
     return ordered[min(int(len(ordered) * share), len(ordered) - 1)]
 
 
 def bare_event_seconds() -> float:
-    """Return the processor time of one event through `h11`, in and out."""
+    """Return the processor seconds to receive and send one event with `h11` alone."""
     receiver = h11.Connection(h11.CLIENT)
     receiver.send(h11.Request(method="GET", target="/", headers=[("Host", "a")]))
     receiver.send(h11.EndOfMessage())
@@ -50,13 +50,13 @@
     receiver.receive_data(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
     receiver.next_event()
     chunk = b"%x\r\n%s\r\n" % (len(EVENT), EVENT)
-    begun = time.process_time()
+    started_at = time.process_time()
     for _ in range(EVENTS):
         receiver.receive_data(chunk)
         event = receiver.next_event()
         receiver.next_event()
         sender.send(h11.Data(data=event.data))  # type: ignore[union-attr]
-    return (time.process_time() - begun) / EVENTS
+    return (time.process_time() - started_at) / EVENTS
 
 
 def _body(number: int, *, max_tokens: int) -> bytes:
@@ -70,8 +70,10 @@
     return json.dumps(question).encode()
 
 
-async def _first_byte(client: HttpClient, headers: list[tuple[str, str]]) -> float:
-    begun = time.perf_counter()
+async def _first_byte_seconds(
+    client: HttpClient, headers: list[tuple[str, str]]
+) -> float:
+    started_at = time.perf_counter()
     number = time.perf_counter_ns()
     response = await client.request(
         "POST",
@@ -81,19 +83,19 @@
     )
     chunks = response.chunks()
     await anext(chunks)
-    taken = time.perf_counter() - begun
+    elapsed = time.perf_counter() - started_at
     async for _ in chunks:
         pass
-    return taken
+    return elapsed
 
 
-async def _events(
+async def _run_streams(
     client: HttpClient, headers: list[tuple[str, str]], streams: int
 ) -> tuple[int, float]:
-    """Run streams at once; return token events and the seconds between two."""
+    """Run concurrent streams; return their events and the 95th percentile of gaps."""
     gaps: list[float] = []
 
-    async def one(number: int) -> int:
+    async def read_stream(number: int) -> int:
         response = await client.request(
             "POST",
             "/v1/chat/completions",
@@ -109,7 +111,7 @@
             events += chunk.count(b"\n\n")
         return events
 
-    counts = await asyncio.gather(*[one(number) for number in range(streams)])
+    counts = await asyncio.gather(*[read_stream(number) for number in range(streams)])
     return sum(counts), percentile(gaps, 0.95)
 
 
@@ -139,15 +141,15 @@
 async def _print_first_bytes(
     direct: HttpClient, routed: HttpClient, key: list[tuple[str, str]], requests: int
 ) -> None:
-    straight: list[float] = []
-    through: list[float] = []
+    direct_run: list[float] = []
+    routed_run: list[float] = []
     for _ in range(requests):
-        straight.append(await _first_byte(direct, []))
-        through.append(await _first_byte(routed, key))
+        direct_run.append(await _first_byte_seconds(direct, []))
+        routed_run.append(await _first_byte_seconds(routed, key))
     line = {"measure": "first_byte", "requests": requests}
     for name, share in (("p50", 0.5), ("p99", 0.99)):
-        added = percentile(through, share) - percentile(straight, share)
-        line[f"direct_ms_{name}"] = round(percentile(straight, share) * 1000, 3)
+        added = percentile(routed_run, share) - percentile(direct_run, share)
+        line[f"direct_ms_{name}"] = round(percentile(direct_run, share) * 1000, 3)
         line[f"added_ms_{name}"] = round(added * 1000, 3)
     print(json.dumps(line), flush=True)
 
@@ -158,23 +160,23 @@
     key: list[tuple[str, str]],
     requests: int,
 ) -> None:
-    """Print the bytes between routers and to the platform for each request."""
+    """Print the bytes between routers and to the store for each request."""
     await asyncio.sleep(1.0)
     idle = deployment.control_bytes
     await asyncio.sleep(1.0)
-    begun = deployment.control_bytes
+    bytes_before = deployment.control_bytes
     started = time.perf_counter()
     for _ in range(requests):
-        await _first_byte(routed, key)
+        await _first_byte_seconds(routed, key)
     await asyncio.sleep(SETTLING_SECONDS)
     seconds = time.perf_counter() - started
-    carried = deployment.control_bytes - begun
-    at_rest = (begun - idle) * seconds
+    carried = deployment.control_bytes - bytes_before
+    at_rest = (bytes_before - idle) * seconds
     line = {
         "measure": "control",
         "requests": requests,
         "control_bytes_per_request": round(max(carried - at_rest, 0.0) / requests),
-        "bytes_per_s_at_rest_of_2_routers": begun - idle,
+        "bytes_per_s_at_rest_of_2_routers": bytes_before - idle,
     }
     print(json.dumps(line), flush=True)
 
@@ -182,7 +184,7 @@
 async def _print_memory(
     client: HttpClient, key: list[tuple[str, str]], streams: int
 ) -> None:
-    """Print the memory that open streams take, both ends and the router's."""
+    """Print the memory of open streams at the caller, the router and the engine."""
     before = resident_kb()
     opened = []
     for number in range(streams):
@@ -193,10 +195,10 @@
             body=_body(number, max_tokens=60),
         )
         opened.append(response)
-    grown = resident_kb() - before
+    growth = resident_kb() - before
     for response in opened:
         await response.body()
-    line = {"measure": "memory", "streams": streams, "kb_grown_all_ends": grown}
+    line = {"measure": "memory", "streams": streams, "kb_grown_all_ends": growth}
     print(json.dumps(line), flush=True)
 
 
@@ -206,16 +208,16 @@
     key: list[tuple[str, str]],
     streams: int,
 ) -> None:
-    bares: list[float] = []
+    bare_seconds: list[float] = []
     costs: list[float] = []
     events = 0
     for _ in range(ROUNDS):
-        bares.append(bare_event_seconds())
-        straight = await _timed(lambda: _events(direct, [], streams))
-        through = await _timed(lambda: _events(routed, key, streams))
-        costs.append(through[1] / through[0] - straight[1] / straight[0])
-        events += through[0]
-    bare = statistics.median(bares)
+        bare_seconds.append(bare_event_seconds())
+        direct_run = await _measure_work(lambda: _run_streams(direct, [], streams))
+        routed_run = await _measure_work(lambda: _run_streams(routed, key, streams))
+        costs.append(routed_run[1] / routed_run[0] - direct_run[1] / direct_run[0])
+        events += routed_run[0]
+    bare = statistics.median(bare_seconds)
     added = statistics.median(costs)
     line = {
         "measure": "token_events",
@@ -227,31 +229,31 @@
         "router_over_bare": round(added / bare, 2),
         "events_per_s_of_one_core": round(1 / added),
         "core_share_at_5000_per_s": round(5000 * added, 3),
-        "direct_gap_ms_p95": round(straight[2] * 1000, 2),
-        "routed_gap_ms_p95": round(through[2] * 1000, 2),
+        "direct_gap_ms_p95": round(direct_run[2] * 1000, 2),
+        "routed_gap_ms_p95": round(routed_run[2] * 1000, 2),
         "one_process": True,
     }
     print(json.dumps(line), flush=True)
 
 
-async def _timed(
+async def _measure_work(
     work: Callable[[], object],
 ) -> tuple[int, float, float]:
-    """Return events, processor seconds and the gap at p95 of a piece of work."""
-    begun = time.process_time()
+    """Return the events, the processor seconds and the p95 gap of some work."""
+    started_at = time.process_time()
     events, gap = await work()  # type: ignore[misc]
-    return events, time.process_time() - begun, gap
+    return events, time.process_time() - started_at, gap
 
 
 def run(*, requests: int = 300, streams: int = 100) -> None:
-    """Measure what a router adds.
+    """Measure the overhead of a router.
 
     Parameters
     ----------
     requests
-        Requests for the first byte.
+        Number of requests for the first byte.
     streams
-        Streams at once for the token events.
+        Number of concurrent streams for the token events.
     """
     logging.set_verbosity(logging.ERROR)
     run_loop(_measure(requests, streams))
--- a/lynxchute/demo.py
+++ b/lynxchute/demo.py
@@ -1,6 +1,6 @@
-"""Run a deployment on stand-ins through faults, and count what was promised.
+"""Run a deployment on stand-ins through faults, and check its guarantees.
 
-The last line is a JSON object, measured from the stand-ins' own records.
+The last line of the output is a JSON object with counts from the stand-ins' records.
 """
 
 from __future__ import annotations
@@ -30,29 +30,29 @@
 from lynxchute.standins.deployment import MODEL, Deployment, Shape, caller_key
 
 SCENE_SECONDS = 4.0
-# A question that ends each engine that begins to answer it, who asks it, how often, and
-# the seconds between.
-DEADLY_TEXT = "the question that no engine survives"
-DEADLY_ACCOUNT = "road-2"
-DEADLY_TIMES = 14
-DEADLY_PAUSE = 0.25
-# Ends after which it must be known to be their cause, and seconds in which all routers
-# must know it; what it ends later counts as broken.
-ENDS_KNOWN = 3
-KNOWN_SECONDS = 1.0
-# Engines are cold after they were taken back, and bear so many requests a second: in
-# any second all routers together send one at most 2 x 1.5 + 5 = 8.
+# A message text that crashes each engine that starts to answer it, the account that
+# sends it, the number of times, and the seconds between them.
+CRASH_TEXT = "the question that no engine survives"
+CRASH_ACCOUNT = "road-2"
+CRASH_REQUESTS = 14
+CRASH_PAUSE_SECONDS = 0.25
+# Number of crashes after which the request must be quarantined, and the seconds within
+# which all routers must know that; each later crash violates a guarantee.
+CRASHES_TO_QUARANTINE = 3
+QUARANTINE_SECONDS = 1.0
+# After the evacuation ends, engines are cold and can serve COLD_PER_SECOND requests a
+# second: in any second all routers together may send one at most 2 x 1.5 + 5 = 8.
 COLD_SECONDS = 3.0
 COLD_PER_SECOND = 2.0
-COLD_MOST = 8
-# Seconds after an evacuation was accepted in which all routers must have heard of it.
-EVACUATED_SECONDS = 1.0
+MAX_COLD_RATE = 8
+# Seconds from the acceptance of an evacuation until all routers must know of it.
+EVACUATION_SECONDS = 1.0
 EVACUATED = "kyu-b"
 SEED = 7
 
 
 def measure(deployment: Deployment, sent: list[CallerRequest]) -> dict[str, int]:
-    """Return the counts of the last line."""
+    """Return the counts for the last line of the output."""
     served = served_by_account(deployment)
     counted = counted_by_account(deployment)
     paid = paid_by_account(deployment)
@@ -69,8 +69,8 @@
     not_run_but_ran = 0
     for item in sent:
         for attempt in item.attempts:
-            said = attempt.run == RunStatus.NOT_RUN.value
-            not_run_but_ran += said and attempt.request_id in ran
+            states_not_run = attempt.run == RunStatus.NOT_RUN.value
+            not_run_but_ran += states_not_run and attempt.request_id in ran
     return {
         "requests": len(sent),
         "answered": len(answered),
@@ -86,7 +86,7 @@
     }
 
 
-PROMISES = (
+GUARANTEES = (
     "overspend_tokens",
     "uncounted_tokens",
     "wrong_or_partial_answers",
@@ -102,7 +102,7 @@
 
 
 def _amagumo() -> Shape:
-    """Return Amagumo's deployment at today's size."""
+    """Return the shape of the deployment "amagumo"."""
     budgets = {f"crew-{index}": 60_000 for index in range(1, 8)}
     budgets.update({"road-1": 400_000, "road-2": 400_000, "coop": 30_000})
     return Shape(
@@ -113,48 +113,52 @@
     )
 
 
-async def _play(deployment: Deployment, callers: Callers, rate: float) -> int:
-    """Go through the scenes; return how many engines ended for want of knowledge."""
-    _say("all is well")
+async def _run_scenes(deployment: Deployment, callers: Callers, rate: float) -> int:
+    """Run the scenes before the evacuation; return crashes after the quarantine."""
+    _print_step("no faults")
     await callers.run(SCENE_SECONDS, rate)
-    _say("kyu-c is cut off from the store and the others; 'coop' is topped up twice")
+    _print_step(
+        "kyu-c is cut off from the store and the others; 'coop' is topped up twice"
+    )
     deployment.set_cut("kyu-c", True)
     scene = asyncio.create_task(callers.run(SCENE_SECONDS, rate))
     await asyncio.sleep(SCENE_SECONDS / 2)
     for _ in range(2):
-        await _order(deployment, "top up coop by 5000 as night-1")
+        await _run_statement(deployment, "top up coop by 5000 as night-1")
     await scene
-    _say("kyu-a-1 dies with open streams; the store loses answers")
+    _print_step("kyu-a-1 is killed with open streams; the store's answers get lost")
     for vm in ("kyu-a-2", "kyu-b-1", "kyu-b-2"):
         deployment.store_faults(vm).lost_share = 0.2
     scene = asyncio.create_task(callers.run(SCENE_SECONDS, rate))
     await asyncio.sleep(SCENE_SECONDS / 3)
     await deployment.kill_router("kyu-a-1")
     await scene
-    _say("the links heal, and kyu-a-1 is back")
+    _print_step("the links are restored, and kyu-a-1 is restarted")
     for vm in ("kyu-a-2", "kyu-b-1", "kyu-b-2"):
         deployment.store_faults(vm).lost_share = 0.0
     deployment.set_cut("kyu-c", False)
     await deployment.start_router("kyu-a-1")
     await callers.run(SCENE_SECONDS, rate)
-    _say("a question ends each engine that begins to answer it; its caller repeats it")
+    _print_step(
+        "one request crashes each engine that starts to answer it and is repeated"
+    )
     scene = asyncio.create_task(callers.run(SCENE_SECONDS, rate))
-    ended = await _repeat_deadly(deployment)
+    crashes = await _send_crash_requests(deployment)
     await scene
-    return ended
+    return crashes
 
 
 async def _evacuate(deployment: Deployment, callers: Callers, rate: float) -> int:
-    """Evacuate a data centre and take it back.
+    """Evacuate a data centre, then end the evacuation with cold engines.
 
     Returns
     -------
     int
-        How many requests were sent there later than they may be.
+        Number of requests sent there after all routers must know of the evacuation.
     """
     scene = asyncio.create_task(callers.run(SCENE_SECONDS, rate))
-    await _order(deployment, f"evacuate data centre {EVACUATED}")
-    await asyncio.sleep(EVACUATED_SECONDS)
+    await _run_statement(deployment, f"evacuate data centre {EVACUATED}")
+    await asyncio.sleep(EVACUATION_SECONDS)
     since = asyncio.get_running_loop().time()
     await scene
     sent = 0
@@ -162,60 +166,62 @@
         if upstream.name.startswith(EVACUATED):
             sent += len(upstream.taken.since(since))
     _, shown = await deployment.operate("kyu-a-2", "show evacuations")
-    _say(f"  {shown['rows']}")
+    _print_step(f"  {shown['rows']}")
     for name, engine in deployment.engines_by_name.items():
         if name.startswith(EVACUATED):
             engine.taken.note_cold(COLD_SECONDS, asyncio.get_running_loop().time())
-    await _order(deployment, f"take back data centre {EVACUATED}")
+    await _run_statement(deployment, f"take back data centre {EVACUATED}")
     await callers.run(SCENE_SECONDS, rate)
     return sent
 
 
-async def _order(deployment: Deployment, statement: str) -> None:
+async def _run_statement(deployment: Deployment, statement: str) -> None:
     _, answer = await deployment.operate("kyu-a-2", statement)
-    _say(f"  {answer['state']}: {answer['detail']}")
+    _print_step(f"  {answer['state']}: {answer['detail']}")
 
 
-def _cold_rate_passed(deployment: Deployment) -> int:
-    """Return by how many requests the fullest second of a cold engine is too full."""
+def _cold_rate_excess(deployment: Deployment) -> int:
+    """Return the requests beyond `MAX_COLD_RATE` in a cold engine's busiest second."""
     engines = deployment.engines_by_name.values()
     most = max(engine.taken.most_while_cold() for engine in engines)
-    return max(most - COLD_MOST, 0)
+    return max(most - MAX_COLD_RATE, 0)
 
 
-async def _repeat_deadly(deployment: Deployment) -> int:
-    """Ask the deadly question at one router after the other.
+async def _send_crash_requests(deployment: Deployment) -> int:
+    """Send the request that crashes engines to each router in turn, repeatedly.
 
     Returns
     -------
     int
-        How many engines it ended after all routers must have known it.
+        Number of crashes after all routers must know of its quarantine.
     """
     engines = list(deployment.engines_by_name.values())
     for engine in engines:
-        engine.deadly_texts.add(DEADLY_TEXT)
+        engine.deadly_texts.add(CRASH_TEXT)
     vms = sorted(deployment.routers_by_vm)
-    known_at, ended_before, last = float("inf"), 0, 0
-    for number in range(DEADLY_TIMES):
-        last = await _ask_deadly(deployment, vms[number % len(vms)])
-        ended = sum(engine.ends for engine in engines)
-        if time.monotonic() < known_at + KNOWN_SECONDS:
-            ended_before = ended
-        if ended >= ENDS_KNOWN:
-            known_at = min(known_at, time.monotonic())
-        await asyncio.sleep(DEADLY_PAUSE)
-    ended = sum(engine.ends for engine in engines)
-    _say(f"  it ended {ended} engines; the last of {DEADLY_TIMES} answers: {last}")
-    return ended - ended_before
-
-
-async def _ask_deadly(deployment: Deployment, vm: str) -> int:
-    """Ask the deadly question once; return the status, 0 where none came."""
+    quarantined_at, crashes_allowed, last = float("inf"), 0, 0
+    for number in range(CRASH_REQUESTS):
+        last = await _send_crash_request(deployment, vms[number % len(vms)])
+        crashes = sum(engine.ends for engine in engines)
+        if time.monotonic() < quarantined_at + QUARANTINE_SECONDS:
+            crashes_allowed = crashes
+        if crashes >= CRASHES_TO_QUARANTINE:
+            quarantined_at = min(quarantined_at, time.monotonic())
+        await asyncio.sleep(CRASH_PAUSE_SECONDS)
+    crashes = sum(engine.ends for engine in engines)
+    _print_step(
+        f"  it crashed {crashes} engines; the last of {CRASH_REQUESTS} answers: {last}"
+    )
+    return crashes - crashes_allowed
+
+
+async def _send_crash_request(deployment: Deployment, vm: str) -> int:
+    """Send the crashing request once; return its status, 0 without a response."""
     client = HttpClient(f"127.0.0.1:{deployment.caller_port(vm)}")
-    key = caller_key(DEADLY_ACCOUNT)
+    key = caller_key(CRASH_ACCOUNT)
     question = {
         "model": MODEL,
-        "messages": [{"role": "user", "content": DEADLY_TEXT}],
+        "messages": [{"role": "user", "content": CRASH_TEXT}],
         "max_tokens": 64,
         "stream": True,
     }
@@ -229,11 +235,11 @@
     return status
 
 
-def _say(text: str) -> None:
+def _print_step(text: str) -> None:
     print(text, flush=True)
 
 
-async def _settle(deployment: Deployment, seconds: float) -> None:
+async def _wait_until_settled(deployment: Deployment, seconds: float) -> None:
     """Wait until no request is open and every reservation is settled."""
     end = time.monotonic() + seconds
     while time.monotonic() < end:
@@ -241,44 +247,46 @@
         if not any(router.ledger_sync.ledger.reservations_by_id for router in routers):
             return
         await asyncio.sleep(0.1)
-    _say("some reservations are not settled yet")
+    _print_step("timeout: some reservations are not settled yet")
 
 
 def _print_table(sent: list[CallerRequest]) -> None:
     print(f"\n{'account':<10}{'requests':>10}{'answered':>10}{'refused':>10}")
     for account in sorted({item.account for item in sent}):
-        mine = [item for item in sent if item.account == account]
-        answered = sum(item.outcome == "answered" for item in mine)
-        row = f"{account:<10}{len(mine):>10}{answered:>10}{len(mine) - answered:>10}"
+        own = [item for item in sent if item.account == account]
+        answered = sum(item.outcome == "answered" for item in own)
+        row = f"{account:<10}{len(own):>10}{answered:>10}{len(own) - answered:>10}"
         print(row)
     print()
 
 
 async def _run(rate: float) -> int:
     deployment = Deployment(_amagumo())
-    _say("starting three data centres with eight routers on stand-ins")
+    _print_step("starting three data centres with eight routers on stand-ins")
     await deployment.start()
     callers = Callers(deployment, random.Random(SEED))
     try:
-        ended = await _play(deployment, callers, rate)
-        _say(f"{EVACUATED} is evacuated and taken back; its engines come back cold")
+        crashes = await _run_scenes(deployment, callers, rate)
+        _print_step(
+            f"{EVACUATED} is evacuated and taken back; its engines are then cold"
+        )
         sent_to_evacuated = await _evacuate(deployment, callers, rate)
-        _say("an engine names a limit, one says that it leaves, one asks for backoff")
-        throttled_sends = await run_throttling_scene(
+        _print_step("engines declare a rate limit, leaving and a backoff")
+        violations = await run_throttling_scene(
             deployment, callers, rate, 2 * SCENE_SECONDS
         )
-        _say("waiting for the last settlements")
-        await _settle(deployment, 8.0)
+        _print_step("waiting for the last settlements")
+        await _wait_until_settled(deployment, 8.0)
         result = measure(deployment, callers.sent)
-        result["engines_ended_by_what_is_known"] = ended
+        result["engines_ended_by_what_is_known"] = crashes
         result["sent_to_evacuated"] = sent_to_evacuated
-        result["cold_rate_passed"] = _cold_rate_passed(deployment)
-        result.update(attrs.asdict(throttled_sends))
+        result["cold_rate_passed"] = _cold_rate_excess(deployment)
+        result.update(attrs.asdict(violations))
     finally:
         await deployment.stop()
     _print_table(callers.sent)
     print(json.dumps(result))
-    return int(any(result[name] for name in PROMISES))
+    return int(any(result[name] for name in GUARANTEES))
 
 
 def run(*, rate: float = 40.0) -> None:
