--- a/tests/press.py
+++ b/tests/press.py
@@ -1,4 +1,4 @@
-"""Press a deployment's routers with requests."""
+"""Send requests continuously to all routers of a deployment."""
 
 import asyncio
 
@@ -6,9 +6,9 @@
 
 
 async def press(deployment, ask, *, seconds, pause=0.05):
-    """Have every router asked again and again; return the statuses."""
+    """Call every router repeatedly, with a pause between; return all statuses."""
 
-    async def one(vm):
+    async def call_router(vm):
         caller = PlatformCaller(deployment, vm)
         loop, statuses = asyncio.get_running_loop(), []
         end = loop.time() + seconds
@@ -17,8 +17,10 @@
             await asyncio.sleep(pause)
         return statuses
 
-    found = await asyncio.gather(*(one(vm) for vm in deployment.routers))
-    return [status for statuses in found for status in statuses]
+    statuses_by_router = await asyncio.gather(
+        *(call_router(vm) for vm in deployment.routers)
+    )
+    return [status for statuses in statuses_by_router for status in statuses]
 
 
 def stream(caller):
--- a/tests/router_process.py
+++ b/tests/router_process.py
@@ -1,4 +1,4 @@
-"""A router as a process of its own, started from a settings file."""
+"""A router in a separate process, started from a settings file."""
 
 import asyncio
 import json
@@ -11,13 +11,13 @@
 from lynxchute.http import ExchangeError, HttpClient
 from tests.platform_support import DATA_CENTRES, free_port
 
-READY_WITHIN = 20.0
+READY_TIMEOUT = 20.0
 
 
 class RouterProcess:
-    """Start, signal and end one router; its log goes to a file.
+    """Start, signal and kill one router, whose log goes to a file.
 
-    Its addresses and settings file stay the same over restarts.
+    Its addresses and its settings file stay the same across restarts.
     """
 
     def __init__(
@@ -90,13 +90,13 @@
 
     async def kill(self):
         if self.is_running:
-            # A stopped process takes a kill as well.
+            # SIGKILL also ends a process that SIGSTOP has suspended.
             self.process.send_signal(signal.SIGKILL)
         if self.process is not None:
             await self.process.wait()
 
     async def ready(self):
-        async with asyncio.timeout(READY_WITHIN):
+        async with asyncio.timeout(READY_TIMEOUT):
             while not await self.is_ready():
                 await asyncio.sleep(0.05)
 
@@ -111,7 +111,7 @@
     def events(self, name):
         found = []
         for text in self.log.read_text().splitlines(keepends=True):
-            # The last line may not be whole yet.
+            # The last line may not be completely written yet.
             if text.endswith("\n") and (line := json.loads(text))["event"] == name:
                 found.append(line)
         return found
--- a/tests/support.py
+++ b/tests/support.py
@@ -1,4 +1,4 @@
-"""What several tests need."""
+"""Helpers that several test modules share."""
 
 import asyncio
 import json
@@ -18,21 +18,21 @@
 
 
 def no_limits_kept():
-    """Return what a router may send where it knows no store's clock and no others."""
+    """Return rate limits of a router without the store's clock and other routers."""
     return RateLimits(
         MostlyCentral(), lambda *_: None, lambda _: None, lambda _: 0, lambda _: 0.0
     )
 
 
 class AsyncTestCase(testtools.TestCase):
-    """Run each test's coroutine on a loop of its own."""
+    """Run each test's coroutine on a new event loop."""
 
     def run_async(self, work, timeout=60):
-        async def limited():
+        async def run_with_timeout():
             async with asyncio.timeout(timeout):
                 return await work
 
-        return run_loop(limited())
+        return run_loop(run_with_timeout())
 
 
 def small_shape(**changes):
@@ -44,7 +44,7 @@
 
 
 def with_deployment(case, scenario, **changes):
-    """Run a scenario on a deployment and stop that afterwards."""
+    """Run a scenario on a new deployment, and stop the deployment afterwards."""
 
     async def work():
         deployment = Deployment(small_shape(**changes))
@@ -91,14 +91,14 @@
 
 
 async def counts_match(deployment, timeout=10):
-    """Wait until the routers count just what the upstreams have used."""
+    """Wait until the routers' counts equal the upstreams' records of use."""
     async with asyncio.timeout(timeout):
         while counted_by_account(deployment) != served_by_account(deployment):
             await asyncio.sleep(0.02)
 
 
 def runs(deployment):
-    """Return what ran anywhere."""
+    """Return the records of runs of all upstreams."""
     return [run for upstream in deployment.upstreams for run in upstream.records()]
 
 
@@ -108,5 +108,5 @@
 
 
 def stream_text(body):
-    """Return the text of a streamed answer and whether it ended whole."""
+    """Return the text of a streamed answer and whether it is complete."""
     return streamed_text(body), body.endswith(b"data: [DONE]\n\n")
--- a/tests/suspendable_router.py
+++ b/tests/suspendable_router.py
@@ -1,7 +1,7 @@
-"""A router whose monotonic clock stands still while its process is stopped.
+"""A router whose monotonic clock does not advance while its process is stopped.
 
-That is what a suspended VM looks like from inside; a process that is stopped and goes
-on has a clock that went on.
+This simulates a suspended VM, in which the clock stops as well. The real clock advances
+while a process is stopped by a signal.
 """
 
 import signal
@@ -12,24 +12,24 @@
 _monotonic = time.monotonic
 
 
-class StandingClock:
-    """The monotonic clock without the times in which the process was stopped."""
+class SuspendableClock:
+    """The monotonic clock without the periods in which the process was stopped."""
 
     def __init__(self):
-        self._read_at = _monotonic()
-        self._stood = 0.0
+        self._last_read_at = _monotonic()
+        self._stopped_seconds = 0.0
 
     def read(self):
-        self._read_at = _monotonic()
-        return self._read_at - self._stood
+        self._last_read_at = _monotonic()
+        return self._last_read_at - self._stopped_seconds
 
     def resume(self, *_):
-        self._stood += _monotonic() - self._read_at
-        self._read_at = _monotonic()
+        self._stopped_seconds += _monotonic() - self._last_read_at
+        self._last_read_at = _monotonic()
 
 
 if __name__ == "__main__":
-    clock = StandingClock()
+    clock = SuspendableClock()
     time.monotonic = clock.read
     signal.signal(signal.SIGCONT, clock.resume)
     main()
