--- a/lynxchute/standins/engine.py
+++ b/lynxchute/standins/engine.py
@@ -123,7 +123,7 @@
             running = sum(run.state == "running" for run in self.runs)
             cached = list(self._cached_tokens_by_prefix.items())
             load = {"running": running, "cached": cached}
-            await respond.json(200, load, self.stated())
+            await respond.json(200, load, self.backpressure_headers())
             return
         await not_found(request, respond)
 
@@ -187,7 +187,7 @@
             run.done += 1
             await asyncio.sleep(self._token_delay)
         run.state = "finished"
-        headers = [(names.REQUEST_ID, run.request_id), *self.stated()]
+        headers = [(names.REQUEST_ID, run.request_id), *self.backpressure_headers()]
         await respond.json(200, _whole_answer(run), headers)
 
     async def _stream(self, run: Generation, respond: Responder) -> None:
@@ -195,7 +195,7 @@
             ("Content-Type", EVENT_STREAM),
             ("Transfer-Encoding", "chunked"),
             (names.REQUEST_ID, run.request_id),
-            *self.stated(),
+            *self.backpressure_headers(),
         ]
         await respond.start(200, headers)
         await asyncio.sleep(self._first_token_delay)
--- a/lynxchute/standins/platform_upstream.py
+++ b/lynxchute/standins/platform_upstream.py
@@ -161,7 +161,9 @@
         now = asyncio.get_running_loop().time()
         return int(max(self.taken.cold_seconds(now), 0.0) * 1000)
 
-    def stated(self, *, is_refusal: bool = False) -> list[tuple[str, str]]:
+    def backpressure_headers(
+        self, *, is_refusal: bool = False
+    ) -> list[tuple[str, str]]:
         """Return the backpressure headers of an answer: limit, leaving and backoff."""
         headers = []
         if self.limit is not None:
@@ -249,7 +251,7 @@
                 protocol,
                 reader,
                 writer,
-                self.stated,
+                self.backpressure_headers,
             )
             if not await exchange.answer():
                 if fault is Fault.CRASH:
@@ -289,7 +291,7 @@
         headers = [
             ("Content-Length", str(len(body))),
             (names.COLD_MS, str(self._cold_ms)),
-            *self.stated(),
+            *self.backpressure_headers(),
         ]
         writer.write(
             protocol.send(h11.Response(status_code=200, headers=headers)) or b""
--- a/lynxchute/standins/service.py
+++ b/lynxchute/standins/service.py
@@ -39,5 +39,5 @@
             "digest": hashlib.sha256(request.body).hexdigest(),
         }
         await respond.json(
-            200, answer, [(names.REQUEST_ID, request_id), *self.stated()]
+            200, answer, [(names.REQUEST_ID, request_id), *self.backpressure_headers()]
         )
--- a/lynxchute/standins/upstream.py
+++ b/lynxchute/standins/upstream.py
@@ -78,7 +78,7 @@
                 return
         await self.serve(request, respond)
 
-    def stated(self) -> list[tuple[str, str]]:
+    def backpressure_headers(self) -> list[tuple[str, str]]:
         """Return the backpressure headers of an answer: limit and leaving."""
         headers = []
         if self.limit is not None:
@@ -91,7 +91,9 @@
         self.refusals.append((now, request_id_of(request)))
         backoff = ("Retry-After", f"{self.backoff_until - now:.3f}")
         await respond.json(
-            503, {"error": "backoff"}, [NOT_RUN_HEADER, backoff, *self.stated()]
+            503,
+            {"error": "backoff"},
+            [NOT_RUN_HEADER, backoff, *self.backpressure_headers()],
         )
 
 
--- a/lynxchute/standins/upstream_exchange.py
+++ b/lynxchute/standins/upstream_exchange.py
@@ -29,7 +29,7 @@
         The list to which the run is appended, unless the request is declined.
     events, event_delay
         Number of events of a stream, 0 for a plain answer, and seconds before each.
-    stated
+    backpressure_headers
         Returns the backpressure headers of an answer.
     """
 
@@ -42,7 +42,7 @@
     protocol: h11.Connection
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
-    stated: Callable[..., list[tuple[str, str]]] = lambda **_: []
+    backpressure_headers: Callable[..., list[tuple[str, str]]] = lambda **_: []
 
     async def answer(self) -> bool:
         """Send the response; return whether the connection can be reused."""
@@ -103,7 +103,7 @@
         headers = [("Content-Length", "0"), (names.UPSTREAM_ID, self.upstream_id)]
         if fault is not Fault.MOVED:
             headers.append((names.NOT_RUN, "1"))
-            headers.extend(self.stated(is_refusal=True))
+            headers.extend(self.backpressure_headers(is_refusal=True))
         self._send(h11.Response(status_code=status, headers=headers))
         self._send(h11.EndOfMessage())
         await self.writer.drain()
@@ -157,7 +157,7 @@
         headers = [
             (names.REQUEST_ID, self.run.request_id),
             ("Keep-Alive", f"timeout={KEEP_ALIVE_SECONDS}"),
-            *self.stated(),
+            *self.backpressure_headers(),
         ]
         if self.fault is not Fault.UNSIGNED:
             signature = f"{self.upstream_id}.{self.run.request_id}"
