--- a/lynxchute/budgets/demand.py
+++ b/lynxchute/budgets/demand.py
@@ -43,7 +43,7 @@
         """Return the recent rate, in tokens per second."""
         return self._decayed_weight(now) / DECAY_SECONDS
 
-    def recent_tokens(self, now: float) -> int:
+    def decayed_tokens(self, now: float) -> int:
         """Return the recent tokens, older ones weighted by their decay."""
         return int(self._decayed_weight(now))
 
--- a/lynxchute/budgets/ledger.py
+++ b/lynxchute/budgets/ledger.py
@@ -31,11 +31,11 @@
     Write,
 )
 
-# Seconds of its own demand that a router holds back when another one asks for more
-# than its requests need; all but a few outages of the store are shorter.
+# When lending more than waiting requests need, a router holds back this many seconds of
+# its own demand, which covers all but a few outages of the store.
 LENDER_RESERVE_SECONDS = 8.0
-# The same when another router asks for its local reserve: this router's demand is
-# then mostly that of the other router's callers.
+# The same for a loan to a local reserve. It is shorter, since most of this router's
+# demand then comes from the borrower's callers.
 RESERVE_LOAN_MARGIN_SECONDS = 2.0
 # Budgets whose totals one write may change; a write holds at most 100 entries.
 MAX_GRANTS_PER_WRITE = 40
@@ -95,8 +95,8 @@
     fenced
         Whether another process of the same VM has taken over the row.
     slack_by_account
-        Tokens that the previous process may have used along its limit lines after
-        its last write. They count as used, so most of them may be lost.
+        Tokens that the previous process may have used after its last write, within
+        its limit lines. They count as used, although most of them may be unused.
     unreadable_accounts
         Budgets whose totals row cannot be decoded.
     predecessor
@@ -161,7 +161,7 @@
         found = HolderRow.decode(row.value)
         self.predecessor = found.incarnation
         for account, terms in found.terms_by_account.items():
-            # Everything that the limit line allowed may have been used.
+            # The previous process may have used all that its limit line allowed.
             used = terms.limit(ended_ms)
             slack = used - terms.limit(terms.line.start_ms)
             if slack > 0:
@@ -174,7 +174,7 @@
     def silent_ms(self) -> int | None:
         """Return for how many ms the previous process may have spent unrecorded.
 
-        None if its use is known exactly.
+        None if its use is known exactly, or once this process has written its own row.
         """
         return None if self.is_open else self._silent_ms
 
@@ -279,9 +279,9 @@
         """Lend tokens to another router; return how many.
 
         They count as used here from now on. Repeating a loan id returns the same
-        loan. All available tokens may go to what a request needs; of what the
-        borrower wants beyond that, at most half of what this router's own demand
-        leaves over, and less if it is for the borrower's local reserve.
+        loan. Available tokens are lent in full if a request needs them. Beyond that,
+        at most half of the tokens that this router's own demand does not need are
+        lent, and fewer for the borrower's local reserve.
 
         Parameters
         ----------
@@ -316,8 +316,8 @@
         self._lent_by_id.add(loan_id, tokens)
         return tokens
 
-    def void_loan(self, loan_id: str, account: str) -> int:
-        """Cancel a loan whose reply was lost; return its tokens.
+    def cancel_loan(self, loan_id: str, account: str) -> int:
+        """Cancel a loan whose reply was lost; return the number of tokens taken back.
 
         A request for the loan that arrives later gets nothing.
         """
@@ -330,10 +330,16 @@
     def release(
         self, account: str, *, needed: int, wanted: int, now: float
     ) -> Release | None:
-        """Mark tokens for return to the store with the next write; None if none.
+        """Mark tokens for release to the store with the next write.
 
-        All unused tokens may go to what a request of another router needs; of what
-        that router wants beyond that, half of what the own demand leaves over.
+        Unused tokens are released in full if another router's request needs them.
+        Beyond that, at most half of the tokens that this router's own demand does not
+        need are released.
+
+        Returns
+        -------
+        Release | None
+            The release, or None if there is nothing to release.
         """
         share = self.shares_by_account.get(account)
         if share is None or not self._may_lend:
@@ -402,7 +408,10 @@
         self.share(account).borrowed += tokens
 
     def unused(self, account: str) -> int:
-        """Return the tokens held that are not used, open reservations included."""
+        """Return the tokens held, granted or borrowed, that are not used.
+
+        Reserved tokens count as unused.
+        """
         share = self.shares_by_account.get(account)
         if share is None:
             return 0
@@ -411,7 +420,7 @@
     def lent_reserves(self, account: str, now: float) -> int:
         """Return the tokens lent to local reserves that may still be unused."""
         share = self.shares_by_account.get(account)
-        return share.lent_reserves.recent_tokens(now) if share is not None else 0
+        return share.lent_reserves.decayed_tokens(now) if share is not None else 0
 
     @property
     def has_headroom(self) -> bool:
@@ -564,7 +573,7 @@
         return Write(tuple(expected), tuple(puts))
 
     def _confirm_row(self, row: HolderRow, version: int) -> None:
-        """Adopt the own row as the store holds it."""
+        """Adopt this router's row as the store holds it."""
         self._row_version = version
         for account, share in self.shares_by_account.items():
             share.unconfirmed.clear()
@@ -588,8 +597,8 @@
 
     def _apply_own_row(self, plan: Plan, row: Row | None) -> None:
         if row is None or row.version == self._row_version:
-            # The conflict is over another row; the own row is unchanged. An earlier
-            # write of unknown outcome may still change it.
+            # The conflict is about another row; this router's row is unchanged. An
+            # earlier write of unknown outcome may still change it.
             self._discard_terms(plan)
             return
         found = HolderRow.decode(row.value)
--- a/lynxchute/budgets/line.py
+++ b/lynxchute/budgets/line.py
@@ -7,9 +7,10 @@
 # Milliseconds for which a limit line grows after it was written: longer than the
 # longest store outage that the fleet must serve through, 12 seconds.
 HORIZON_MS = 15_000
-# Milliseconds of the initial slow growth. While the store answers, limit lines are
-# rewritten with each reservation, so a router that crashes and restarts within two
-# seconds never leaves this phase; one that does is cut off from the store.
+# Length of the initial phase of slow growth, in milliseconds. While the store answers,
+# limit lines are rewritten within half a second of each reservation, and every second
+# while tokens are unused. So a router that crashes and restarts within two seconds is
+# still in this phase; only a router that is cut off from the store leaves it.
 SLOW_PHASE_MS = 2_200
 
 
--- a/lynxchute/budgets/policy.py
+++ b/lynxchute/budgets/policy.py
@@ -78,26 +78,26 @@
         Share of the prepaid budget that the homes of all data centres together
         claim at once: tokens left free at the store are unreachable in an outage.
     burst_share, rate_share
-        Upper bounds on the limit line's start above use and on its initial growth
-        per second, as shares of the unused grant. Higher shares serve more
-        requests in the first moments of an outage, lower ones lose fewer tokens
-        with a crashed router. With 0.02 and 0.03, crashes cause fewer false
-        refusals (436 against 500 in 900 s in which all routers crash once), but
-        outages refuse more: 11.7% of the requests against 6.1% in a minute with
-        two outages.
+        The limit line starts `burst_share` of the unused grant above use and first
+        grows by `rate_share` of it per second. Higher shares serve more requests in the
+        first moments of an outage, lower ones lose fewer tokens with a crashed router.
+        With 0.02 and 0.03, crashes cause fewer false refusals (436 against 500 in 900 s
+        in which all routers crash once), but outages refuse more: 11.7% of the requests
+        against 6.1% in a minute with two outages.
     ample_seconds
-        A grant that covers this many seconds of demand gets these shares in full,
-        a smaller one proportionally less: tokens lost in a crash are missed only
-        when the budget is nearly spent.
+        Seconds of demand that an unused grant must cover to get these shares in
+        full. For a smaller one they shrink in proportion, because tokens lost in a
+        crash matter only when the budget is nearly spent.
     drain_seconds
         Shortest time in an outage, in seconds, in which the whole grant may be used.
     outage_demand, outage_share
-        Growth of the limit line per second of an outage: this multiple of the
-        demand per second or this share of the unused grant, whichever is larger.
-        Without this bound, a router that restarts three seconds after its last
-        write would lose a third of its grant, or ten seconds of its demand. Over
-        emulated traces of 300 s with crashes and store outages it gives 11,352
-        false refusals instead of 12,060; in outages alone 417 instead of 399.
+        In an outage the limit line grows per second by the larger of this multiple of
+        the demand per second and this share of the unused grant, at most at the rate
+        set by `drain_seconds`. If it always grew at that rate, a router that restarts
+        three seconds after its last write would lose a third of its grant, or ten
+        seconds of its demand. Over emulated traces of 300 s with crashes and store
+        outages it gives 11,352 false refusals instead of 12,060; in outages alone 417
+        instead of 399.
     """
 
     reserve_seconds: float = 15.0
--- a/lynxchute/budgets/share.py
+++ b/lynxchute/budgets/share.py
@@ -76,7 +76,8 @@
     demand
         Recent demand for tokens at this router.
     lent_reserves
-        Tokens lent to other routers' local reserves, decaying as they are used.
+        Tokens lent to other routers' local reserves, which decay with a fixed time
+        constant as an estimate of their use.
     """
 
     terms: Terms
--- a/lynxchute/budgets/standing.py
+++ b/lynxchute/budgets/standing.py
@@ -4,13 +4,13 @@
 
 import attrs
 
-# Seconds of its callers' demand below which a router refills its reserve, and those
-# that it refills to. A VM that is cut off serves for some seconds from the reserve;
-# but whatever a router has borrowed is lost if it crashes.
+# A reserve that lasts for fewer than REFILL_BELOW_SECONDS of its callers' demand is
+# refilled to TARGET_SECONDS. A VM that is cut off serves for some seconds from the
+# reserve; but whatever a router has borrowed is lost if it crashes.
 REFILL_BELOW_SECONDS = 3.0
 TARGET_SECONDS = 6.0
 # Requests per second below which no reserve is held: two requests that happen to
-# arrive together are not a steady stream, and a reserve may be lost.
+# arrive together are no steady demand, and a reserve is lost if the router crashes.
 MIN_REQUEST_RATE = 0.7
 # A lender lends one router at most its spare tokens divided by this, because several
 # routers ask.
--- a/lynxchute/spending/reservations.py
+++ b/lynxchute/spending/reservations.py
@@ -297,7 +297,7 @@
         for settlement in request.settlements:
             self._ledger.settle(settlement.reservation_id, settlement.used)
         for loan in request.void_loans:
-            tokens = self._ledger.void_loan(loan.loan_id, loan.account)
+            tokens = self._ledger.cancel_loan(loan.loan_id, loan.account)
             log_event("loan voided", account=loan.account, tokens=tokens)
         self._ledger_sync.record_use()
         return Ack()
--- a/tests/ledger_fleet.py
+++ b/tests/ledger_fleet.py
@@ -142,14 +142,14 @@
             "for_reserve": for_reserve,
         }
         if reply == "voided early":
-            lender.ledger.void_loan(loan, account)
+            lender.ledger.cancel_loan(loan, account)
         lent = lender.ledger.lend(loan, account, **terms)
         if reply == "twice":
             lent = lender.ledger.lend(loan, account, **terms)
         if reply in ("voided", "voided twice"):
-            lender.ledger.void_loan(loan, account)
+            lender.ledger.cancel_loan(loan, account)
         if reply == "voided twice":
-            lender.ledger.void_loan(loan, account)
+            lender.ledger.cancel_loan(loan, account)
         if reply in ("taken", "twice", "voided early"):
             borrower.ledger.borrow(account, lent)
 
--- a/tests/ledger_mutants.py
+++ b/tests/ledger_mutants.py
@@ -174,7 +174,7 @@
         self.share(account).settled -= tokens
         return tokens
 
-    return mock.patch.object(Ledger, "void_loan", void)
+    return mock.patch.object(Ledger, "cancel_loan", void)
 
 
 def lend_to_reserves_without_counting():
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -314,7 +314,7 @@
 
     def test_a_loan_that_was_voided_first_is_refused(self):
         ledger = self.fleet().routers[0].ledger
-        ledger.void_loan("l1", "a")
+        ledger.cancel_loan("l1", "a")
         lent = ledger.lend("l1", "a", needed=5, wanted=5, now_ms=10**6, now=1.0)
         self.assertEqual(0, lent)
-        self.assertEqual(0, ledger.void_loan("l1", "a"))
+        self.assertEqual(0, ledger.cancel_loan("l1", "a"))
