--- a/lynxchute/budgets/ledger.py
+++ b/lynxchute/budgets/ledger.py
@@ -135,7 +135,7 @@
         self._silent_ms: int | None = None
         self._sequence = 0
         self._lent_by_id = RecentIds()
-        self._gifts_by_id = RecentIds()
+        self._transfers_by_id = RecentIds()
         self._ended_by_request = RecentIds()
 
     # Taking over from the previous process.
@@ -398,9 +398,9 @@
 
     def transfer_in(self, gift_id: str, account: str, tokens: int) -> None:
         """Add tokens that another router has sent; idempotent by gift id."""
-        if gift_id in self._gifts_by_id:
+        if gift_id in self._transfers_by_id:
             return
-        self._gifts_by_id.add(gift_id, tokens)
+        self._transfers_by_id.add(gift_id, tokens)
         self.borrow(account, tokens)
 
     def borrow(self, account: str, tokens: int) -> None:
--- a/lynxchute/spending/balance.py
+++ b/lynxchute/spending/balance.py
@@ -19,15 +19,15 @@
 
 # Seconds between two rounds of rebalancing.
 STEP_SECONDS = 1.0
-# A home that holds tokens for fewer seconds of its demand asks the other routers for
-# more: a network cut of its data centre lasts about six seconds.
+# A home whose tokens last for fewer seconds of its demand than this asks the other
+# routers for more. A network partition of a data centre lasts about six seconds.
 REFILL_BELOW_SECONDS = 6.0
 # Seconds of demand that it asks for.
 REFILL_SECONDS = 8.0
 
 
 @attrs.frozen
-class Gift:
+class PendingTransfer:
     """Tokens that are being sent to an account's home.
 
     Attributes
@@ -78,7 +78,7 @@
         self._lenders = lenders
         self._members = members
         self._peers = peers
-        self._gifts: list[Gift] = []
+        self._transfers: list[PendingTransfer] = []
 
     async def _step(self) -> None:
         if not self._ledger.is_open or self._ledger.is_closing:
@@ -89,8 +89,8 @@
                 await self._refill_home(account)
                 continue
             self._queue_leftover(account, retained=self._retained(account))
-        for gift in list(self._gifts):
-            await self._send_gift(gift)
+        for transfer in list(self._transfers):
+            await self._send_transfer(transfer)
 
     async def _refill_home(self, account: str) -> None:
         share = self._ledger.shares_by_account[account]
@@ -102,7 +102,7 @@
             self._ledger_sync.request_write()
             return
         wanted = int(demand * REFILL_SECONDS) - held
-        gathered = await self._lenders.fill(account, wanted)
+        gathered = await self._lenders.borrow_spare(account, wanted)
         if gathered.released:
             self._ledger_sync.request_refresh()
             self._ledger_sync.request_write()
@@ -116,7 +116,9 @@
         for account, share in list(self._ledger.shares_by_account.items()):
             share.is_home = False
             self._queue_leftover(account)
-        await asyncio.gather(*(self._send_gift(gift) for gift in list(self._gifts)))
+        await asyncio.gather(
+            *(self._send_transfer(transfer) for transfer in list(self._transfers))
+        )
 
     def _retained(self, account: str) -> int:
         return (
@@ -132,17 +134,19 @@
         if tokens <= 0:
             return
         self._ledger.transfer_out(account, tokens)
-        self._gifts.append(Gift(secrets.token_hex(8), account, tokens))
+        self._transfers.append(PendingTransfer(secrets.token_hex(8), account, tokens))
         log_event(
             "leftover tokens sent to the account's home", account=account, tokens=tokens
         )
 
-    async def _send_gift(self, gift: Gift) -> None:
-        self._gifts.remove(gift)
-        recipient = gift.recipient or self._recipient_of(gift)
+    async def _send_transfer(self, transfer: PendingTransfer) -> None:
+        self._transfers.remove(transfer)
+        recipient = transfer.recipient or self._recipient_of(transfer)
         if recipient is None:
             # This router is the home itself, or there is none: spend it here.
-            self._ledger.transfer_in(gift.gift_id, gift.account, gift.tokens)
+            self._ledger.transfer_in(
+                transfer.gift_id, transfer.account, transfer.tokens
+            )
             return
         member = self._members.by_vm.get(recipient.vm)
         if member is None or member.incarnation != recipient.incarnation:
@@ -150,22 +154,23 @@
             # them to another router could count them twice.
             log_event(
                 "leftover tokens lost",
-                account=gift.account,
-                tokens=gift.tokens,
+                account=transfer.account,
+                tokens=transfer.tokens,
                 peer=recipient.vm,
             )
             return
         try:
             await self._peers.ask(
-                recipient.vm, TransferRequest(gift.gift_id, gift.account, gift.tokens)
+                recipient.vm,
+                TransferRequest(transfer.gift_id, transfer.account, transfer.tokens),
             )
         except PeerUnreachable:
             # Safe to retry with the same process: the transfer is idempotent there.
-            self._gifts.append(attrs.evolve(gift, recipient=recipient))
+            self._transfers.append(attrs.evolve(transfer, recipient=recipient))
 
-    def _recipient_of(self, gift: Gift) -> Member | None:
+    def _recipient_of(self, transfer: PendingTransfer) -> Member | None:
         """Return the account's home; None if there is none or it is this router."""
-        homes = self._members.homes(gift.account)
+        homes = self._members.homes(transfer.account)
         if not homes or homes[0] == self._members.own.vm:
             return None
         return self._members.by_vm[homes[0]]
--- a/lynxchute/spending/final_use.py
+++ b/lynxchute/spending/final_use.py
@@ -22,11 +22,11 @@
 
 # Timeout in seconds for messages sent to many routers at once.
 BROADCAST_SECONDS = 0.3
-# Shortest time in milliseconds between the last write of a process that reported its
-# final use and the start of the next one: a stopping router serves for another 2.5 s.
-# A killed process has reported nothing and is mostly restarted sooner, so nobody is
-# asked then: with 194 routers restarting after a loss of power, asking delayed each
-# start by up to `BROADCAST_SECONDS`.
+# Minimum milliseconds between the previous process's last write and the start of this
+# one for which other routers are asked. A router that reports its final use serves for
+# another 2.5 s after its last write. A killed process reports nothing and is mostly
+# restarted sooner, so asking would only delay the start: by up to `BROADCAST_SECONDS`
+# each with 194 routers restarting after a loss of power.
 MIN_SILENCE_MS = 2_500
 # Number of routers that are asked in the own data centre and in each other one. All
 # routers were sent the final use, and a third of them may have restarted since.
@@ -37,9 +37,9 @@
 class FinalUseExchange:
     """Exchange the final use of stopped routers between routers.
 
-    A router that stops while it is cut off from the store cannot record what
-    it has used there; without this exchange, its next process would have to
-    count as used all that its limit lines allowed meanwhile.
+    A router that stops while it is cut off from the store cannot record its use
+    there. Without this exchange, its next process would have to count as used
+    all that its limit lines allowed in the meantime.
 
     Parameters
     ----------
@@ -97,7 +97,7 @@
 
         This includes other data centres, because routers of this one often stop next
         or are cut off together with it, and routers that did not answer recently,
-        because a network cut may have just ended.
+        because a network partition may have just ended.
         """
         own = self._members.own
         return [vm for vm in self._members.by_vm if vm != own.vm]
--- a/lynxchute/spending/keeper.py
+++ b/lynxchute/spending/keeper.py
@@ -16,10 +16,11 @@
 from lynxchute.store import Outcome, OutcomeUnknown, Store, StoreUnavailable
 from lynxchute.telemetry import log_event
 
-# Seconds until use is written when no request waits for it, and the longest time
-# between two writes of a router that holds unused tokens. Both bound what a crash
-# loses, to a small fraction of a percent of what the router serves.
+# Seconds until use is written if no request waits for the write.
 REFRESH_SECONDS = 0.5
+# Maximum seconds between two writes of a router that holds unused tokens. Together with
+# REFRESH_SECONDS it limits the tokens lost in a crash to a small fraction of a percent
+# of what the router serves.
 IDLE_SECONDS = 1.0
 # Seconds until the next attempt after the store did not answer.
 RETRY_SECONDS = 0.2
@@ -135,9 +136,12 @@
         self._is_refresh_due = True
 
     async def release(self, account: str, needed: int, wanted: int) -> int:
-        """Return tokens to the store for another router; return how many.
+        """Release tokens to the store for another router.
 
-        0 if the store has not confirmed all of them in time.
+        Returns
+        -------
+        int
+            The tokens released; 0 unless the store confirmed all of them in time.
         """
         until = steady_seconds() + RELEASE_SECONDS
         release = self.ledger.release(
@@ -150,7 +154,7 @@
             return 0
         while release.left:
             if not await self._wait_for_outcome(until) or not self.store_answers:
-                # It is unknown whether the store has or will get the tokens.
+                # The store may have applied the release, or may still apply it.
                 self.ledger.cancel_release(account, release)
                 return 0
         return release.tokens
@@ -195,7 +199,7 @@
         finally:
             share.waiting -= tokens
 
-    async def wait_until_line_covers(
+    async def wait_for_limit_line(
         self, account: str, tokens: int, until: float
     ) -> None:
         """Wait until the limit line covers tokens of the current grant."""
@@ -235,7 +239,11 @@
         await asyncio.sleep(max(min(self._grant_backoff.until, until) - now, 0.0))
 
     def is_out_of_reach(self, account: str, tokens: int) -> bool:
-        """Return whether grant and free budget together are less than the tokens."""
+        """Return whether too few tokens are left for a request.
+
+        That is so if the unused grant and the free tokens of the budget together do
+        not cover the tokens.
+        """
         share = self.ledger.share(account)
         return share.headroom + self.ledger.free(account) < tokens
 
@@ -256,6 +264,9 @@
     async def _wait_until_due(self) -> bool:
         """Wait until a write is due: soon after use, or at once on request.
 
+        It is due after IDLE_SECONDS at the latest if tokens are unused or writes have
+        failed.
+
         Returns
         -------
         bool
@@ -382,9 +393,10 @@
     async def _refresh_totals(self) -> bool:
         """Read the budget totals again if needed.
 
-        That is when a request needs more than is known to be free, on request, and
-        after the store did not answer: every write with an unknown outcome restricts
-        the ledger further, so a read checks first that the store is back.
+        They are read when a request needs more tokens than are known to be free, when
+        a read was requested, and after a failure. After a failure the read first checks
+        that the store is back, because each write with an unknown outcome restricts
+        spending further.
 
         Returns
         -------
--- a/lynxchute/spending/lenders.py
+++ b/lynxchute/spending/lenders.py
@@ -15,16 +15,17 @@
 from lynxchute.spending.settlements import SettlementSender
 from lynxchute.telemetry import log_event
 
-# Seconds of its demand that a router borrows in addition, so that not every request
-# has to borrow.
+# A router borrows for this many seconds of its demand in advance, so that not every
+# request needs a loan.
 AHEAD_SECONDS = 2.0
 # Lenders that are asked concurrently. After a crash of all routers, ten or more may
-# hold a piece of one budget, and each takes up to 0.25 s to return it. Asked in turn,
-# only three or four were reached in the time that a request has; of 100 requests
-# refused while unused tokens existed, 78 had not asked every holder.
+# hold tokens of one budget, and each takes up to 0.25 s to release them. When they were
+# asked one after the other, only three or four were reached in the time that a request
+# has, and 78 of 100 requests that were refused although unused tokens existed had not
+# asked every holder.
 LENDERS_AT_ONCE = 6
-# Seconds after which a router has used, or passed on, tokens that it was lent for its
-# local reserve.
+# Seconds after a loan for a local reserve until the borrower is assumed to have used
+# the tokens or sent them on.
 RESERVE_LOAN_SECONDS = 20.0
 # Routers that are asked in turn for tokens for the local reserve.
 MAX_ASKED = 4
@@ -89,10 +90,10 @@
         self._lent_at_by_account.setdefault(account, {})[vm] = steady_seconds()
 
     async def gather(self, account: str, tokens: int, until: float) -> GatherResult:
-        """Ask lenders until enough tokens are lent or free at the store.
+        """Ask lenders until they have lent, or released to the store, enough tokens.
 
-        Lenders return tokens to the store for this router to claim, or lend them
-        directly where that would take too long.
+        Tokens released to the store are for this router to claim. Lenders lend tokens
+        directly where a release would take too long.
 
         Parameters
         ----------
@@ -120,7 +121,7 @@
             )
         return gathered
 
-    async def fill(self, account: str, wanted: int) -> GatherResult:
+    async def borrow_spare(self, account: str, wanted: int) -> GatherResult:
         """Ask lenders for tokens that they can spare; no request is waiting."""
         gathered = GatherResult()
         for vm in self.candidates(account):
@@ -132,7 +133,11 @@
         return gathered
 
     async def borrow_for_reserve(self, account: str, wanted: int) -> GatherResult:
-        """Borrow for the local reserve: first from the home here, then from others."""
+        """Borrow tokens for the local reserve.
+
+        The account's home in this data centre is asked first, then others, until half
+        of the wanted amount is obtained.
+        """
         gathered = GatherResult()
         own = self._members.own.vm
         home = [vm for vm in self._members.homes(account) if vm != own][:1]
@@ -159,15 +164,15 @@
             secrets.token_hex(8), account, needed, wanted, by_store, kept_by
         )
         # Without a reply, the lender may still have made the loan.
-        void_loan = CancelledLoan(loan.loan_id, account)
+        cancelled_loan = CancelledLoan(loan.loan_id, account)
         try:
             reply = await self._peers.ask(vm, loan)
         except PeerUnreachable:
-            self._settlements.queue_void(vm, void_loan)
+            self._settlements.queue_cancellation(vm, cancelled_loan)
             gathered.silent.append(vm)
             return
         except asyncio.CancelledError:
-            self._settlements.queue_void(vm, void_loan)
+            self._settlements.queue_cancellation(vm, cancelled_loan)
             raise
         gathered.answered.append(vm)
         gathered.unused_elsewhere += reply.unused
--- a/lynxchute/spending/reservations.py
+++ b/lynxchute/spending/reservations.py
@@ -51,19 +51,19 @@
 LEND_COVER_SECONDS = 0.1
 # Random bytes that distinguish reservations of requests that share an id.
 NONCE_BYTES = 4
-# Seconds, including the time spent on asking lenders, that a request waits in an
-# outage until the limit line at the account's home has grown enough: less than the
-# router that sent the request waits for a reply, and a third of what most callers
-# allow for the first event. In a minute with two outages it serves 2 to 11 of 1,700 to
-# 2,900 requests that would otherwise be refused.
+# Maximum seconds from its arrival at the account's home that a request waits in an
+# outage for the limit line there to grow, including the time spent on asking lenders.
+# It is less than the time that the sending router waits for a reply, and a third of
+# what most callers allow for the first event. In a minute with two outages it serves 2
+# to 11 of 1,700 to 2,900 requests that would otherwise be refused.
 LINE_SECONDS = 0.42
 # Seconds by which a limit line may lag behind its predicted growth, because only a
 # lower bound of the store's clock is known.
 LINE_MARGIN_SECONDS = 0.005
-# Event loop iterations needed to notice that the caller has closed its connection: one
-# reads the close, one cancels the request. A reservation that never waits would
-# otherwise let the request be sent before that.
-TURNS_FOR_CLOSE = 2
+# Event loop iterations after which a closed caller connection has been noticed: one
+# reads the close, one cancels the request. Without them, a request that need not wait
+# for tokens would be sent for a caller that has gone.
+LOOP_ITERATIONS_FOR_CLOSE = 2
 # Homes that are tried in turn for one request.
 MAX_HOMES = 3
 
@@ -125,7 +125,7 @@
         server.handlers_by_class[ReserveRequest] = self._handle_reserve
         server.handlers_by_class[SettleRequest] = self._handle_settle
         server.handlers_by_class[LendRequest] = self._handle_lend
-        server.handlers_by_class[TransferRequest] = self._handle_give
+        server.handlers_by_class[TransferRequest] = self._handle_transfer
         server.handlers_by_class[PingRequest] = self._handle_ping
 
     async def reserve(
@@ -141,7 +141,7 @@
             If tokens may exist but cannot be obtained now.
         """
         if self._local_reserve is not None:
-            for _ in range(TURNS_FOR_CLOSE):
+            for _ in range(LOOP_ITERATIONS_FOR_CLOSE):
                 await asyncio.sleep(0)
         own = self._members.own.vm
         tried = []
@@ -313,7 +313,7 @@
         if not released:
             if request.needed and self._ledger_sync.store_answers:
                 until = steady_seconds() + LEND_COVER_SECONDS
-                await self._ledger_sync.wait_until_line_covers(
+                await self._ledger_sync.wait_for_limit_line(
                     account, request.needed, until
                 )
             lent = self._ledger.lend(
@@ -330,7 +330,7 @@
         self._ledger_sync.record_use()
         return LendReply(lent, released, self._ledger.unused(account))
 
-    async def _handle_give(self, request: TransferRequest) -> Ack:
+    async def _handle_transfer(self, request: TransferRequest) -> Ack:
         self._ledger.transfer_in(request.gift_id, request.account, request.tokens)
         return Ack()
 
--- a/lynxchute/spending/settlements.py
+++ b/lynxchute/spending/settlements.py
@@ -1,4 +1,4 @@
-"""Send settlements and voided loans to the routers that hold the tokens."""
+"""Send settlements and cancelled loans to the routers that hold the tokens."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 # Seconds for which settlements are collected into one batch.
 BATCH_SECONDS = 0.15
-# Settlements, and voided loans, per message.
+# Settlements, and cancelled loans, per message.
 MAX_BATCH = 200
-# Seconds after which the messages for an unreachable router are dropped; it then
-# counts the reservations as fully used.
+# Seconds after which the messages for an unreachable router are dropped. That router
+# then keeps counting the reservations as used in full.
 GIVE_UP_SECONDS = 30.0
 
 
@@ -27,17 +27,17 @@
     """Messages waiting for one router, and since when it has been unreachable."""
 
     settlements: list[Settlement] = attrs.Factory(list)
-    void_loans: list[CancelledLoan] = attrs.Factory(list)
+    cancelled_loans: list[CancelledLoan] = attrs.Factory(list)
     unreachable_since: float | None = None
 
     @property
     def is_empty(self) -> bool:
         """Return whether no messages are waiting."""
-        return not self.settlements and not self.void_loans
+        return not self.settlements and not self.cancelled_loans
 
 
 class SettlementSender(BackgroundTask):
-    """Collect settlements and voided loans and send them in batches.
+    """Collect settlements and cancelled loans and send them in batches.
 
     Parameters
     ----------
@@ -64,10 +64,10 @@
         outbox.settlements.append(settlement)
         self._has_messages.set()
 
-    def queue_void(self, lender: str, loan: CancelledLoan) -> None:
+    def queue_cancellation(self, lender: str, loan: CancelledLoan) -> None:
         """Queue the cancellation of a loan whose reply did not arrive."""
         outbox = self._outbox_by_vm.setdefault(lender, _Outbox())
-        outbox.void_loans.append(loan)
+        outbox.cancelled_loans.append(loan)
         self._has_messages.set()
 
     async def flush(self) -> None:
@@ -86,7 +86,7 @@
     async def _send(self, vm: str) -> None:
         outbox = self._outbox_by_vm[vm]
         batch = outbox.settlements[:MAX_BATCH]
-        loans = outbox.void_loans[:MAX_BATCH]
+        loans = outbox.cancelled_loans[:MAX_BATCH]
         try:
             await self._peers.ask(vm, SettleRequest(tuple(batch), tuple(loans)))
         except PeerUnreachable as error:
@@ -94,7 +94,7 @@
             return
         outbox.unreachable_since = None
         del outbox.settlements[: len(batch)]
-        del outbox.void_loans[: len(loans)]
+        del outbox.cancelled_loans[: len(loans)]
         if outbox.is_empty:
             self._outbox_by_vm.pop(vm, None)
 
@@ -109,7 +109,7 @@
             "settlements dropped; their reservations stay counted in full",
             holder=vm,
             count=len(outbox.settlements),
-            loans=len(outbox.void_loans),
+            loans=len(outbox.cancelled_loans),
             reason=reason,
         )
         self._outbox_by_vm.pop(vm, None)
--- a/lynxchute/spending/standing.py
+++ b/lynxchute/spending/standing.py
@@ -13,9 +13,10 @@
 from lynxchute.spending.keeper import LedgerSync
 from lynxchute.spending.lenders import Lenders
 
-# Seconds between two checks of the reserves, and until lenders are asked again after
-# they gave less than half of what was requested.
+# Seconds between two checks of the reserves.
 STEP_SECONDS = 1.0
+# Seconds until lenders are asked again after they lent less than half of what was
+# requested.
 RETRY_SECONDS = 1.0
 
 
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -8,7 +8,7 @@
 from lynxchute.fleet.client import Peers, PeerUnreachable
 from lynxchute.fleet.members import Member, Members
 from lynxchute.fleet.messages import Ack
-from lynxchute.spending.balance import Gift, Rebalancer
+from lynxchute.spending.balance import PendingTransfer, Rebalancer
 from tests.support import AsyncTestCase
 
 
@@ -56,28 +56,28 @@
 
     async def send(self, rebalancer, times):
         for _ in range(times):
-            for gift in list(rebalancer._gifts):
-                await rebalancer._send_gift(gift)
+            for transfer in list(rebalancer._transfers):
+                await rebalancer._send_transfer(transfer)
 
     def test_a_gift_is_retried_until_the_same_process_confirms_it(self):
         async def scenario():
             rebalancer = self.rebalancer(lost=2)
-            rebalancer._gifts.append(Gift("g1", self.account, 70))
+            rebalancer._transfers.append(PendingTransfer("g1", self.account, 70))
             await self.send(rebalancer, 4)
             self.assertEqual([("a-2", "g1", 70)] * 3, self.peers.taken)
-            self.assertEqual([], rebalancer._gifts)
+            self.assertEqual([], rebalancer._transfers)
 
         self.run_async(scenario())
 
     def test_a_gift_that_an_ended_process_may_have_is_not_sent_elsewhere(self):
         async def scenario():
             rebalancer = self.rebalancer(lost=1)
-            rebalancer._gifts.append(Gift("g1", self.account, 70))
+            rebalancer._transfers.append(PendingTransfer("g1", self.account, 70))
             await self.send(rebalancer, 1)
             self.members.put(Member("a-2", "a", "run-3", "x:2"))
             await self.send(rebalancer, 2)
             self.assertEqual(1, len(self.peers.taken))
-            self.assertEqual([], rebalancer._gifts)
+            self.assertEqual([], rebalancer._transfers)
             self.assertEqual({}, self.ledger.shares_by_account)
 
         self.run_async(scenario())
@@ -105,7 +105,7 @@
         async def scenario():
             rebalancer = self.rebalancer(lost=0)
             self.members.remove("a-2")
-            rebalancer._gifts.append(Gift("g1", self.account, 70))
+            rebalancer._transfers.append(PendingTransfer("g1", self.account, 70))
             await self.send(rebalancer, 1)
             self.assertEqual(70, self.ledger.share(self.account).borrowed)
 
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -7,7 +7,7 @@
 from lynxchute.fleet.client import PeerUnreachable
 from lynxchute.fleet.members import Member, Members
 from lynxchute.http import HttpClient
-from lynxchute.spending.balance import Gift
+from lynxchute.spending.balance import PendingTransfer
 from lynxchute.spending.settlements import Settlement
 from lynxchute.standins.platform_store import Outage
 from lynxchute.store import Row, RowId
@@ -348,7 +348,9 @@
             deployment.faults("a-1").outage = Outage.SILENT
             router.peers.ask = ask_silent_peer
             router.settlements.add("b-1", Settlement("r1", 10))
-            router.balance._gifts.append(Gift("g1", "kanda", 10, router.members.own))
+            router.balance._transfers.append(
+                PendingTransfer("g1", "kanda", 10, router.members.own)
+            )
             began = asyncio.get_running_loop().time()
             await router.drain()
             took = asyncio.get_running_loop().time() - began
--- a/tests/test_gather.py
+++ b/tests/test_gather.py
@@ -52,7 +52,7 @@
     def __init__(self):
         self.void_loans = []
 
-    def queue_void(self, vm, loan):
+    def queue_cancellation(self, vm, loan):
         self.void_loans.append((vm, loan))
 
 
--- a/tests/test_spending.py
+++ b/tests/test_spending.py
@@ -337,7 +337,7 @@
             self.assertEqual(0, gathered.obtained)
             # The borrower may also be cancelled before the reply arrives.
             home.members.record_success(lender.members.own.vm)
-            asking = asyncio.create_task(budgets.lenders.fill(ACCOUNT, 1_000))
+            asking = asyncio.create_task(budgets.lenders.borrow_spare(ACCOUNT, 1_000))
             await until(lambda: len(lent) == 2)
             asking.cancel()
             self.assertGreater(sum(lent), 0)
