--- a/lynxchute/scheduling/alone.py
+++ b/lynxchute/scheduling/alone.py
@@ -16,7 +16,7 @@
 # sending everything to the same engine, and still avoid busy engines.
 SAMPLE_SIZE = 2
 # Share of an engine's slots that one router may fill without coordination. Other
-# routers may do the same, but a single router may also receive half of all requests.
+# routers may also fill theirs, but one router alone may receive half of all requests.
 LOCAL_SHARE = 0.5
 # Engines whose loads differ by less than this count as equal; their cached prompt parts
 # then decide.
--- a/lynxchute/scheduling/asking.py
+++ b/lynxchute/scheduling/asking.py
@@ -19,7 +19,7 @@
     known_backpressure,
     merge_backpressure,
 )
-from lynxchute.scheduling.news import RunNewsSender
+from lynxchute.scheduling.news import RunUpdateSender
 from lynxchute.scheduling.place_requests import scheduling_key
 from lynxchute.telemetry import log_event
 from lynxchute.upstreams.aims import LatencyTargets
@@ -32,10 +32,10 @@
 # Timeout in seconds of a placement query; a router in the same region answers in a
 # few ms.
 QUERY_TIMEOUT_SECONDS = 0.1
-# Routers queried for a request that has been queued, before this router places it
-# locally: a queued request finds the next scheduling router within 0.3 s. A new request
-# is sent to one router only: it may still be answered on time, and the slow part may be
-# this VM's own link.
+# Routers queried for a request that was queued before, until it is placed locally: a
+# queued request finds the next scheduling router within 0.3 s. For a new request only
+# one router is queried: placed locally at once, it may still be answered on time, and
+# the cause of the delay may be this VM's own link.
 MAX_QUERIED_ROUTERS = 2
 # Seconds for which a query from another router is evidence that this router schedules
 # for others.
@@ -55,12 +55,12 @@
         Returns the engines considered for a request.
     gate
         Decides which upstreams may not receive new requests.
-    news_sender
+    update_sender
         Tells routers which of their placements were not used.
     meter
         Estimates how long messages wait for the VM's network link.
     clock
-        Returns monotonic time in seconds.
+        Returns the time on the steady clock, in seconds.
     may_wait
         Whether requests are queued when all engines are full.
 
@@ -77,7 +77,7 @@
         directory: Directory,
         neighbourhood: Neighbourhood,
         gate: SendGate,
-        news_sender: RunNewsSender,
+        update_sender: RunUpdateSender,
         meter: LinkMeter,
         clock: Callable[[], float],
         *,
@@ -89,7 +89,7 @@
         self._directory = directory
         self._neighbourhood = neighbourhood
         self._gate = gate
-        self._news_sender = news_sender
+        self._update_sender = update_sender
         self._meter = meter
         self._clock = clock
         self._may_wait = may_wait
@@ -153,7 +153,7 @@
         )
 
     def _own_turns(self, service: str, by_id: dict[str, Entry]) -> tuple[str, ...]:
-        """Return the throttled candidates that this router may use by its own quota."""
+        """Return the throttled candidates to which this router may send in its turn."""
         now, found = self._clock(), []
         for entry in self._directory.throttled(service, now):
             upstream_id = entry.upstream.id
@@ -169,13 +169,13 @@
             async with asyncio.timeout(QUERY_TIMEOUT_SECONDS + self._meter.delay()):
                 reply = await self._peers.ask(vm, request)
         except PeerUnreachable:
-            self._news_sender.enqueue(vm, unplaced)
+            self._update_sender.enqueue(vm, unplaced)
             return None
         except asyncio.CancelledError:
-            self._news_sender.enqueue(vm, unplaced)
+            self._update_sender.enqueue(vm, unplaced)
             raise
         except TimeoutError:
-            self._news_sender.enqueue(vm, unplaced)
+            self._update_sender.enqueue(vm, unplaced)
             self._members.record_failure(vm, self._clock())
             log_event("scheduling router too slow", peer=vm, request_id=request.run_id)
             return None
--- a/lynxchute/scheduling/board.py
+++ b/lynxchute/scheduling/board.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from lynxchute.scheduling.caller_weights import CallerWeights
+from lynxchute.scheduling.caller_weights import RequestWeights
 from lynxchute.scheduling.crowding import LoadAdaptiveCost, PlacementCost
 from lynxchute.scheduling.engine_state import EngineState, Run, init_from_others
 from lynxchute.scheduling.newcomer import PendingRequest
@@ -17,9 +17,8 @@
 # Cost of reading a prompt part again, as a multiple of the time that it takes: the time
 # also delays the next requests, and operators pay for it.
 REREAD_WEIGHT = 1.5
-# Cost of fetching a part from another engine in addition to the transfer time, as a
-# share of the time that reading it would take. It costs less than reading but uses the
-# network links.
+# Cost of fetching a part from another engine, beyond the transfer time, as a share of
+# its prefill time: fetching is cheaper than prefill, but uses the network links.
 FETCH_WEIGHT = 0.35
 # Milliseconds until the first byte of a fetch.
 FETCH_SETUP_MS = 6.0
@@ -31,7 +30,8 @@
 # Seconds after its placement until a run is discarded if its end was not reported.
 RUN_TIMEOUT_SECONDS = 20.0
 # Cost in milliseconds of an engine without a free slot or without memory for the
-# request, which would have to wait for another request to end.
+# request, which would have to wait for another request to end, and of an engine that is
+# avoided after a failure.
 FULL_COST_MS = 2_000.0
 # Seconds for which an engine is avoided after a run failed there.
 AVOID_SECONDS = 0.8
@@ -99,7 +99,7 @@
 class EngineBoard:
     """Choose an engine for each generation and track the runs on each engine.
 
-    Times are in seconds on one monotonic clock.
+    Times are in seconds on the steady clock.
 
     Parameters
     ----------
@@ -119,7 +119,7 @@
         self.engines_by_id: dict[str, EngineState] = {}
         self._placement_cost = placement_cost or LoadAdaptiveCost()
         self._service_pauses_by_limit: dict[float, PauseStats] = {}
-        self._caller_weights = CallerWeights()
+        self._request_weights = RequestWeights()
         self.tracks_transients = tracks_transients
 
     def place(
@@ -143,7 +143,7 @@
         skips_full
             Whether engines without a free slot are skipped.
         """
-        request = attrs.evolve(request, weight=self._caller_weights.weight_of(request))
+        request = attrs.evolve(request, weight=self._request_weights.weight_of(request))
         source, source_tokens = self._best_source(request.generation, sources)
         if not fetch_tokens_per_ms:
             source_tokens = 0
@@ -333,10 +333,12 @@
         uncached = max(generation.prompt_tokens - cached - fetched, 0)
         expected_ms = state.expected_ms(uncached, now)
         cost = self._placement_cost.cost_ms(state, request, uncached, expected_ms, now)
-        cost += REREAD_WEIGHT * state.reading.reading_ms(shared - cached - fetched)
+        cost += REREAD_WEIGHT * state.prefill_speed.prefill_ms(
+            shared - cached - fetched
+        )
         if fetched:
             cost += FETCH_SETUP_MS + fetched / fetch_tokens_per_ms
-            cost += FETCH_WEIGHT * state.reading.reading_ms(fetched)
+            cost += FETCH_WEIGHT * state.prefill_speed.prefill_ms(fetched)
         cost += _capacity_cost_ms(candidate, state, request)
         if now < state.avoided_until:
             cost += FULL_COST_MS
@@ -358,13 +360,13 @@
             expected_ms += FETCH_SETUP_MS + option.fetched / fetch_tokens_per_ms
         run = Run(
             uncached=option.uncached,
-            prefill_ms=state.reading.reading_ms(option.uncached),
+            prefill_ms=state.prefill_speed.prefill_ms(option.uncached),
             expected_ms=expected_ms,
             expected_wait_ms=state.backlog_ms(now),
             placed_at=now,
             tokens=generation.max_total_tokens - cached,
             max_pause_ms=request.aims.pause_ms,
-            answer_tokens=request.answer_tokens,
+            output_tokens=request.output_tokens,
             weight=request.weight,
             router=request.router,
             slowness=state.slowness_now(now),
@@ -381,7 +383,8 @@
     candidate: Candidate, state: EngineState, request: PendingRequest
 ) -> float:
     """Return the cost of distance and of missing slots or memory."""
-    # A request that waits for a slot is late, so it counts by its weight like others.
+    # A request that waits for a slot is late, so it counts by its weight, but at least
+    # as much as a request of average size.
     full_cost_ms = FULL_COST_MS * max(request.weight, 1.0)
     cost = REMOTE_COST_MS if candidate.is_far else 0.0
     if len(state.runs_by_id) >= state.slots:
--- a/lynxchute/scheduling/caller_weights.py
+++ b/lynxchute/scheduling/caller_weights.py
@@ -11,7 +11,7 @@
 
 
 @attrs.define
-class CallerWeights:
+class RequestWeights:
     """Weigh requests by billed tokens, relative to a moving average.
 
     With equal weights, requests on engines that read long prompts become late, and the
--- a/lynxchute/scheduling/cold_placements.py
+++ b/lynxchute/scheduling/cold_placements.py
@@ -18,9 +18,9 @@
 
     Placements at warm upstreams count as well, because an upstream may become cold
     afterwards and the notification takes up to two seconds. A warm upstream that has
-    reached the limit within the last second is skipped while another one is below it.
-    If there is no other one, warm upstreams are used regardless: they are most likely
-    still warm, and refusing would be worse.
+    reached the limit within the last second is skipped as long as another one is below
+    it. Otherwise warm upstreams are used all the same: they are most likely still warm,
+    and a refusal would be worse.
 
     Parameters
     ----------
--- a/lynxchute/scheduling/cold_watch.py
+++ b/lynxchute/scheduling/cold_watch.py
@@ -21,7 +21,7 @@
 
 
 class ColdProber:
-    """Probe the engines that this router schedules during an outage of the store.
+    """During an outage of the store, probe the engines that this router schedules.
 
     An engine may become cold at any time, and normally its entry in the store shows it.
     While the store is unavailable, only the engine itself can report it. Nearly all
@@ -40,7 +40,7 @@
     silent_for
         Returns the seconds since the store last listed the upstreams.
     clock
-        Returns monotonic time in seconds.
+        Returns the time on the steady clock, in seconds.
     """
 
     def __init__(
@@ -71,14 +71,14 @@
         if not self._is_store_silent():
             return
         now = self._clock()
-        entries = self._probed_entries()
+        entries = self._entries_to_probe()
         interval = len(entries) / MAX_PROBES_PER_SECOND
         for entry in entries:
             if now - entry.probed_at >= interval:
                 entry.probed_at = now
                 self.tasks.spawn(self._probe(entry))
 
-    def _probed_entries(self) -> list[Entry]:
+    def _entries_to_probe(self) -> list[Entry]:
         """Return the engines to probe: scheduled here, with a limit while cold."""
         is_probed_by_service: dict[str, bool] = {}
         found = []
--- a/lynxchute/scheduling/crowding.py
+++ b/lynxchute/scheduling/crowding.py
@@ -11,14 +11,15 @@
 # Cost in milliseconds for each running request: one more request slows all of them a
 # little.
 RUNNING_COST_MS = 2.0
-# Cost in milliseconds for each running stream if PAUSE_TOKENS prompt tokens have to be
-# read: its events pause meanwhile, and the maximum allowed pause is about the time that
-# three chunks of a prompt take.
+# Cost in milliseconds for each running stream of a prompt with PAUSE_TOKENS uncached
+# tokens; it is proportional to the tokens, up to twice as many. The stream's events
+# pause during the prefill, and three chunks of a prompt take about the maximum allowed
+# pause.
 PAUSE_COST_MS = 60.0
 PAUSE_TOKENS = 12_000
 # The expected latency of a first event counts up to this multiple of its objective.
-# Beyond it the request is late in any case; sending it to the engine that starts sooner
-# would make that engine read prompt parts again that another one has cached, which
+# Beyond it the request is late in any case. Choosing the engine that starts sooner
+# would only make it read prompt parts again that the slower one has cached, which
 # delays all requests there. On six engines at 1.6 times a heavy load, answers on time
 # had 0.62 of the possible value without this limit, 0.86 with 1.5, 0.84 with 1 and 0.76
 # with 3 (eight emulated traces of a minute); at 1.25 times that load 0.961 without it
@@ -113,7 +114,10 @@
         expected_ms: float,
         now: float,
     ) -> float:
-        """Return the expected number of late requests, times `LATE_COST_MS`."""
+        """Return the expected number of late requests, times `LATE_COST_MS`.
+
+        Small costs for each running request and for the expected latency are added.
+        """
         late = late_probability(expected_ms, request.aims.first_event_ms)
         late += (1.0 - late) * state.pause_probability(request, now)
         late *= request.weight
@@ -129,9 +133,9 @@
         )
 
 
-# Share of recent requests with a late first event above which engines count as
-# overloaded. Protecting streams then costs more prompt reading than it saves, and all
-# requests become later.
+# Mean probability of a late first event, over recent placements, above which engines
+# count as overloaded. It is estimated when a request is placed. Protecting streams then
+# costs more prompt reading than it saves, and all requests become later.
 OVERLOAD_LATE_SHARE = 0.05
 # Weight of the latest placement in the moving average of that share, which covers some
 # seconds of traffic.
@@ -142,8 +146,8 @@
     """Use `ExpectedLateCost`, or `CappedLatenessCost` while engines are overloaded.
 
     At 1.6 times the load that six engines can read on time, 0.38 of the requests were
-    on time with `ExpectedLateCost` and 0.49 with the fixed cost, which sends prompts to
-    engines that have their parts cached.
+    on time with `ExpectedLateCost` and 0.49 with `CappedLatenessCost`, which sends
+    prompts to engines that have their parts cached.
     """
 
     def __init__(self) -> None:
@@ -169,7 +173,7 @@
         return chosen.cost_ms(state, request, uncached, expected_ms, now)
 
     def record_placement(self, request: PendingRequest, expected_ms: float) -> None:
-        """Update the share of late requests."""
+        """Update the mean probability of a late first event."""
         late = late_probability(expected_ms, request.aims.first_event_ms)
         self._late_share += OVERLOAD_SAMPLE_WEIGHT * (late - self._late_share)
 
--- a/lynxchute/scheduling/engine_state.py
+++ b/lynxchute/scheduling/engine_state.py
@@ -11,24 +11,24 @@
 from lynxchute.scheduling.newcomer import PendingRequest
 from lynxchute.scheduling.pauses import PauseStats
 from lynxchute.scheduling.prefix_cache import PrefixCache
-from lynxchute.scheduling.reading_speed import ReadingSpeed
+from lynxchute.scheduling.reading_speed import PrefillSpeed
 from lynxchute.scheduling.readings import PauseTracker
 
-# The reading speed is measured only with prompts expected to wait no longer than this
+# The prefill speed is measured only with prompts expected to wait no longer than this
 # behind others, in milliseconds.
 MAX_UNQUEUED_WAIT_MS = 1.0
-# First events with a shorter expected reading time, in milliseconds, are no samples for
+# First events with a shorter expected prefill time, in milliseconds, are no samples for
 # the slowness of an engine.
 MIN_INFORMATIVE_MS = 60.0
-# Maximum milliseconds by which an overdue run extends the backlog. A run without any
-# news may never have been sent, and a stopped engine is detected by its silence before
-# that.
+# Maximum milliseconds by which an overdue run extends the backlog. An overdue run may
+# never have been sent, and an engine that has stopped is detected sooner by its
+# silence.
 MAX_OVERDUE_MS = 1_500.0
 # A run overdue by this many milliseconds when a later one begins is no longer counted
 # as waiting.
 OVERTAKEN_MS = 500.0
 # Weight of the latest first event in the slowness of an engine, the ratio of actual to
-# expected reading time, and the limits of that ratio.
+# expected prefill time, and the limits of that ratio.
 SLOWNESS_WEIGHT = 0.25
 MIN_SLOWNESS = 0.5
 MAX_SLOWNESS = 8.0
@@ -61,7 +61,7 @@
         Memory that it occupies at the engine, in tokens.
     max_pause_ms
         Maximum pause between two events that counts as on time, in milliseconds.
-    answer_tokens
+    output_tokens
         Expected number of tokens of its answer.
     weight
         Its weight relative to other requests.
@@ -86,7 +86,7 @@
     placed_at: float
     tokens: int
     max_pause_ms: float = math.inf
-    answer_tokens: int = 0
+    output_tokens: int = 0
     weight: float = 1.0
     router: str = ""
     slowness: float = 1.0
@@ -115,10 +115,10 @@
         Tokens that its memory holds.
     service_pauses
         Returns the pause statistics of all engines of the service for a pause limit.
-    reading
+    prefill_speed
         How fast it reads prompts.
     slowness, slowness_at
-        Ratio of actual to expected reading time as of the latest first event, and the
+        Ratio of actual to expected prefill time as of the latest first event, and the
         time of that event in seconds.
     baseline_slowness
         Long-term average of that ratio.
@@ -140,7 +140,7 @@
     capacity: int
     cache: PrefixCache
     service_pauses: Callable[[float], PauseStats]
-    reading: ReadingSpeed = attrs.Factory(ReadingSpeed)
+    prefill_speed: PrefillSpeed = attrs.Factory(PrefillSpeed)
     slowness: float = 1.0
     slowness_at: float = 0.0
     baseline_slowness: float = 1.0
@@ -155,7 +155,7 @@
     _first_event_count: int = 0
 
     def slowness_now(self, now: float) -> float:
-        """Return the current ratio of actual to expected reading time."""
+        """Return the current ratio of actual to expected prefill time."""
         if not self.tracks_transients:
             return self.slowness
         passed = max(now - self.slowness_at, 0.0)
@@ -174,7 +174,7 @@
         tracker = self._trackers_by_limit.get(limit_ms)
         if tracker is None:
             tracker = PauseTracker(
-                self.service_pauses(limit_ms), self.reading, limit_ms
+                self.service_pauses(limit_ms), self.prefill_speed, limit_ms
             )
             self._trackers_by_limit[limit_ms] = tracker
         return tracker
@@ -197,20 +197,20 @@
         if math.isinf(request.aims.pause_ms):
             return 0.0
         pause_rate = self.pause_tracker(request.aims.pause_ms).pause_rate(now)
-        seconds = request.answer_tokens * self.seconds_per_token
+        seconds = request.output_tokens * self.seconds_per_token
         return 1.0 - math.exp(-pause_rate * seconds)
 
     def waiting_tokens(self, now: float) -> float:
         """Return the estimated prompt tokens still to be read."""
         left_ms = max(self.read_until - now, 0.0) * 1000.0
-        return left_ms * self.reading.tokens_per_ms / self.slowness_now(now)
+        return left_ms * self.prefill_speed.tokens_per_ms / self.slowness_now(now)
 
     def add_prompt(self, tokens: int, now: float) -> None:
         """Record a prompt sent to the engine, with its uncached tokens."""
         waiting = self.waiting_tokens(now)
-        reading_ms = self.reading.reading_ms(waiting + tokens)
-        reading_ms *= self.slowness_now(now)
-        self.read_until = now + reading_ms / 1000.0
+        prefill_ms = self.prefill_speed.prefill_ms(waiting + tokens)
+        prefill_ms *= self.slowness_now(now)
+        self.read_until = now + prefill_ms / 1000.0
         streams_by_limit: dict[float, list[str]] = {}
         for run_id, run in self.runs_by_id.items():
             if run.is_streaming and not run.has_paused:
@@ -229,9 +229,9 @@
 
     def record_answer_end(self, run: Run, now: float) -> None:
         """Update the seconds per token from a run that has ended."""
-        if not run.is_streaming or not run.answer_tokens:
+        if not run.is_streaming or not run.output_tokens:
             return
-        observed = (now - run.first_event_at) / run.answer_tokens
+        observed = (now - run.first_event_at) / run.output_tokens
         self._answer_count += 1
         weight = self._sample_weight(SECONDS_PER_TOKEN_WEIGHT, self._answer_count)
         self.seconds_per_token += weight * (observed - self.seconds_per_token)
@@ -242,9 +242,9 @@
         if not waiting:
             return 0.0
         head = waiting[0]
-        reading_ms = (now - max(head.placed_at, self.last_first_event_at)) * 1000.0
+        prefill_ms = (now - max(head.placed_at, self.last_first_event_at)) * 1000.0
         backlog = sum(run.prefill_ms for run in waiting)
-        backlog -= min(reading_ms, head.prefill_ms)
+        backlog -= min(prefill_ms, head.prefill_ms)
         overdue_ms = min(head.overdue_ms(now), MAX_OVERDUE_MS)
         return backlog * self.slowness_now(now) + overdue_ms
 
@@ -282,21 +282,21 @@
         uncached
             Tokens of the prompt that are not cached.
         """
-        own_ms = self.reading.reading_ms(uncached) * self.slowness_now(now)
-        return self.backlog_ms(now) + own_ms + self.reading.first_event_ms
+        own_ms = self.prefill_speed.prefill_ms(uncached) * self.slowness_now(now)
+        return self.backlog_ms(now) + own_ms + self.prefill_speed.first_event_ms
 
     def _update_speed(self, run: Run, took_ms: float) -> None:
-        """Update the reading speed if the prompt did not wait behind others."""
+        """Update the prefill speed if the prompt did not wait behind others."""
         if run.expected_wait_ms <= MAX_UNQUEUED_WAIT_MS:
-            self.reading.record_prompt(run.uncached, took_ms)
+            self.prefill_speed.record_prompt(run.uncached, took_ms)
 
     def _update_slowness(self, run: Run, took_ms: float, now: float) -> None:
         """Update the slowness and its baseline from the latency of a first event."""
-        first_event_ms = self.reading.first_event_ms
-        reading_ms = run.expected_ms - first_event_ms
-        if reading_ms < MIN_INFORMATIVE_MS:
+        first_event_ms = self.prefill_speed.first_event_ms
+        prefill_ms = run.expected_ms - first_event_ms
+        if prefill_ms < MIN_INFORMATIVE_MS:
             return
-        ratio = max(took_ms - first_event_ms, 0.0) / reading_ms
+        ratio = max(took_ms - first_event_ms, 0.0) / prefill_ms
         before = run.slowness if self.tracks_transients else self.slowness
         observed = min(max(before * ratio, MIN_SLOWNESS), MAX_SLOWNESS)
         current = self.slowness_now(now)
@@ -313,10 +313,10 @@
 
 def init_from_others(state: EngineState, others: Iterable[EngineState]) -> None:
     """Start the speeds of a new engine at the medians of the known engines."""
-    known = [other for other in others if other.reading.is_known]
+    known = [other for other in others if other.prefill_speed.is_known]
     if not known:
         return
-    speeds = [other.reading.tokens_per_ms for other in known]
-    state.reading.tokens_per_ms = statistics.median(speeds)
+    speeds = [other.prefill_speed.tokens_per_ms for other in known]
+    state.prefill_speed.tokens_per_ms = statistics.median(speeds)
     seconds = [other.seconds_per_token for other in known]
     state.seconds_per_token = statistics.median(seconds)
--- a/lynxchute/scheduling/newcomer.py
+++ b/lynxchute/scheduling/newcomer.py
@@ -29,7 +29,7 @@
     weight: float = 1.0
 
     @property
-    def answer_tokens(self) -> int:
+    def output_tokens(self) -> int:
         """Return the expected number of tokens of the answer.
 
         This is half of the maximum if the caller gives no estimate.
--- a/lynxchute/scheduling/pauses.py
+++ b/lynxchute/scheduling/pauses.py
@@ -6,16 +6,16 @@
 
 import attrs
 
-# Reading times, as multiples of the maximum allowed pause, for which the share of
-# streams that pause is stored; values between them are interpolated.
+# Points at which the share of pausing streams is stored: prefill time divided by the
+# maximum allowed pause. Values between them are interpolated.
 LENGTH_POINTS = (0.25, 0.5, 0.75, 1.0, 1.5, 2.0, 3.0, 4.0, 6.0, 8.0)
-# Initial assumption until there are samples: no stream pauses too long during a reading
-# up to HARMLESS_LENGTH, because a pause is hardly longer than the reading, and every
-# stream does from HARMFUL_LENGTH on. Between them only some do, because an engine
-# continues its streams between two chunks of a prompt. With 300 ms allowed and engines
-# that read 13 to 20 tokens per ms, half of the prompts during which a stream paused too
-# long had more than 22,400 tokens and one in ten fewer than 11,100; of the other
-# prompts, nine in ten had fewer than 11,100.
+# Assumed until there are samples: no stream pauses too long during a prefill up to
+# HARMLESS_LENGTH, because a pause is hardly longer than the prefill, and every stream
+# does from HARMFUL_LENGTH on. The share rises linearly between them: an engine
+# continues its streams between two chunks of a prompt, so only some of them pause too
+# long. With 300 ms allowed and engines that read 13 to 20 tokens per ms, half of the
+# prompts during which a stream paused too long had more than 22,400 tokens and one in
+# ten fewer than 11,100; of the other prompts, nine in ten had fewer than 11,100.
 HARMLESS_LENGTH = 0.9
 HARMFUL_LENGTH = 3.0
 # Weight of the prior, from other engines or the initial assumption, as a number of
@@ -35,9 +35,9 @@
 
 @attrs.define
 class PauseStats:
-    """The share of streams that pause too long during a reading, by its length.
+    """The share of streams that pause too long during a prefill, by its length.
 
-    Lengths are reading times as multiples of the maximum allowed pause.
+    Lengths are prefill times as multiples of the maximum allowed pause.
 
     Attributes
     ----------
@@ -60,7 +60,7 @@
     _streams: list[float] = attrs.Factory(lambda: [0.0] * len(LENGTH_POINTS))
 
     def record_stream(self, length: float, *, paused: bool) -> None:
-        """Record whether a stream paused during a reading of a length."""
+        """Record whether a stream paused during a prefill of a length."""
         for index, weight in _interpolation_weights(length):
             decay = 1.0 - weight / MEMORY_STREAMS
             self._streams[index] = self._streams[index] * decay + weight
@@ -71,7 +71,7 @@
             self.prior.record_stream(length, paused=paused)
 
     def share(self, length: float) -> float:
-        """Return the share of streams that pause during a reading of a length."""
+        """Return the share of streams that pause during a prefill of a length."""
         if length <= 0:
             return 0.0
         total = 0.0
--- a/lynxchute/scheduling/place_requests.py
+++ b/lynxchute/scheduling/place_requests.py
@@ -1,4 +1,4 @@
-"""Conversion of placement queries between routers."""
+"""Convert placement queries, and name the key of a service's scheduling router."""
 
 from __future__ import annotations
 
--- a/lynxchute/scheduling/placing.py
+++ b/lynxchute/scheduling/placing.py
@@ -28,14 +28,14 @@
 
 
 @attrs.frozen
-class _SearchResult:
+class _PlacementAttempt:
     """The reply of a search for an engine, and whether all engines were full."""
 
     reply: PlacementReply
     is_full: bool = False
 
 
-class EnginePlacing:
+class EnginePlacer:
     """Place generations by the load that this router knows of.
 
     Parameters
@@ -54,7 +54,7 @@
         Admission queue for requests that find all engines full; None if requests
         are not queued.
     clock
-        Returns monotonic time in seconds.
+        Returns the time on the steady clock, in seconds.
     """
 
     def __init__(
@@ -164,7 +164,7 @@
 
     def _search(
         self, request: PlacementRequest, entries: Iterable[Entry], *, skips_full: bool
-    ) -> _SearchResult:
+    ) -> _PlacementAttempt:
         now = self._clock()
         pending = pending_request(request)
         traits = self._traits_of(request.service)
@@ -188,7 +188,7 @@
         if place.upstream_id:
             entry = by_id[place.upstream_id]
             is_counted = self._cold_limiter.record_placement(entry, now)
-            # A router's own quota is lost if unused, so fleet-wide permits are kept for
+            # A router's own turn is lost if unused, so fleet-wide permits are kept for
             # routers without one.
             if place.upstream_id not in request.own_turns:
                 is_admitted = self._gate.rates.admit(entry, now)
@@ -200,7 +200,7 @@
             is_admitted,
             known_backpressure(self._directory, request.service, now),
         )
-        return _SearchResult(reply, place.is_full)
+        return _PlacementAttempt(reply, place.is_full)
 
     def _within_rate(
         self, request: PlacementRequest, entries: Iterable[Entry]
--- a/lynxchute/scheduling/rate_permits.py
+++ b/lynxchute/scheduling/rate_permits.py
@@ -45,9 +45,10 @@
     directory
         The upstreams.
     rates
-        Quotas of this router, and permits that it may issue.
+        Decides whether this router may send in its turn, and which permits it may
+        issue.
     clock
-        Returns monotonic time in seconds.
+        Returns the time on the steady clock, in seconds.
     """
 
     def __init__(
@@ -69,7 +70,7 @@
         """Register the handler for permit queries of other routers."""
         server.handlers_by_class[PermitRequest] = self._handle_request
 
-    async def ask(self, entry: Entry) -> float:
+    async def request_permit(self, entry: Entry) -> float:
         """Request a permit for one request.
 
         Returns
@@ -81,7 +82,7 @@
         process = entry.upstream.process
         if asked_at < self._retry_at_by_process.get(process, 0.0):
             return 0.0
-        reply = await self._request_permit(entry)
+        reply = await self._query_permit(entry)
         if reply.is_admitted:
             return asked_at + PERMIT_SECONDS
         retry_after = min(max(reply.again_s, MIN_RETRY_SECONDS), MAX_RETRY_SECONDS)
@@ -97,7 +98,7 @@
             if retry_at <= now:
                 del self._retry_at_by_process[process]
 
-    async def _request_permit(self, entry: Entry) -> PermitReply:
+    async def _query_permit(self, entry: Entry) -> PermitReply:
         service = entry.upstream.service
         vm = self._members.owner_of(scheduling_key(service))
         if vm == self._members.own.vm:
--- a/lynxchute/scheduling/reading_speed.py
+++ b/lynxchute/scheduling/reading_speed.py
@@ -21,8 +21,8 @@
 
 
 @attrs.define
-class ReadingSpeed:
-    """The effective reading speed of an engine, in prompt tokens per millisecond.
+class PrefillSpeed:
+    """The effective prefill speed of an engine, in prompt tokens per millisecond.
 
     It is measured with long prompts and includes everything that slows them down: steps
     of other streams between two chunks, and positions far into a prompt, which take
@@ -30,7 +30,7 @@
 
     Examples
     --------
-    >>> speed = ReadingSpeed()
+    >>> speed = PrefillSpeed()
     >>> for _ in range(60):
     ...     speed.record_prompt(4_000, 35.0 + 4_000 / 20.0)
     >>> round(speed.tokens_per_ms)
@@ -48,14 +48,14 @@
 
     def record_prompt(self, tokens: float, took_ms: float) -> None:
         """Record a first event that did not wait behind other prompts."""
-        reading_ms = took_ms - self.first_event_ms
-        if tokens < MIN_SAMPLE_TOKENS or reading_ms <= 0:
+        prefill_ms = took_ms - self.first_event_ms
+        if tokens < MIN_SAMPLE_TOKENS or prefill_ms <= 0:
             return
-        observed = min(max(tokens / reading_ms, MIN_TOKENS_PER_MS), MAX_TOKENS_PER_MS)
+        observed = min(max(tokens / prefill_ms, MIN_TOKENS_PER_MS), MAX_TOKENS_PER_MS)
         self._samples += 1
         weight = max(SAMPLE_WEIGHT, 1.0 / (self._samples + 1))
         self.tokens_per_ms += weight * (observed - self.tokens_per_ms)
 
-    def reading_ms(self, tokens: float) -> float:
-        """Return the time for reading a prompt, in milliseconds."""
+    def prefill_ms(self, tokens: float) -> float:
+        """Return the time for the prefill of a prompt, in milliseconds."""
         return max(tokens, 0.0) / self.tokens_per_ms
--- a/lynxchute/scheduling/readings.py
+++ b/lynxchute/scheduling/readings.py
@@ -1,4 +1,4 @@
-"""Recent prompt readings of an engine, and the pauses of concurrent streams."""
+"""Recent prefills of an engine, and the pauses of concurrent streams."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 import attrs
 
 from lynxchute.scheduling.pauses import PauseStats
-from lynxchute.scheduling.reading_speed import ReadingSpeed
+from lynxchute.scheduling.reading_speed import PrefillSpeed
 
-# Seconds after a reading until all pauses that it caused have been reported: the time
+# Seconds after a prefill until all pauses that it caused have been reported: the time
 # for a delayed event and for the report.
 SETTLE_SECONDS = 0.6
-# Maximum number of stored readings; some seconds at the highest rates.
-MAX_READINGS = 100
-# Time constant in seconds with which readings decay in the pause rate: long enough to
-# include some long prompts on one of six engines that get eight a second, short enough
-# to follow a burst.
+# Maximum number of stored prefills; some seconds at the highest rates.
+MAX_PREFILLS = 100
+# Time constant in seconds with which prefills decay in the pause rate: long enough to
+# include several long prompts of an engine when six engines get eight of them a second,
+# short enough to follow a burst.
 RATE_WINDOW_SECONDS = 8.0
 # Seconds for which a computed pause rate is cached.
 RATE_CACHE_SECONDS = 0.25
 
 
 @attrs.define(eq=False)
-class Reading:
-    """A prompt that an engine reads, and the streams that run meanwhile.
+class PrefillRecord:
+    """The prefill of a prompt at an engine, and the streams that run meanwhile.
 
     Attributes
     ----------
@@ -35,7 +35,7 @@
     queued_tokens, tokens
         Tokens to be read before it, and its own.
     length
-        Its reading time as a multiple of the pause limit.
+        Its prefill time as a multiple of the pause limit.
     share
         Estimated share of the concurrent streams that pause too long because of it.
     done_at
@@ -61,17 +61,17 @@
     prior
         Statistics of all engines of the service.
     speed
-        The reading speed of the engine.
+        The prefill speed of the engine.
     limit_ms
         Maximum pause that counts as on time, in milliseconds.
     """
 
-    def __init__(self, prior: PauseStats, speed: ReadingSpeed, limit_ms: float) -> None:
+    def __init__(self, prior: PauseStats, speed: PrefillSpeed, limit_ms: float) -> None:
         self.stats = PauseStats(prior)
         self._speed = speed
         self._limit_ms = limit_ms
-        self._unsettled: deque[Reading] = deque(maxlen=MAX_READINGS)
-        self._recent: deque[Reading] = deque(maxlen=MAX_READINGS)
+        self._unsettled: deque[PrefillRecord] = deque(maxlen=MAX_PREFILLS)
+        self._recent: deque[PrefillRecord] = deque(maxlen=MAX_PREFILLS)
         self._pause_rate = 0.0
         self._pause_rate_at = -RATE_CACHE_SECONDS
 
@@ -91,13 +91,13 @@
         return max(after - before, 0.0)
 
     def pause_rate(self, now: float) -> float:
-        """Return the rate of too long pauses of one stream, in pauses per second."""
+        """Return the rate of pauses of a stream that are too long, per second."""
         if now - self._pause_rate_at < RATE_CACHE_SECONDS:
             return self._pause_rate
         weight = 0.0
-        for reading in self._recent:
-            share = reading.share
-            weight += share * math.exp((reading.sent_at - now) / RATE_WINDOW_SECONDS)
+        for prefill in self._recent:
+            share = prefill.share
+            weight += share * math.exp((prefill.sent_at - now) / RATE_WINDOW_SECONDS)
         self._pause_rate, self._pause_rate_at = weight / RATE_WINDOW_SECONDS, now
         return self._pause_rate
 
@@ -114,20 +114,20 @@
             Ids of the concurrent runs that have not paused for too long yet.
         """
         self._settle(now)
-        done_at = now + self._speed.reading_ms(queued_tokens + tokens) / 1000.0
+        done_at = now + self._speed.prefill_ms(queued_tokens + tokens) / 1000.0
         concurrent = dict.fromkeys(streams, False)
         share = self.added_pause_share(queued_tokens, tokens)
-        reading = Reading(
+        prefill = PrefillRecord(
             now, queued_tokens, tokens, self._length(tokens), share, done_at, concurrent
         )
-        self._unsettled.append(reading)
-        self._recent.append(reading)
+        self._unsettled.append(prefill)
+        self._recent.append(prefill)
 
     def record_first_event(self, stream: str, now: float) -> None:
-        """Record the first event of a run: it is concurrent with current readings."""
-        for reading in self._unsettled:
-            if now < reading.done_at:
-                reading.paused_by_stream[stream] = False
+        """Record the first event of a run: it is concurrent with current prefills."""
+        for prefill in self._unsettled:
+            if now < prefill.done_at:
+                prefill.paused_by_stream[stream] = False
 
     def record_pause(self, stream: str, now: float) -> None:
         """Record that a stream has paused for too long."""
@@ -136,14 +136,14 @@
         if not concurrent:
             return
         # The largest prompt is the most likely cause; the others are no samples.
-        largest = max(concurrent, key=lambda reading: reading.tokens)
-        for reading in concurrent:
-            if reading is not largest:
-                del reading.paused_by_stream[stream]
+        largest = max(concurrent, key=lambda prefill: prefill.tokens)
+        for prefill in concurrent:
+            if prefill is not largest:
+                del prefill.paused_by_stream[stream]
         largest.paused_by_stream[stream] = True
 
     def _length(self, tokens: float) -> float:
-        return self._speed.reading_ms(tokens) / self._limit_ms
+        return self._speed.prefill_ms(tokens) / self._limit_ms
 
     def _settle(self, now: float) -> None:
         while self._unsettled:
--- a/lynxchute/scheduling/scheduler.py
+++ b/lynxchute/scheduling/scheduler.py
@@ -26,9 +26,9 @@
 from lynxchute.scheduling.alone import least_loaded, sample_candidates
 from lynxchute.scheduling.asking import PlacementClient
 from lynxchute.scheduling.cold_placements import ColdPlacementLimiter
-from lynxchute.scheduling.news import RunNewsSender
+from lynxchute.scheduling.news import RunUpdateSender
 from lynxchute.scheduling.place_requests import scheduling_key
-from lynxchute.scheduling.placing import EnginePlacing
+from lynxchute.scheduling.placing import EnginePlacer
 from lynxchute.scheduling.turns import AdmissionQueue
 from lynxchute.telemetry import log_event
 from lynxchute.upstreams.aims import NO_TARGETS, LatencyTargets
@@ -75,7 +75,7 @@
     meter
         Estimates how long messages wait for the VM's network link.
     clock
-        Returns monotonic time in seconds.
+        Returns the time on the steady clock, in seconds.
     turns
         Admission queue for requests that find all engines full. If None, requests are
         not queued, and a router that places locally uses its own load estimates.
@@ -108,21 +108,21 @@
         self._gate = gate
         self._cold_limiter = cold
         self.neighbourhood = Neighbourhood(directory)
-        self.placing = EnginePlacing(
+        self.placing = EnginePlacer(
             directory, self.neighbourhood, traits_of, gate, cold, turns, clock
         )
         self.board = self.placing.board
         self._random = random.Random()
         self._tasks = Tasks()
         self._clock = clock
-        self._news_sender = RunNewsSender(members, peers)
+        self._update_sender = RunUpdateSender(members, peers)
         self._placement_client = PlacementClient(
             members,
             peers,
             directory,
             self.neighbourhood,
             gate,
-            self._news_sender,
+            self._update_sender,
             meter,
             clock,
             may_wait=turns is not None,
@@ -286,11 +286,11 @@
         self, run_id: str, upstream_id: str, stage: RunStage, took_ms: float = 0.0
     ) -> None:
         vm = self._scheduler_by_run.get(run_id, self._members.own.vm)
-        news = RunUpdate(run_id, upstream_id, stage, took_ms)
+        update = RunUpdate(run_id, upstream_id, stage, took_ms)
         if vm == self._members.own.vm:
-            self._apply_news(news)
+            self._apply_update(update)
             return
-        self._news_sender.enqueue(vm, [news])
+        self._update_sender.enqueue(vm, [update])
 
     def is_scheduler_for(self, service: str) -> bool:
         """Return whether this router is the scheduling router of a service."""
@@ -300,42 +300,42 @@
         return self._members.owner_of(scheduling_key(service))
 
     async def _handle_run_news(self, request: RunUpdateRequest) -> Ack:
-        for news in request.news:
-            self._apply_news(news)
+        for update in request.news:
+            self._apply_update(update)
         return Ack()
 
     async def _handle_place_request(self, request: PlacementRequest) -> PlacementReply:
         self._placement_client.last_queried_at = self._clock()
         return await self.placing.handle_request(request)
 
-    def _apply_news(self, news: RunUpdate) -> None:
+    def _apply_update(self, update: RunUpdate) -> None:
         queue = self.placing.admission_queue
-        if news.stage is RunStage.UNPLACED:
-            self.board.discard_run(news.run_id)
+        if update.stage is RunStage.UNPLACED:
+            self.board.discard_run(update.run_id)
             if queue is not None:
-                queue.discard(news.run_id)
+                queue.discard(update.run_id)
             return
-        if news.stage is RunStage.BEGUN:
-            took_ms = news.took_ms
+        if update.stage is RunStage.BEGUN:
+            took_ms = update.took_ms
             self.board.record_first_event(
-                news.upstream, news.run_id, self._clock(), took_ms=took_ms
+                update.upstream, update.run_id, self._clock(), took_ms=took_ms
             )
             return
-        if news.stage is RunStage.PAUSED:
-            self.board.record_pause(news.upstream, news.run_id, self._clock())
+        if update.stage is RunStage.PAUSED:
+            self.board.record_pause(update.upstream, update.run_id, self._clock())
             return
-        entry = self._directory.entries_by_id.get(news.upstream)
+        entry = self._directory.entries_by_id.get(update.upstream)
         if queue is not None and entry is not None:
             queue.record_freed(entry.upstream.service, self._clock())
-        if news.stage is RunStage.FAILED:
-            self.board.record_failure(news.upstream, news.run_id, self._clock())
+        if update.stage is RunStage.FAILED:
+            self.board.record_failure(update.upstream, update.run_id, self._clock())
             return
-        self.board.record_end(news.upstream, news.run_id, self._clock())
+        self.board.record_end(update.upstream, update.run_id, self._clock())
 
     async def _run(self) -> None:
         cleaned_at = self._clock()
         while True:
-            await self._news_sender.send_queued(CLEANUP_INTERVAL_SECONDS)
+            await self._update_sender.send_queued(CLEANUP_INTERVAL_SECONDS)
             if self._clock() - cleaned_at < CLEANUP_INTERVAL_SECONDS:
                 continue
             cleaned_at = self._clock()
--- a/lynxchute/scheduling/turns.py
+++ b/lynxchute/scheduling/turns.py
@@ -21,9 +21,9 @@
 from lynxchute.overload.ticket_queue import FairTicketQueue
 from lynxchute.telemetry import Metrics, log_event
 
-# Minimum and maximum seconds between two polls of a waiting request: a free slot should
-# not stay idle for long, and a router should detect within 0.3 s that the scheduling
-# router does not answer, of which 0.1 s are the timeout of the query.
+# Minimum and maximum seconds between two polls of a waiting request. They are short
+# enough that a free slot is filled soon, and that a router notices within 0.3 s,
+# including the query timeout of 0.1 s, that the scheduling router does not answer.
 MIN_POLL_SECONDS = 0.05
 MAX_POLL_SECONDS = 0.15
 # Share of the expected wait after which a request polls again.
@@ -31,9 +31,9 @@
 # Seconds by which a poll may be overdue before its ticket is discarded: a busy router
 # may be that late.
 GRACE_SECONDS = 0.35
-# Cost of one answer token, in prompt tokens read in the same time; the steps of an
-# engine are shared by some tens of streams.
-ANSWER_TOKEN_WEIGHT = 10.0
+# Cost of one output token, as the number of prompt tokens read in the same time. It is
+# low because a decoding step of an engine serves some tens of streams at once.
+OUTPUT_TOKEN_WEIGHT = 10.0
 # Initial estimate of the seconds that a request occupies a slot, until there are
 # samples of how fast slots become free.
 DEFAULT_RUN_SECONDS = 2.0
@@ -91,7 +91,9 @@
             del self._queue_by_service[service]
 
     def check(self, request: PlacementRequest, claim: Claim) -> None:
-        """Check a claim for valid values and a known router.
+        """Check that a claim has valid values and belongs to a known router.
+
+        The run must not have been queued by another router.
 
         Raises
         ------
@@ -130,7 +132,7 @@
 
         Returns
         -------
-        PlaceReply
+        PlacementReply
             When to poll again and how many requests are ahead, or when the caller
             should retry a refused request.
         """
@@ -280,7 +282,7 @@
     answer = request.expected_output_tokens
     if answer is None:
         answer = request.output_tokens
-    return request.prompt_tokens + ANSWER_TOKEN_WEIGHT * answer
+    return request.prompt_tokens + OUTPUT_TOKEN_WEIGHT * answer
 
 
 def reject_claim(request: PlacementRequest, error: InvalidClaim) -> PlacementReply:
--- a/lynxchute/upstreams/permits.py
+++ b/lynxchute/upstreams/permits.py
@@ -11,7 +11,7 @@
     """Request admission to upstreams with a rate limit."""
 
     @abstractmethod
-    async def ask(self, entry: Entry) -> float:
+    async def request_permit(self, entry: Entry) -> float:
         """Request admission for one send.
 
         Returns
--- a/lynxchute/upstreams/placement.py
+++ b/lynxchute/upstreams/placement.py
@@ -155,5 +155,5 @@
     """Return an upstream as the choice if its rate limit admits the request."""
     if not gate.rates.is_limited(entry, now) or gate.rates.has_turn(entry, now):
         return Choice(entry)
-    admitted_until = await permits.ask(entry)
+    admitted_until = await permits.request_permit(entry)
     return Choice(entry, admitted_until=admitted_until) if admitted_until else None
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -5,7 +5,7 @@
 import testtools
 
 from lynxchute.scheduling.board import Candidate, EngineBoard
-from lynxchute.scheduling.caller_weights import CallerWeights
+from lynxchute.scheduling.caller_weights import RequestWeights
 from lynxchute.scheduling.crowding import (
     ExpectedLateCost,
     LoadAdaptiveCost,
@@ -13,7 +13,7 @@
 )
 from lynxchute.scheduling.newcomer import PendingRequest
 from lynxchute.scheduling.pauses import PauseStats
-from lynxchute.scheduling.reading_speed import ReadingSpeed
+from lynxchute.scheduling.reading_speed import PrefillSpeed
 from lynxchute.scheduling.readings import (
     RATE_CACHE_SECONDS,
     SETTLE_SECONDS,
@@ -76,7 +76,7 @@
 class PauseTrackerTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        speed = ReadingSpeed(tokens_per_ms=20.0)
+        speed = PrefillSpeed(tokens_per_ms=20.0)
         self.pause_tracker = PauseTracker(PauseStats(), speed, LIMIT_MS)
 
     def settle(self, now):
@@ -145,9 +145,9 @@
         self.assertEqual(0.0, late_probability(1e9, math.inf))
 
 
-class CallerWeightsTest(testtools.TestCase):
+class RequestWeightsTest(testtools.TestCase):
     def test_weight_follows_tokens(self):
-        weights = CallerWeights()
+        weights = RequestWeights()
         small = weights.weight_of(pending_request("a", 700))
         self.assertEqual(1.0, small)
         large = weights.weight_of(pending_request("b", 9_700))
@@ -225,16 +225,16 @@
         self.assertFalse(cost.is_overloaded)
 
 
-class ReadingSpeedTest(testtools.TestCase):
+class PrefillSpeedTest(testtools.TestCase):
     def test_short_prompts_are_no_samples(self):
-        speed = ReadingSpeed()
+        speed = PrefillSpeed()
         before = speed.tokens_per_ms
         for _ in range(50):
             speed.record_prompt(400, 35.0 + 400 / 5.0)
         self.assertEqual(before, speed.tokens_per_ms)
 
     def test_first_samples_have_a_larger_weight(self):
-        speed = ReadingSpeed()
+        speed = PrefillSpeed()
         for _ in range(4):
             speed.record_prompt(8_000, 35.0 + 8_000 / 10.0)
         self.assertLess(speed.tokens_per_ms, 13.0)
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -272,10 +272,10 @@
 
     def test_reported_latency_is_used_instead_of_news_arrival_time(self):
         scheduler, engine = self.placed()
-        before = engine.reading.tokens_per_ms
+        before = engine.prefill_speed.tokens_per_ms
         self.now += 5.0
         self.tell(scheduler, RunUpdate("r1", "e1", RunStage.BEGUN, took_ms=90.0))
-        self.assertGreater(engine.reading.tokens_per_ms, before)
+        self.assertGreater(engine.prefill_speed.tokens_per_ms, before)
 
     def test_paused_stream_has_no_weight(self):
         scheduler, engine = self.placed()
--- a/tests/test_uneven.py
+++ b/tests/test_uneven.py
@@ -189,7 +189,7 @@
 
 
 class NoPermits(Permits):
-    async def ask(self, entry):
+    async def request_permit(self, entry):
         return 0.0
 
 
@@ -408,7 +408,7 @@
         before = self.state("e").slowness_now(self.now)
         self.assertEqual(before, self.state("e").slowness_now(self.now + 60.0))
         self.run_alone("new", 1.0)
-        self.assertLess(self.state("new").reading.tokens_per_ms, 60.0)
+        self.assertLess(self.state("new").prefill_speed.tokens_per_ms, 60.0)
 
     @settings(max_examples=200, deadline=None)
     @given(st.lists(st.tuples(st.integers(0, 30_000), ANY, ANY), max_size=30))
--- a/tests/turns_machine.py
+++ b/tests/turns_machine.py
@@ -1,6 +1,6 @@
 """State machine of routers that request placements, poll, cancel and restart.
 
-The scheduling router uses the real `EngineBoard`, `AdmissionQueue` and `EnginePlacing`.
+The scheduling router uses the real `EngineBoard`, `AdmissionQueue` and `EnginePlacer`.
 The machine keeps a model of the requests that are placed, waiting and finished.
 """
 
@@ -16,7 +16,7 @@
 from lynxchute.fleet.messages import PlacementRequest
 from lynxchute.overload.claim import Claim
 from lynxchute.scheduling.cold_placements import ColdPlacementLimiter
-from lynxchute.scheduling.placing import EnginePlacing
+from lynxchute.scheduling.placing import EnginePlacer
 from lynxchute.scheduling.turns import GRACE_SECONDS, MAX_POLL_SECONDS, AdmissionQueue
 from lynxchute.telemetry import Metrics
 from lynxchute.upstreams.cold_admission import (
@@ -49,7 +49,7 @@
         gate = SendGate(Evacuations(), lambda service: LIMITS, no_limits_kept())
         watch = RankWatch(lambda service: 0)
         self.turns = AdmissionQueue(lambda account: 1.0, Metrics())
-        self.placing = EnginePlacing(
+        self.placing = EnginePlacer(
             self.directory,
             Neighbourhood(self.directory),
             lambda service: None,
