--- a/lynxchute/scheduling/asking.py
+++ b/lynxchute/scheduling/asking.py
@@ -155,7 +155,7 @@
     def _own_turns(self, service: str, by_id: dict[str, Entry]) -> tuple[str, ...]:
         """Return the throttled candidates to which this router may send in its turn."""
         now, found = self._clock(), []
-        for entry in self._directory.throttled(service, now):
+        for entry in self._directory.with_backpressure(service, now):
             upstream_id = entry.upstream.id
             if upstream_id in by_id and self._gate.rates.has_turn(entry, now):
                 found.append(upstream_id)
--- a/lynxchute/scheduling/backpressure_news.py
+++ b/lynxchute/scheduling/backpressure_news.py
@@ -20,7 +20,7 @@
 ) -> tuple[BackpressureReport, ...]:
     """Return reports on the throttled upstreams of a service."""
     reports = []
-    for entry in directory.throttled(service, now)[:MAX_REPORTS]:
+    for entry in directory.with_backpressure(service, now)[:MAX_REPORTS]:
         reports.append(
             BackpressureReport(
                 upstream=entry.upstream.id,
@@ -52,7 +52,7 @@
         )
         if not is_newer:
             continue
-        directory.refresh_throttled(entry, now)
+        directory.update_backpressured(entry, now)
         if entry.backpressure.limit != before:
             log_event(
                 "upstream limit reported by another router",
--- a/lynxchute/scheduling/placing.py
+++ b/lynxchute/scheduling/placing.py
@@ -208,7 +208,7 @@
         """Return the engines whose rate limit, if any, allows one more request."""
         now, rates = self._clock(), self._gate.rates
         excluded = set()
-        for entry in self._directory.throttled(request.service, now):
+        for entry in self._directory.with_backpressure(request.service, now):
             upstream_id = entry.upstream.id
             if upstream_id in request.own_turns or rates.may_admit(entry, now):
                 continue
--- a/lynxchute/upstreams/aims.py
+++ b/lynxchute/upstreams/aims.py
@@ -1,4 +1,4 @@
-"""Latency targets of a response."""
+"""Latency objectives of a response."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @attrs.frozen
 class LatencyTargets:
-    """Latency targets that a response must meet to be on time for its caller.
+    """Latency objectives that a response must meet to be on time for its caller.
 
     Attributes
     ----------
--- a/lynxchute/upstreams/backpressure.py
+++ b/lynxchute/upstreams/backpressure.py
@@ -6,19 +6,20 @@
 
 from lynxchute.upstreams.statement import Statement
 
-# When a limit ends, the permitted rate restarts at the old limit, but at RAMP_FLOOR
-# requests a second at least, and doubles every RAMP_DOUBLING_SECONDS. At the end of the
-# ramp it is 64 times the start rate, which exceeds what any throttled upstream received
-# before.
+# When a limit ends, the permitted rate starts at the old limit, or at RAMP_FLOOR
+# requests a second if that is higher, and doubles every RAMP_DOUBLING_SECONDS. At the
+# end of the ramp it is 64 times the start rate, which exceeds what any throttled
+# upstream received before.
 RAMP_FLOOR = 1.0
 RAMP_DOUBLING_SECONDS = 0.5
 RAMP_SECONDS = 3.0
 # After UNCERTAIN_AFTER_SECONDS without an answer an unconfirmed limit is uncertain, and
-# all routers together try TRIAL_RATE requests a second: one in the four-second span in
-# which an upstream tolerates five requests beyond its limit.
+# all routers together may send at least TRIAL_RATE requests a second: that is one
+# request in any four seconds, in which an upstream tolerates five more than its limit.
 UNCERTAIN_AFTER_SECONDS = 3.0
 TRIAL_RATE = 0.25
-# Tolerated lead of another router's reading of the store's clock, in milliseconds.
+# Milliseconds by which a time reported by another router may be ahead of this router's
+# reading of the store's clock. Reports that are further ahead are ignored.
 MAX_CLOCK_LEAD_MS = 1000
 
 
@@ -107,7 +108,7 @@
         is_start_known
             Whether a new process at the same place can be distinguished from the old
             one. If not, a probe answer that no longer says that the upstream is
-            leaving is taken as a new process.
+            draining is taken as a new process.
         """
         self._record_lasting_state(statement, now)
         if not is_start_known:
--- a/lynxchute/upstreams/backpressure_watch.py
+++ b/lynxchute/upstreams/backpressure_watch.py
@@ -64,13 +64,13 @@
 
     def _is_watching(self) -> bool:
         """Return whether an upstream is throttled or usage is left to remove."""
-        return bool(self._directory.throttled_by_id) or self._rates.has_usage
+        return bool(self._directory.backpressured_by_id) or self._rates.has_usage
 
     async def _step(self) -> None:
         now = self._clock()
-        throttled = list(self._directory.throttled_by_id.values())
+        throttled = list(self._directory.backpressured_by_id.values())
         for entry in throttled:
-            self._directory.refresh_throttled(entry, now)
+            self._directory.update_backpressured(entry, now)
             if self._is_due(entry, now):
                 entry.probed_at = now
                 self.tasks.spawn(self._probe(entry))
@@ -79,7 +79,7 @@
     def _is_due(self, entry: Entry, now: float) -> bool:
         backpressure, upstream = entry.backpressure, entry.upstream
         # Without a known start time only a probe can tell a new process from the one
-        # that is leaving.
+        # that is draining.
         may_have_restarted = backpressure.is_leaving and not upstream.is_start_known
         if backpressure.limit is None and not may_have_restarted:
             return False
--- a/lynxchute/upstreams/cold_admission.py
+++ b/lynxchute/upstreams/cold_admission.py
@@ -23,10 +23,10 @@
 # Permits that were granted within this many seconds can be used within one
 # BOUND_SECONDS span.
 WINDOW_SECONDS = BOUND_SECONDS + PERMIT_SECONDS
-# A router must have held rank 0 for this many seconds before it admits requests. By
-# then its predecessor has learned of it (membership news takes up to 1.7 s from a store
-# that answers, and 2.7 s over a connection that went silent), and permits of a
-# predecessor that died have expired.
+# A router admits requests only after it has held rank 0 for this many seconds. By then
+# the previous holder knows that it has lost the rank (a membership update takes up to
+# 1.7 s from a store that answers, and 2.7 s over a connection that went silent), and
+# the permits of a holder that died have expired.
 TAKE_OVER_SECONDS = 3.0
 # Two routers can hold rank 0 for longer than that if one has not learned of the other,
 # so each admits half of the limit.
@@ -76,12 +76,12 @@
     rank
         Position in the order of all registered routers, from 0; unreachable routers
         count.
-    seconds
+    held_seconds
         How long the router has held this rank.
     """
 
     rank: int
-    seconds: float
+    held_seconds: float
 
 
 class ColdAdmission(ABC):
@@ -103,7 +103,7 @@
 class FirstRegistered(ColdAdmission):
     """Let only the rank-0 router place requests at cold upstreams.
 
-    It suits a data centre, or half of the upstreams after a release, that comes back
+    It is for a whole data centre, or half of the upstreams after a release, that starts
     cold: the rank-0 router places nearly all requests anyway, so that cold upstreams
     get as much of the load as they can handle at once. No other router takes over while
     the rank-0 router is unreachable, because the warm-up ends soon anyway.
@@ -113,7 +113,7 @@
 
     def share(self, limits: ColdLimits, held_rank: HeldRank) -> int:
         """Return half of the limit for the rank-0 router, 0 for others."""
-        if held_rank.rank or held_rank.seconds < TAKE_OVER_SECONDS:
+        if held_rank.rank or held_rank.held_seconds < TAKE_OVER_SECONDS:
             return 0
         return limits.max_per_second // MAX_RANK_ZERO_ROUTERS
 
@@ -128,8 +128,11 @@
     NAME = "shares"
 
     def share(self, limits: ColdLimits, held_rank: HeldRank) -> int:
-        """Return 1 for as many of the first ranks as half of the limit has requests."""
-        if held_rank.seconds < TAKE_OVER_SECONDS:
+        """Return 1 for the first ranks, 0 for all others.
+
+        There are half as many of the first ranks as the limit allows requests a second.
+        """
+        if held_rank.held_seconds < TAKE_OVER_SECONDS:
             return 0
         return int(held_rank.rank < limits.max_per_second // MAX_RANK_ZERO_ROUTERS)
 
--- a/lynxchute/upstreams/directory.py
+++ b/lynxchute/upstreams/directory.py
@@ -23,9 +23,9 @@
 
     Attributes
     ----------
-    throttled_by_id
+    backpressured_by_id
         Upstreams with a rate limit, with one that ended a moment ago, or that are
-        leaving.
+        draining.
     listeners
         Called after upstreams have changed.
     restart_listeners
@@ -42,7 +42,7 @@
         self.cold_seconds_of: Callable[[str], float] = lambda service: 0.0
         self.clock_ms: Callable[[float], int] = lambda now: 0
         self.entries_by_id: dict[str, Entry] = {}
-        self.throttled_by_id: dict[str, Entry] = {}
+        self.backpressured_by_id: dict[str, Entry] = {}
         self.listeners: list[Callable[[], None]] = []
         self.restart_listeners: list[Callable[[Upstream], None]] = []
 
@@ -123,7 +123,7 @@
             clock_ms=clock_ms,
             is_served=is_served,
         )
-        self.refresh_throttled(entry, now)
+        self.update_backpressured(entry, now)
         if entry.is_leaving != was_leaving:
             self.changed()
         return is_changed
@@ -139,38 +139,38 @@
             self.clock_ms(now),
             is_start_known=entry.upstream.is_start_known,
         )
-        self.refresh_throttled(entry, now)
+        self.update_backpressured(entry, now)
         if entry.is_leaving != was_leaving:
             self.changed()
 
     def record_leaving(self, entry: Entry, now: float) -> None:
-        """Record the report of another router that an upstream is leaving."""
+        """Record the report of another router that an upstream is draining."""
         if entry.backpressure.is_leaving:
             return
         entry.backpressure.is_leaving = True
-        self.refresh_throttled(entry, now)
+        self.update_backpressured(entry, now)
         self.changed()
 
-    def refresh_throttled(self, entry: Entry, now: float) -> None:
-        """Add an upstream to `throttled_by_id`, or remove it, by its backpressure."""
+    def update_backpressured(self, entry: Entry, now: float) -> None:
+        """Add an upstream to `backpressured_by_id` or remove it, as appropriate."""
         upstream_id = entry.upstream.id
         is_known = self.entries_by_id.get(upstream_id) is entry
         if is_known and entry.backpressure.is_in_effect(now):
-            self.throttled_by_id[upstream_id] = entry
-        elif self.throttled_by_id.get(upstream_id) is entry:
-            del self.throttled_by_id[upstream_id]
+            self.backpressured_by_id[upstream_id] = entry
+        elif self.backpressured_by_id.get(upstream_id) is entry:
+            del self.backpressured_by_id[upstream_id]
 
     def describe_backpressure(self, upstream_id: str, now: float) -> str:
         """Return a readable summary of an upstream's backpressure."""
         entry = self.entries_by_id.get(upstream_id)
         return "" if entry is None else entry.backpressure.describe(now)
 
-    def throttled(self, service: str, now: float) -> list[Entry]:
-        """Return the throttled upstreams of a service."""
-        for entry in list(self.throttled_by_id.values()):
-            self.refresh_throttled(entry, now)
+    def with_backpressure(self, service: str, now: float) -> list[Entry]:
+        """Return the upstreams of a service that have backpressure to report."""
+        for entry in list(self.backpressured_by_id.values()):
+            self.update_backpressured(entry, now)
         found = []
-        for entry in self.throttled_by_id.values():
+        for entry in self.backpressured_by_id.values():
             if entry.upstream.service == service:
                 found.append(entry)
         return found
@@ -272,7 +272,7 @@
 
     def count_limits(self) -> int:
         """Return how many upstreams have a rate limit."""
-        entries = self.throttled_by_id.values()
+        entries = self.backpressured_by_id.values()
         return sum(1 for entry in entries if entry.backpressure.limit is not None)
 
     def mark_data_centre_cold(self, data_centre: str, now: float) -> None:
@@ -282,7 +282,7 @@
                 entry.extend_cold(self.cold_seconds_of(entry.upstream.service), now)
 
     def registered_ids(self, service: str) -> list[str]:
-        """Return the ids of a service's registered upstreams, leaving or not."""
+        """Return the ids of a service's registered upstreams, draining or not."""
         found = []
         for upstream_id, entry in self.entries_by_id.items():
             if entry.upstream.service == service and entry.removed_at is None:
--- a/lynxchute/upstreams/engines.py
+++ b/lynxchute/upstreams/engines.py
@@ -12,13 +12,13 @@
 
 
 class EngineUnavailable(Exception):
-    """Report that an engine gave no usable answer to a probe or query.
+    """Raised when an upstream gave no usable response to a probe or query.
 
     Parameters
     ----------
     reason
         What happened instead.
-    is_silence
+    is_timeout
         Whether nothing arrived at all, not even a refused connection.
     """
 
--- a/lynxchute/upstreams/entry.py
+++ b/lynxchute/upstreams/entry.py
@@ -33,7 +33,7 @@
     ----------
     handle
         Aborts the exchange.
-    may_move
+    may_resend
         Returns whether the request may be sent to another upstream instead.
     content
         Identifies the content of the request.
@@ -42,13 +42,13 @@
     answering_since
         When the first part of the answer itself arrived, in seconds; None before.
     is_cancelled
-        Whether this router has cancelled the send.
+        Whether this router has cancelled the send, for whatever reason.
     is_withdrawn
         Whether it was cancelled because of the request, not because of the upstream.
     sent_at
         When the first byte was sent, in seconds; None before.
     typical_seconds
-        Usual time until the head of the answer, in seconds; 0 if unknown.
+        Typical time until the head of the answer, in seconds; 0 if unknown.
     """
 
     handle: AbortHandle
@@ -62,7 +62,7 @@
     typical_seconds: float = 0.0
 
     def overdue_ratio(self, now: float) -> float:
-        """Return the wait for an answer as a multiple of the usual time."""
+        """Return the wait for an answer as a multiple of the typical time."""
         if self.sent_at is None or self.typical_seconds <= 0:
             return 0.0
         if self.progress is not Progress.UNANSWERED:
@@ -162,7 +162,7 @@
 
     @property
     def is_leaving(self) -> bool:
-        """Return whether it is leaving, by its entry or by one of its answers.
+        """Return whether it is draining, by its entry or by one of its answers.
 
         The entry in the store can be out of date for long while the store is
         unavailable.
--- a/lynxchute/upstreams/evacuations.py
+++ b/lynxchute/upstreams/evacuations.py
@@ -61,7 +61,7 @@
 
     def order(self, data_centre: str, version: int, now: float) -> bool:
         """Record an order; return whether it changes anything."""
-        if not self._is_newer(data_centre, version):
+        if not self._accept_version(data_centre, version):
             return False
         known = self.by_data_centre.get(data_centre)
         heard_at = now if known is None else known.heard_at
@@ -72,14 +72,15 @@
 
     def revoke(self, data_centre: str, version: int) -> bool:
         """Record that an order was revoked; return whether it was in effect."""
-        if not self._is_newer(data_centre, version):
+        if not self._accept_version(data_centre, version):
             return False
         if self.by_data_centre.pop(data_centre, None) is None:
             return False
         self._notify_listeners(data_centre)
         return True
 
-    def _is_newer(self, data_centre: str, version: int) -> bool:
+    def _accept_version(self, data_centre: str, version: int) -> bool:
+        """Record a row version; return whether it is not older than the known one."""
         if version < self._version_by_data_centre.get(data_centre, 0):
             return False
         self._version_by_data_centre[data_centre] = version
--- a/lynxchute/upstreams/expected_finish.py
+++ b/lynxchute/upstreams/expected_finish.py
@@ -15,18 +15,18 @@
 from lynxchute.upstreams.permits import Permits
 from lynxchute.upstreams.placement import Choice, Placement, admitted_choice
 from lynxchute.upstreams.send_gate import SendGate
-from lynxchute.upstreams.speed import Speeds
+from lynxchute.upstreams.speed import SpeedEstimator
 
 # Cost of a round trip to another data centre, in time and transferred bytes, as a share
-# of the usual time of a call. A near upstream may have a third more of its slots in use
-# before calls go to a far one.
+# of the typical time of a call. Calls prefer a near upstream until about a third more
+# of its slots are in use than of a far one's.
 FAR_PENALTY = 0.3
 # How steeply an upstream's weight falls with its expected time: one that takes a third
 # longer gets a thirtieth of the weight. An equally good far upstream gets a small
 # share, so that few connections are opened for calls that a near one could serve.
 SHARPNESS = 12.0
-# Cost of a send that is certain to fail, as a multiple of the usual time of a call: a
-# retry, for which the caller may not have the time.
+# Cost of a send that is certain to fail, as a multiple of the typical time of a call.
+# It is high because the caller may have no time for a retry.
 LOSS_PENALTY = 8.0
 # Slowness from which an upstream counts as slow; lower values are within the normal
 # variation of calls.
@@ -44,9 +44,9 @@
     slots
         Requests that it serves at once.
     slowness
-        Its response time as a multiple of the usual one.
+        Its response time as a multiple of the typical one.
     overdue
-        Wait of its oldest open call as a multiple of the usual time.
+        Wait of its oldest open call as a multiple of the typical time.
     lost_share
         Share of the sends to it that fail without a usable answer.
     is_far
@@ -81,7 +81,7 @@
         return self.slowness_now >= SLOW_RATIO
 
     def expected_ratio(self) -> float:
-        """Return the expected completion time as a multiple of the usual one.
+        """Return the expected completion time as a multiple of the typical one.
 
         Examples
         --------
@@ -140,7 +140,7 @@
         data_centre: str,
         gate: SendGate,
         permits: Permits,
-        speeds: Speeds,
+        speeds: SpeedEstimator,
         rng: random.Random,
         clock: Callable[[], float],
     ) -> None:
--- a/lynxchute/upstreams/health.py
+++ b/lynxchute/upstreams/health.py
@@ -47,8 +47,8 @@
 
 # Weight of the newest outcome in the moving average.
 NEWEST_WEIGHT = 0.15
-# Half-life of the share of bad outcomes, in seconds. An upstream that receives nothing
-# has no other way to be used again.
+# Half-life of the share of bad outcomes, in seconds. Without the decay, an avoided
+# upstream would receive no requests that could show its recovery.
 HALF_LIFE_SECONDS = 2.0
 
 
@@ -59,7 +59,8 @@
     Attributes
     ----------
     bad_in_row
-        Sends that ended badly since the last complete answer.
+        Consecutive sends whose outcome causes a pause, since the last complete answer;
+        `FAILED` causes none and is not counted.
     bad_share
         Moving average of the share of bad outcomes, as of `updated_at`.
     updated_at
--- a/lynxchute/upstreams/learned_speed.py
+++ b/lynxchute/upstreams/learned_speed.py
@@ -8,10 +8,10 @@
 
 import attrs
 
-from lynxchute.upstreams.speed import Speeds
+from lynxchute.upstreams.speed import SpeedEstimator
 
-# Bounds of the slowness. Without an upper bound an upstream that receives nothing could
-# never show that it has recovered, because only new requests can tell.
+# Bounds of the slowness. The upper bound keeps a few requests going to a slow upstream,
+# because only new requests can show that it has recovered.
 MIN_SLOWNESS, MAX_SLOWNESS = 0.2, 16.0
 # Samples in the long-term median, and the fewest for which it is calculated.
 SAMPLE_WINDOW = 15
@@ -29,7 +29,7 @@
 
 
 def slowdown_ratio(typical_seconds: float, seconds: float) -> float | None:
-    """Return a duration as a multiple of the usual one; None if that is unknown.
+    """Return a duration as a multiple of the typical one; None if that is unknown.
 
     Examples
     --------
@@ -88,7 +88,7 @@
         )
 
 
-class TwoTimescaleSpeeds(Speeds):
+class TwoTimescaleSpeeds(SpeedEstimator):
     """Combine a median for lasting differences with a short-term average.
 
     It suits upstreams that differ in speed permanently and also become slow for
@@ -125,7 +125,7 @@
             history.long_term = statistics.median(history.ratios)
 
     def slowness(self, upstream_id: str, now: float) -> float:
-        """Return the present response time as a multiple of the usual one."""
+        """Return the present response time as a multiple of the typical one."""
         history = self._history_by_id.get(upstream_id)
         if history is None or not math.isfinite(now):
             return 1.0
@@ -136,8 +136,8 @@
         self._history_by_id.pop(upstream_id, None)
 
 
-# Cumulative deviation from which the detector reports a change, and the part of each
-# deviation that it ignores; both are logarithms of ratios.
+# Threshold and slack of the CUSUM detector, as logarithms of ratios: a change is
+# detected when the deviations beyond the slack add up to the threshold.
 CHANGE_THRESHOLD = 0.8
 CHANGE_SLACK = 0.25
 
@@ -182,7 +182,7 @@
         self.recent.clear()
 
 
-class ChangeDetector(Speeds):
+class ChangeDetector(SpeedEstimator):
     """Keep one level for each upstream and change it when the samples leave it.
 
     It serves the same purpose as `TwoTimescaleSpeeds` with fewer changes of the
@@ -215,7 +215,7 @@
         detector.record(math.log(ratio))
 
     def slowness(self, upstream_id: str, now: float) -> float:
-        """Return the present response time as a multiple of the usual one."""
+        """Return the present response time as a multiple of the typical one."""
         detector = self._detector_by_id.get(upstream_id)
         if detector is None or not math.isfinite(now):
             return 1.0
--- a/lynxchute/upstreams/neighbourhood.py
+++ b/lynxchute/upstreams/neighbourhood.py
@@ -11,7 +11,7 @@
 
 # Up to this number of upstreams, all are considered for each request: the cost of each
 # (14 us to place a request, 4 us to build the placement request) adds up to 2 ms. With
-# all of 3,000 upstreams and 300 routers, each request took 54 ms of CPU time: the
+# all of 3,000 upstreams and 300 routers, each request took 54 ms of processor time: the
 # router that placed requests for all others answered 24 a second, the others timed out
 # after 0.1 s and placed requests by themselves, and 32 of 100 requests in the first
 # seconds were not served.
@@ -44,7 +44,7 @@
         self._names = [name for _, name in points]
 
     def neighbours(self, key: str) -> list[str]:
-        """Return the names next to a key's hash points, each once."""
+        """Return the names that follow a key's points on the ring, each once."""
         found: dict[str, None] = {}
         count = len(self._names)
         for lookup in range(RING_LOOKUPS):
@@ -57,9 +57,10 @@
 class Neighbourhood:
     """Select the upstreams of a service to consider for a request.
 
-    A small service has all of them considered. For a large one the key selects a subset
-    that is the same at all routers: 64 candidates balance the load nearly as well as
-    all of 3,000, and a prompt goes where the cache already holds its first part.
+    All upstreams of a small service are considered. For a large one the key selects a
+    subset that is the same at all routers: 64 candidates balance the load nearly as
+    well as all of 3,000, and a prompt goes where the cache already holds its first
+    part.
 
     Parameters
     ----------
@@ -89,7 +90,7 @@
         return found or list(self._directory.available(service, now))
 
     def ids(self, service: str, key: str) -> list[str]:
-        """Return the ids of registered candidates for a key, including leaving ones."""
+        """Return the ids of a key's registered candidates, including draining ones."""
         ids = self._ids(service)
         if len(ids) <= FULL_SCAN_LIMIT:
             return ids
--- a/lynxchute/upstreams/placement.py
+++ b/lynxchute/upstreams/placement.py
@@ -89,7 +89,10 @@
 
 
 class LeastOpen(Placement):
-    """Choose the upstream with the fewest open requests, with preference for near ones.
+    """Choose the upstream with the fewest open requests.
+
+    Far upstreams and those with recent bad outcomes rank as if they had more open
+    requests: `near_bonus` more for distance, and 20 times the share of bad outcomes.
 
     Parameters
     ----------
@@ -129,7 +132,11 @@
         candidates: Sequence[Entry],
         aims: LatencyTargets = NO_TARGETS,
     ) -> Choice | None:
-        """Return the upstream with the fewest open requests, near ones first."""
+        """Return the upstream of the lowest cost that admits the request.
+
+        The cost is the number of open requests, increased by distance and by the recent
+        share of bad outcomes.
+        """
         self._rotation += 1
         now = self._clock()
         warm = [entry for entry in candidates if not self._gate.is_cold(entry, now)]
--- a/lynxchute/upstreams/rate_limits.py
+++ b/lynxchute/upstreams/rate_limits.py
@@ -30,8 +30,9 @@
     bucket
         Requests that may be admitted on behalf of all routers, if this router does so.
     known_at_ms
-        When this router first learned of the limit, on the store's clock. In the turn
-        of that time an earlier process of its VM may have used the turn already.
+        When this router first learned of the limit, on the store's clock. The turn that
+        contains this time is not used, since an earlier process of this VM may have
+        used it.
     sent_ms
         When requests were sent in this router's turns, on the store's clock.
     """
--- a/lynxchute/upstreams/rate_sharing.py
+++ b/lynxchute/upstreams/rate_sharing.py
@@ -18,12 +18,13 @@
 
 # Share of the limit that the rank-0 router admits while the store confirms its rank.
 CENTRAL_SHARE = 0.75
-# The same while the store does not answer it. Another router may hold rank 0 as well by
-# then: both shares and the turns add up to less than one and a half times the limit,
-# which an upstream tolerates.
+# Share that it admits while its rank is unconfirmed because the store does not answer.
+# Another router may also hold rank 0 by then. Both shares and the turns together stay
+# below one and a half times the limit, which an upstream tolerates.
 UNCONFIRMED_SHARE = 0.375
-# Seconds after the store's last membership report for which rank 0 counts as confirmed:
-# a router that becomes the new rank-0 router admits nothing for three seconds.
+# Seconds after the store's last membership report for which rank 0 counts as confirmed.
+# They are fewer than the three seconds for which a new rank-0 router admits nothing, so
+# that two routers never admit as confirmed at once.
 CONFIRMED_SECONDS = 2.3
 # Shortest turn in seconds: the clocks of routers differ by some ms.
 MIN_TURN_SECONDS = 0.25
@@ -221,4 +222,4 @@
     """Return whether a router with this rank admits requests for all routers."""
     if held_rank is None or held_rank.rank:
         return False
-    return held_rank.seconds >= TAKE_OVER_SECONDS
+    return held_rank.held_seconds >= TAKE_OVER_SECONDS
--- a/lynxchute/upstreams/retry_budget.py
+++ b/lynxchute/upstreams/retry_budget.py
@@ -22,9 +22,9 @@
 class RetryBudget:
     """Permit retries for each service within a sliding window.
 
-    Each router uses its part of the fixed number of extra retries and the full ratio of
-    its own requests, so that the fleet stays within the limit without any
-    communication.
+    Each router may use its part of the fixed number of extra retries and the ratio of
+    its own requests, both times `MAX_USED_SHARE`. So the fleet stays within the limit
+    without any communication.
 
     Parameters
     ----------
--- a/lynxchute/upstreams/service_times.py
+++ b/lynxchute/upstreams/service_times.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from lynxchute.upstreams.speed import Speeds
+from lynxchute.upstreams.speed import SpeedEstimator
 
 # Samples kept for each route, and for each upstream.
 MAX_SAMPLES = 64
@@ -47,10 +47,10 @@
     Parameters
     ----------
     speeds
-        Receives each call's time together with the usual time of its route.
+        Receives each call's time together with the typical time of its route.
     """
 
-    def __init__(self, speeds: Speeds) -> None:
+    def __init__(self, speeds: SpeedEstimator) -> None:
         self.speeds = speeds
         self._by_route: dict[tuple[str, str], _Samples] = {}
         self._by_upstream: dict[str, _Samples] = {}
--- a/lynxchute/upstreams/silence.py
+++ b/lynxchute/upstreams/silence.py
@@ -19,9 +19,8 @@
 # probed. Reading a long prompt takes as long, so that silence alone is no proof of a
 # failure.
 SILENT_SECONDS = 0.35
-# If another upstream of the same data centre has just been found silent, the probe is
-# sent after this many seconds, which is longer than the pause between two events of a
-# stream.
+# The same once another upstream of the same data centre has just been found silent. It
+# is still longer than the pause between two events of a stream.
 SUSPECT_SILENT_SECONDS = 0.1
 # Seconds between two probes of an unreachable data centre.
 UNREACHABLE_PROBE_SECONDS = 0.5
@@ -79,12 +78,12 @@
             # upstreams from 0.9 ms to 0.1 ms.
             if not entry.open_sends and not is_any_unreachable:
                 continue
-            if self._is_silent(entry, now, SILENT_SECONDS):
+            if self._is_probe_due(entry, now, SILENT_SECONDS):
                 self._start_probe(entry, now)
             elif self._reachability.is_unreachable(entry.upstream.data_centre):
                 self._probe_unreachable(entry, now)
 
-    def _is_silent(self, entry: Entry, now: float, seconds: float) -> bool:
+    def _is_probe_due(self, entry: Entry, now: float, seconds: float) -> bool:
         """Return whether an upstream with pending answers is due for a probe."""
         if not entry.open_sends or now - entry.heard_at < seconds:
             return False
@@ -140,7 +139,7 @@
         for entry in self._directory.entries_by_id.values():
             if entry.upstream.data_centre != data_centre or entry is silent:
                 continue
-            if self._is_silent(entry, now, SUSPECT_SILENT_SECONDS):
+            if self._is_probe_due(entry, now, SUSPECT_SILENT_SECONDS):
                 self._start_probe(entry, now)
 
     def _cancel_sends(self, entry: Entry, reason: str) -> None:
--- a/lynxchute/upstreams/speed.py
+++ b/lynxchute/upstreams/speed.py
@@ -5,7 +5,7 @@
 from abc import ABC, abstractmethod
 
 
-class Speeds(ABC):
+class SpeedEstimator(ABC):
     """Estimate how fast each upstream works."""
 
     @abstractmethod
@@ -17,7 +17,7 @@
         Parameters
         ----------
         typical_seconds
-            Time of an upstream of usual speed for it.
+            Time of an upstream of typical speed for it.
         seconds
             Time that this upstream took, without queueing.
         now
@@ -26,7 +26,7 @@
 
     @abstractmethod
     def slowness(self, upstream_id: str, now: float) -> float:
-        """Return the present response time as a multiple of the usual one.
+        """Return the present response time as a multiple of the typical one.
 
         It is 1 for an upstream without samples, and always positive and finite.
         """
--- a/lynxchute/upstreams/statement_headers.py
+++ b/lynxchute/upstreams/statement_headers.py
@@ -14,7 +14,8 @@
 DECIMAL = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?", re.ASCII)
 # Requests a second; no upstream is sent more, whatever it declares.
 MAX_LIMIT = 100_000.0
-# Seconds; a process that requests a longer backoff will have ended before.
+# Seconds; processes are assumed to be replaced within an hour, so a longer backoff has
+# no use.
 MAX_BACKOFF = 3600.0
 # Characters of an invalid value that are logged.
 LOGGED_CHARACTERS = 40
--- a/tests/test_stated_limits.py
+++ b/tests/test_stated_limits.py
@@ -166,9 +166,9 @@
         directory.put(upstream)
         entry = directory.entries_by_id["e"]
         directory.record_statement(entry, Statement(1.0), asked_at=0.0, now=1.0)
-        self.assertEqual([entry], directory.throttled("pool", 1.0))
+        self.assertEqual([entry], directory.with_backpressure("pool", 1.0))
         directory.record_start(entry, 2, 2.0)
-        self.assertEqual([], directory.throttled("pool", 2.0))
+        self.assertEqual([], directory.with_backpressure("pool", 2.0))
         self.assertIsNone(directory.entries_by_id["e"].backpressure.rate(2.0))
 
 
