--- a/lynxchute/budgets/share.py
+++ b/lynxchute/budgets/share.py
@@ -7,7 +7,7 @@
 from lynxchute.budgets.demand import DemandEstimate
 from lynxchute.budgets.line import LimitLine
 
-# Seconds after returning tokens to the store during which the grant is not raised
+# Seconds after releasing tokens to the store during which the grant is not raised
 # again, so that the router they were released for can claim them.
 RELEASE_PAUSE_SECONDS = 1.0
 
@@ -34,7 +34,7 @@
 
 @attrs.define(eq=False)
 class Release:
-    """Tokens being returned to the store for another router to claim.
+    """Tokens being released to the store for another router to claim.
 
     Attributes
     ----------
@@ -67,7 +67,7 @@
     waiting
         Tokens that requests are waiting for.
     releases
-        Tokens that the next writes return to the store, oldest first.
+        Tokens that the next writes release to the store, oldest first.
     released_at
         When tokens were last released, in seconds on the steady clock.
     is_home
@@ -94,7 +94,7 @@
 
     @property
     def releasing(self) -> int:
-        """Return the tokens that the next write returns to the store."""
+        """Return the tokens that the next write releases to the store."""
         return sum(release.left for release in self.releases)
 
     def record_returned(self, tokens: int) -> None:
--- a/lynxchute/scheduling/board.py
+++ b/lynxchute/scheduling/board.py
@@ -14,7 +14,7 @@
 from lynxchute.scheduling.prefix_cache import PrefixCache
 from lynxchute.upstreams.generation import Generation, PromptPart
 
-# Cost of reading a prompt part again, as a multiple of the time that it takes: the time
+# Cost of reading a prompt part again, as a multiple of its prefill time: that time
 # also delays the next requests, and operators pay for it.
 REREAD_WEIGHT = 1.5
 # Cost of fetching a part from another engine, beyond the transfer time, as a share of
--- a/lynxchute/scheduling/caller_weights.py
+++ b/lynxchute/scheduling/caller_weights.py
@@ -16,7 +16,7 @@
 
     With equal weights, requests on engines that read long prompts become late, and the
     largest tenth of the requests is served worst. Over five traces at 1.6 times the
-    usual load, answers on time had 0.871 of the possible value, against 0.841 with a
+    usual load, responses on time had 0.871 of the possible value, against 0.841 with a
     weight by the square root of the tokens. Over three minutes of heavy load with
     failures, the means were 0.727 and 0.719 for these two weights, and 0.688 with equal
     weights.
--- a/lynxchute/scheduling/cold_watch.py
+++ b/lynxchute/scheduling/cold_watch.py
@@ -13,7 +13,7 @@
 
 # Seconds between two polls, and so the minimum between two probes of an engine.
 POLL_INTERVAL_SECONDS = 0.3
-# Seconds without an answer of the store after which an engine may have become cold
+# Seconds without a reply of the store after which an engine may have become cold
 # unnoticed; a working store answers every 1.3 s at the latest.
 STORE_SILENCE_SECONDS = 1.6
 # Maximum number of probes per second: 70 engines are probed every 1.4 s.
--- a/lynxchute/scheduling/engine_state.py
+++ b/lynxchute/scheduling/engine_state.py
@@ -36,16 +36,16 @@
 # seconds of the deviation from the baseline while there are no new samples.
 BASELINE_WEIGHT = 0.05
 TRANSIENT_HALF_LIFE_SECONDS = 1.0
-# Initial estimate of the seconds per token of an answer, for a large model on current
+# Initial estimate of the seconds per output token, for a large model on current
 # accelerators with some concurrent streams.
 DEFAULT_SECONDS_PER_TOKEN = 0.01
-# Weight of the latest answer in that estimate.
+# Weight of the latest response in that estimate.
 SECONDS_PER_TOKEN_WEIGHT = 0.05
 
 
 @attrs.define
 class Run:
-    """A request at an engine whose answer has not ended.
+    """A request at an engine whose response has not ended.
 
     Attributes
     ----------
@@ -62,7 +62,7 @@
     max_pause_ms
         Maximum pause between two events that counts as on time, in milliseconds.
     output_tokens
-        Expected number of tokens of its answer.
+        Expected number of output tokens.
     weight
         Its weight relative to other requests.
     router
@@ -129,7 +129,7 @@
     last_first_event_at
         Time of the latest first event at the engine, in seconds.
     seconds_per_token
-        Estimated seconds per token of an answer.
+        Estimated seconds per output token.
     avoided_until
         Time until which it receives no requests if there is another engine, in seconds.
     read_until
--- a/lynxchute/scheduling/newcomer.py
+++ b/lynxchute/scheduling/newcomer.py
@@ -15,7 +15,7 @@
     Attributes
     ----------
     aims
-        Latency objectives of its answer.
+        Latency objectives of its response.
     router
         The router process that sends it.
     weight
@@ -30,7 +30,7 @@
 
     @property
     def output_tokens(self) -> int:
-        """Return the expected number of tokens of the answer.
+        """Return the expected number of output tokens.
 
         This is half of the maximum if the caller gives no estimate.
         """
--- a/lynxchute/scheduling/turns.py
+++ b/lynxchute/scheduling/turns.py
@@ -279,10 +279,10 @@
     >>> request_cost(PlacementRequest("r", "pool", "a", (), 1000, 60, (), "x"))
     1600.0
     """
-    answer = request.expected_output_tokens
-    if answer is None:
-        answer = request.output_tokens
-    return request.prompt_tokens + OUTPUT_TOKEN_WEIGHT * answer
+    output_tokens = request.expected_output_tokens
+    if output_tokens is None:
+        output_tokens = request.output_tokens
+    return request.prompt_tokens + OUTPUT_TOKEN_WEIGHT * output_tokens
 
 
 def reject_claim(request: PlacementRequest, error: InvalidClaim) -> PlacementReply:
--- a/lynxchute/spending/keeper.py
+++ b/lynxchute/spending/keeper.py
@@ -209,7 +209,7 @@
             await self.wait_until_covered(account, tokens, until)
 
     async def close(self, until: float) -> bool:
-        """Return unused tokens to the store; return whether it confirmed that."""
+        """Release unused tokens to the store; return whether it confirmed that."""
         ledger = self.ledger
         ledger.is_closing = True
         while not ledger.fenced and any(
--- a/lynxchute/spending/lenders.py
+++ b/lynxchute/spending/lenders.py
@@ -38,7 +38,7 @@
     Attributes
     ----------
     released
-        Tokens that lenders returned to the store, where this router can claim them.
+        Tokens that lenders released to the store, where this router can claim them.
     obtained
         Tokens released or lent.
     unused_elsewhere
--- a/lynxchute/spending/reservations.py
+++ b/lynxchute/spending/reservations.py
@@ -306,7 +306,7 @@
         account = request.account
         released, lent = 0, 0
         if request.by_store and self._ledger_sync.may_change_grants:
-            # Tokens returned to the store survive a crash of either router; loans do
+            # Tokens released to the store survive a crash of either router; loans do
             # not.
             needed, wanted = request.needed, request.wanted
             released = await self._ledger_sync.release(account, needed, wanted)
--- a/lynxchute/upstreams/backpressure.py
+++ b/lynxchute/upstreams/backpressure.py
@@ -1,4 +1,4 @@
-"""Backpressure that an upstream requests in its own answers."""
+"""Backpressure that an upstream requests in its own responses."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 RAMP_FLOOR = 1.0
 RAMP_DOUBLING_SECONDS = 0.5
 RAMP_SECONDS = 3.0
-# After UNCERTAIN_AFTER_SECONDS without an answer an unconfirmed limit is uncertain, and
-# all routers together may send at least TRIAL_RATE requests a second: that is one
+# After UNCERTAIN_AFTER_SECONDS without a response an unconfirmed limit is uncertain,
+# and all routers together may send at least TRIAL_RATE requests a second: that is one
 # request in any four seconds, in which an upstream tolerates five more than its limit.
 UNCERTAIN_AFTER_SECONDS = 3.0
 TRIAL_RATE = 0.25
@@ -37,12 +37,12 @@
     heard_ms
         The same on the store's clock, in milliseconds.
     ended_at
-        When an answer first arrived without the limit that was in effect; None if no
+        When a response first arrived without the limit that was in effect; None if no
         limit has ended.
     previous_limit
         The limit that ended at `ended_at`.
     is_unconfirmed
-        Whether the upstream did not repeat its limit in its last probe answer.
+        Whether the upstream did not repeat its limit in its last probe response.
     backoff_until
         Until when this router must send nothing to the upstream, in seconds.
     is_leaving
@@ -68,11 +68,11 @@
         clock_ms: int,
         is_served: bool = True,
     ) -> None:
-        """Record what the answer to a request declares.
+        """Record what the response to a request declares.
 
-        Answers can overtake one another. A lower limit applies at once. A higher limit,
-        or none, applies only if the request was sent after the last update of the
-        limit, so that its answer is certainly newer.
+        Responses can overtake one another. A lower limit applies at once. A higher
+        limit, or none, applies only if the request was sent after the last update of
+        the limit, so that its response is certainly newer.
 
         Parameters
         ----------
@@ -97,17 +97,17 @@
         *,
         is_start_known: bool = True,
     ) -> None:
-        """Record what the answer to a probe declares.
+        """Record what the response to a probe declares.
 
-        An upstream may declare its limit only in answers to requests. If a probe answer
-        omits the limit, the limit becomes unconfirmed, which permits trial requests and
-        nothing more.
+        An upstream may declare its limit only in responses to requests. If a probe
+        response omits the limit, the limit becomes unconfirmed, which permits trial
+        requests and nothing more.
 
         Parameters
         ----------
         is_start_known
             Whether a new process at the same place can be distinguished from the old
-            one. If not, a probe answer that no longer says that the upstream is
+            one. If not, a probe response that no longer says that the upstream is
             draining is taken as a new process.
         """
         self._record_lasting_state(statement, now)
@@ -167,7 +167,7 @@
         return float(max(self.previous_limit, RAMP_FLOOR) * grown)
 
     def _record_lasting_state(self, statement: Statement, now: float) -> None:
-        """Record draining and backoff, which a later answer does not shorten."""
+        """Record draining and backoff, which a later response does not shorten."""
         self.is_leaving = self.is_leaving or statement.is_leaving
         # Several requests may have been refused at once: the longest backoff applies.
         self.backoff_until = max(self.backoff_until, now + statement.backoff)
--- a/lynxchute/upstreams/backpressure_watch.py
+++ b/lynxchute/upstreams/backpressure_watch.py
@@ -15,7 +15,7 @@
 # Seconds between two checks of the throttled upstreams.
 STEP_SECONDS = 0.5
 # Seconds without news of a limit after which the rank-0 router sends a probe; an
-# upstream that receives requests reports sooner, in its answers.
+# upstream that receives requests reports sooner, in its responses.
 PROBE_AFTER_SECONDS = 2.0
 # Additional delay of each further rank, in seconds. Routers of higher rank learn the
 # result from the rank-0 router with their next request. With 195 routers, that is six
@@ -24,7 +24,7 @@
 
 
 class BackpressureWatch:
-    """Detect the end of limits for which no answers to requests arrive.
+    """Detect the end of limits for which no responses to requests arrive.
 
     A limit of 0 lets no request through, and some limited upstreams receive no
     requests. Such upstreams are probed instead.
--- a/lynxchute/upstreams/directory.py
+++ b/lynxchute/upstreams/directory.py
@@ -98,19 +98,19 @@
         now: float,
         is_served: bool = True,
     ) -> bool:
-        """Record what the answer to a request declares about its upstream.
+        """Record what the response to a request declares about its upstream.
 
         Parameters
         ----------
         asked_at
             When the request was sent.
         is_served
-            Whether the request ran, as far as the answer says.
+            Whether the request ran, as far as the response says.
 
         Returns
         -------
         bool
-            Whether the declaration differs from that of the previous answer.
+            Whether the declaration differs from that of the previous response.
         """
         is_changed = statement != entry.last_statement
         entry.last_statement = statement
@@ -131,7 +131,7 @@
     def record_probe_answer(
         self, entry: Entry, statement: Statement, now: float
     ) -> None:
-        """Record what the answer to a probe declares about its upstream."""
+        """Record what the response to a probe declares about its upstream."""
         was_leaving = entry.is_leaving
         entry.backpressure.record_probe_answer(
             statement,
--- a/lynxchute/upstreams/engines.py
+++ b/lynxchute/upstreams/engines.py
@@ -29,7 +29,7 @@
 
 @attrs.frozen
 class Probe:
-    """What an upstream reports in its answer to a probe.
+    """What an upstream reports in its response to a probe.
 
     Attributes
     ----------
@@ -38,7 +38,7 @@
     cold_seconds
         Remaining warm-up time in seconds; 0 if it is warm or does not say.
     statement
-        Backpressure that the answer declares.
+        Backpressure that the response declares.
     active_requests
         Requests that run or wait there; None if it does not say.
     """
@@ -54,12 +54,12 @@
 
     @abstractmethod
     async def probe(self, upstream: Upstream) -> Probe:
-        """Probe whether an upstream responds; any answer counts.
+        """Probe whether an upstream responds; any response counts.
 
         Raises
         ------
         EngineUnavailable
-            If no answer arrived in time.
+            If no response arrived in time.
         """
 
     @abstractmethod
--- a/lynxchute/upstreams/entry.py
+++ b/lynxchute/upstreams/entry.py
@@ -14,7 +14,7 @@
 from lynxchute.upstreams.statement import NOTHING_STATED, Statement
 from lynxchute.upstreams.upstream import Upstream
 
-# Seconds of an answer after which its request cannot be the cause of the upstream's
+# Seconds of a response after which its request cannot be the cause of the upstream's
 # crash. Requests that crash an upstream did so within 0.12 s of their start, in 25
 # crashes in one day of logs.
 CRASH_WINDOW_SECONDS = 0.5
@@ -40,7 +40,7 @@
     progress
         How far the upstream has processed the request.
     answering_since
-        When the first part of the answer itself arrived, in seconds; None before.
+        When the first part of the response itself arrived, in seconds; None before.
     is_cancelled
         Whether this router has cancelled the send, for whatever reason.
     is_withdrawn
@@ -48,7 +48,7 @@
     sent_at
         When the first byte was sent, in seconds; None before.
     typical_seconds
-        Typical time until the head of the answer, in seconds; 0 if unknown.
+        Typical time until the head of the response, in seconds; 0 if unknown.
     """
 
     handle: AbortHandle
@@ -62,7 +62,7 @@
     typical_seconds: float = 0.0
 
     def overdue_ratio(self, now: float) -> float:
-        """Return the wait for an answer as a multiple of the typical time."""
+        """Return the wait for a response as a multiple of the typical time."""
         if self.sent_at is None or self.typical_seconds <= 0:
             return 0.0
         if self.progress is not Progress.UNANSWERED:
@@ -70,7 +70,7 @@
         return max(now - self.sent_at, 0.0) / self.typical_seconds
 
     def record_answering(self, now: float) -> None:
-        """Record that a part of the answer has arrived."""
+        """Record that a part of the response has arrived."""
         self.progress = Progress.ANSWERING
         if self.answering_since is None:
             self.answering_since = now
@@ -100,7 +100,7 @@
     open_requests
         Requests of this router that the upstream is working on.
     open_tokens
-        Tokens of their prompts plus the most that their answers can have.
+        Tokens of their prompts plus the most that their responses can have.
     removed_at
         When the upstream's entry vanished; None while it exists.
     expires_at
@@ -116,7 +116,7 @@
     cold_until
         Until when it is cold and can handle only a few requests a second, in seconds.
     last_statement
-        What its last answer declared.
+        What its last response declared.
     backpressure
         Backpressure derived from all its declarations.
     reported_requests, reported_at
@@ -162,7 +162,7 @@
 
     @property
     def is_leaving(self) -> bool:
-        """Return whether it is draining, by its entry or by one of its answers.
+        """Return whether it is draining, by its entry or by one of its responses.
 
         The entry in the store can be out of date for long while the store is
         unavailable.
--- a/lynxchute/upstreams/expected_finish.py
+++ b/lynxchute/upstreams/expected_finish.py
@@ -48,7 +48,7 @@
     overdue
         Wait of its oldest open call as a multiple of the typical time.
     lost_share
-        Share of the sends to it that fail without a usable answer.
+        Share of the sends to it that fail without a usable response.
     is_far
         Whether it is in another data centre.
     """
@@ -64,7 +64,7 @@
     def slowness_now(self) -> float:
         """Return a lower bound of the present slowness.
 
-        An open call that is overdue raises it before its answer arrives.
+        An open call that is overdue raises it before its response arrives.
         """
         slowest = 1.0
         if math.isfinite(self.slowness) and self.slowness > 0:
--- a/lynxchute/upstreams/generation.py
+++ b/lynxchute/upstreams/generation.py
@@ -22,7 +22,7 @@
     prompt_tokens
         Tokens of the whole prompt.
     max_output_tokens
-        Most tokens that the answer can have.
+        Most tokens that the response can have.
     parts
         The prompt's parts in order; the last one belongs to this request only.
     expected_output_tokens
@@ -37,7 +37,7 @@
 
     @property
     def max_total_tokens(self) -> int:
-        """Return the most tokens that prompt and answer can use together."""
+        """Return the most tokens that prompt and response can use together."""
         return self.prompt_tokens + self.max_output_tokens
 
     @property
--- a/lynxchute/upstreams/health.py
+++ b/lynxchute/upstreams/health.py
@@ -13,13 +13,13 @@
     Attributes
     ----------
     SERVED
-        With a complete answer.
+        With a complete response.
     FAILED
-        With an answer that reports a failure of the upstream.
+        With a response that reports a failure of the upstream.
     DECLINED
         Not run, as the upstream itself reported.
     BROKEN
-        Without a complete answer.
+        Without a complete response.
     UNREACHED
         No connection was established.
     ABANDONED
@@ -59,8 +59,8 @@
     Attributes
     ----------
     bad_in_row
-        Consecutive sends whose outcome causes a pause, since the last complete answer;
-        `FAILED` causes none and is not counted.
+        Consecutive sends whose outcome causes a pause, since the last complete
+        response; `FAILED` causes none and is not counted.
     bad_share
         Moving average of the share of bad outcomes, as of `updated_at`.
     updated_at
--- a/lynxchute/upstreams/load_report.py
+++ b/lynxchute/upstreams/load_report.py
@@ -26,7 +26,7 @@
     clients
         Connections to the upstreams.
     headers
-        Decodes the backpressure headers of answers.
+        Decodes the backpressure headers of responses.
     """
 
     LIST_PATH = LOAD_PATH
@@ -36,7 +36,7 @@
         self._headers = headers
 
     async def probe(self, upstream: Upstream) -> Probe:
-        """Probe an upstream; the answer also reports its remaining warm-up time."""
+        """Probe an upstream; the response also reports its remaining warm-up time."""
         client = self._clients.get(upstream.address)
         try:
             response = await client.request("GET", LOAD_PATH, timeouts=PROBE_TIMEOUTS)
--- a/lynxchute/upstreams/placement.py
+++ b/lynxchute/upstreams/placement.py
@@ -25,7 +25,7 @@
         Engine from which the chosen one should fetch the cached prompt parts; None if
         fetching does not pay.
     expected_seconds
-        Expected time until the first event of the answer; 0 if unknown.
+        Expected time until the first event of the response; 0 if unknown.
     placed_by
         VM that chose the upstream; empty for this one.
     permit_until
@@ -67,7 +67,7 @@
         run_id
             Identifies the run in the records that follow.
         aims
-            Latency targets of the answer.
+            Latency objectives of the response.
         """
 
     def record_first_event(
--- a/lynxchute/upstreams/probes.py
+++ b/lynxchute/upstreams/probes.py
@@ -1,4 +1,4 @@
-"""Apply the answers of upstreams to probes."""
+"""Apply the responses of upstreams to probes."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def handle_probe(directory: Directory, entry: Entry, probe: Probe, now: float) -> None:
-    """Update an upstream's start time, warm-up and backpressure from a probe answer."""
+    """Update an upstream's start time, warm-up and backpressure by a probe response."""
     if directory.record_start(entry, probe.started_ms, now):
         directory.changed()
     entry = directory.entries_by_id.get(entry.upstream.id, entry)
--- a/lynxchute/upstreams/rate_sharing.py
+++ b/lynxchute/upstreams/rate_sharing.py
@@ -29,7 +29,7 @@
 # Shortest turn in seconds: the clocks of routers differ by some ms.
 MIN_TURN_SECONDS = 0.25
 # For turns, a rate is rounded down to this number of steps per doubling. If a limit
-# changes a little with each answer, routers learn of it at different times, and turns
+# changes a little with each response, routers learn of it at different times, and turns
 # of different lengths would overlap.
 STEPS_PER_DOUBLING = 2
 # Tolerance for products of floats that should be whole numbers but are just below.
--- a/lynxchute/upstreams/service_times.py
+++ b/lynxchute/upstreams/service_times.py
@@ -42,7 +42,7 @@
 
 
 class ServiceTimes:
-    """Record the time of calls from their first byte to the head of their answer.
+    """Record the time of calls from their first byte to the head of their response.
 
     Parameters
     ----------
@@ -80,7 +80,7 @@
         waited_seconds: float,
         now: float,
     ) -> None:
-        """Record a call that was aborted before its answer arrived.
+        """Record a call that was aborted before its response arrived.
 
         It is evidence of a slow upstream if it waited for longer than calls usually
         take there, and carries no information otherwise.
--- a/lynxchute/upstreams/silence.py
+++ b/lynxchute/upstreams/silence.py
@@ -1,4 +1,4 @@
-"""Detect upstreams that have gone silent while answers are pending."""
+"""Detect upstreams that have gone silent while responses are pending."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 # Seconds between two checks of the upstreams.
 STEP_SECONDS = 0.1
-# An upstream with pending answers that has sent nothing for this many seconds is
+# An upstream with pending responses that has sent nothing for this many seconds is
 # probed. Reading a long prompt takes as long, so that silence alone is no proof of a
 # failure.
 SILENT_SECONDS = 0.35
@@ -33,7 +33,7 @@
 
     TCP takes seconds to notice a VM without power or behind a partition. Requests that
     may run elsewhere are cancelled, so that they are retried there; others wait for
-    their answer until their timeout.
+    their response until their timeout.
 
     Parameters
     ----------
@@ -84,7 +84,7 @@
                 self._probe_unreachable(entry, now)
 
     def _is_probe_due(self, entry: Entry, now: float, seconds: float) -> bool:
-        """Return whether an upstream with pending answers is due for a probe."""
+        """Return whether an upstream with pending responses is due for a probe."""
         if not entry.open_sends or now - entry.heard_at < seconds:
             return False
         if now - entry.probed_at < REPROBE_SECONDS:
--- a/lynxchute/upstreams/statement.py
+++ b/lynxchute/upstreams/statement.py
@@ -1,4 +1,4 @@
-"""Backpressure that an upstream declares in the head of an answer."""
+"""Backpressure that an upstream declares in the head of a response."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @attrs.frozen
 class Statement:
-    """Backpressure that one answer declares about the upstream that sent it.
+    """Backpressure that one response declares about the upstream that sent it.
 
     Attributes
     ----------
--- a/lynxchute/upstreams/statement_headers.py
+++ b/lynxchute/upstreams/statement_headers.py
@@ -1,4 +1,4 @@
-"""Decode the backpressure headers of answers."""
+"""Decode the backpressure headers of responses."""
 
 from __future__ import annotations
 
@@ -49,15 +49,15 @@
     leaving: str
 
     def decode(self, status: int, headers: Headers) -> Statement:
-        """Return what the head of an answer declares.
+        """Return what the head of a response declares.
 
         If a header occurs several times, the strictest value counts.
 
         Parameters
         ----------
         status
-            Status of the answer. Only a refusal (503) requests backoff; with any other
-            status Retry-After is meant for the caller.
+            Status of the response. Only a refusal (503) requests backoff; with any
+            other status Retry-After is meant for the caller.
         """
         is_declared = self.limit.lower() in headers or self.leaving.lower() in headers
         if not is_declared and status != SERVICE_UNAVAILABLE:
