--- a/lynxchute/scheduling/cold_placements.py
+++ b/lynxchute/scheduling/cold_placements.py
@@ -74,7 +74,7 @@
 
     def prune(self, live_ids: Container[str]) -> None:
         """Discard the state of upstreams that are not in `live_ids`."""
-        self._recent.keep_only(live_ids)
+        self._recent.prune(live_ids)
 
     def _is_cold(self, entry: Entry, now: float) -> bool:
         return self.limits_of(entry.upstream.service).is_active(entry.cold_until, now)
--- a/lynxchute/upstreams/backpressure_watch.py
+++ b/lynxchute/upstreams/backpressure_watch.py
@@ -74,7 +74,7 @@
             if self._is_due(entry, now):
                 entry.probed_at = now
                 self.tasks.spawn(self._probe(entry))
-        self._rates.keep_only({entry.upstream.process for entry in throttled})
+        self._rates.prune({entry.upstream.process for entry in throttled})
 
     def _is_due(self, entry: Entry, now: float) -> bool:
         backpressure, upstream = entry.backpressure, entry.upstream
--- a/lynxchute/upstreams/cold_admission.py
+++ b/lynxchute/upstreams/cold_admission.py
@@ -209,7 +209,7 @@
             del self._times_by_id[upstream_id]
         return len(times)
 
-    def keep_only(self, upstream_ids: Container[str]) -> None:
+    def prune(self, upstream_ids: Container[str]) -> None:
         """Drop the counts of all other upstreams."""
         for upstream_id in list(self._times_by_id):
             if upstream_id not in upstream_ids:
--- a/lynxchute/upstreams/rate_limits.py
+++ b/lynxchute/upstreams/rate_limits.py
@@ -123,7 +123,7 @@
         """Return whether usage of any upstream is stored."""
         return bool(self._usage_by_process)
 
-    def keep_only(self, processes: Container[str]) -> None:
+    def prune(self, processes: Container[str]) -> None:
         """Drop the usage of all other processes."""
         for process in list(self._usage_by_process):
             if process not in processes:
