--- a/lynxchute/scheduling/newcomer.py
+++ b/lynxchute/scheduling/newcomer.py
@@ -15,7 +15,7 @@
     Attributes
     ----------
     aims
-        Latency objectives of its answer.
+        Latency objectives of its response.
     router
         The router process that sends it.
     weight
@@ -29,8 +29,8 @@
     weight: float = 1.0
 
     @property
-    def answer_tokens(self) -> int:
-        """Return the expected number of tokens of the answer.
+    def output_tokens(self) -> int:
+        """Return the expected number of output tokens.
 
         This is half of the maximum if the caller gives no estimate.
         """
--- a/lynxchute/upstreams/backpressure_watch.py
+++ b/lynxchute/upstreams/backpressure_watch.py
@@ -15,7 +15,7 @@
 # Seconds between two checks of the throttled upstreams.
 STEP_SECONDS = 0.5
 # Seconds without news of a limit after which the rank-0 router sends a probe; an
-# upstream that receives requests reports sooner, in its answers.
+# upstream that receives requests reports sooner, in its responses.
 PROBE_AFTER_SECONDS = 2.0
 # Additional delay of each further rank, in seconds. Routers of higher rank learn the
 # result from the rank-0 router with their next request. With 195 routers, that is six
@@ -24,7 +24,7 @@
 
 
 class BackpressureWatch:
-    """Detect the end of limits for which no answers to requests arrive.
+    """Detect the end of limits for which no responses to requests arrive.
 
     A limit of 0 lets no request through, and some limited upstreams receive no
     requests. Such upstreams are probed instead.
@@ -64,22 +64,22 @@
 
     def _is_watching(self) -> bool:
         """Return whether an upstream is throttled or usage is left to remove."""
-        return bool(self._directory.throttled_by_id) or self._rates.has_usage
+        return bool(self._directory.backpressured_by_id) or self._rates.has_usage
 
     async def _step(self) -> None:
         now = self._clock()
-        throttled = list(self._directory.throttled_by_id.values())
+        throttled = list(self._directory.backpressured_by_id.values())
         for entry in throttled:
-            self._directory.refresh_throttled(entry, now)
+            self._directory.update_backpressured(entry, now)
             if self._is_due(entry, now):
                 entry.probed_at = now
                 self.tasks.spawn(self._probe(entry))
-        self._rates.keep_only({entry.upstream.process for entry in throttled})
+        self._rates.prune({entry.upstream.process for entry in throttled})
 
     def _is_due(self, entry: Entry, now: float) -> bool:
         backpressure, upstream = entry.backpressure, entry.upstream
         # Without a known start time only a probe can tell a new process from the one
-        # that is leaving.
+        # that is draining.
         may_have_restarted = backpressure.is_leaving and not upstream.is_start_known
         if backpressure.limit is None and not may_have_restarted:
             return False
--- a/lynxchute/upstreams/placement.py
+++ b/lynxchute/upstreams/placement.py
@@ -25,7 +25,7 @@
         Engine from which the chosen one should fetch the cached prompt parts; None if
         fetching does not pay.
     expected_seconds
-        Expected time until the first event of the answer; 0 if unknown.
+        Expected time until the first event of the response; 0 if unknown.
     placed_by
         VM that chose the upstream; empty for this one.
     permit_until
@@ -67,7 +67,7 @@
         run_id
             Identifies the run in the records that follow.
         aims
-            Latency targets of the answer.
+            Latency objectives of the response.
         """
 
     def record_first_event(
@@ -89,7 +89,10 @@
 
 
 class LeastOpen(Placement):
-    """Choose the upstream with the fewest open requests, with preference for near ones.
+    """Choose the upstream with the fewest open requests.
+
+    Far upstreams and those with recent bad outcomes rank as if they had more open
+    requests: `near_bonus` more for distance, and 20 times the share of bad outcomes.
 
     Parameters
     ----------
@@ -129,7 +132,11 @@
         candidates: Sequence[Entry],
         aims: LatencyTargets = NO_TARGETS,
     ) -> Choice | None:
-        """Return the upstream with the fewest open requests, near ones first."""
+        """Return the upstream of the lowest cost that admits the request.
+
+        The cost is the number of open requests, increased by distance and by the recent
+        share of bad outcomes.
+        """
         self._rotation += 1
         now = self._clock()
         warm = [entry for entry in candidates if not self._gate.is_cold(entry, now)]
@@ -155,5 +162,5 @@
     """Return an upstream as the choice if its rate limit admits the request."""
     if not gate.rates.is_limited(entry, now) or gate.rates.has_turn(entry, now):
         return Choice(entry)
-    admitted_until = await permits.ask(entry)
+    admitted_until = await permits.request_permit(entry)
     return Choice(entry, admitted_until=admitted_until) if admitted_until else None
--- a/lynxchute/upstreams/service_times.py
+++ b/lynxchute/upstreams/service_times.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from lynxchute.upstreams.speed import Speeds
+from lynxchute.upstreams.speed import SpeedEstimator
 
 # Samples kept for each route, and for each upstream.
 MAX_SAMPLES = 64
@@ -42,15 +42,15 @@
 
 
 class ServiceTimes:
-    """Record the time of calls from their first byte to the head of their answer.
+    """Record the time of calls from their first byte to the head of their response.
 
     Parameters
     ----------
     speeds
-        Receives each call's time together with the usual time of its route.
+        Receives each call's time together with the typical time of its route.
     """
 
-    def __init__(self, speeds: Speeds) -> None:
+    def __init__(self, speeds: SpeedEstimator) -> None:
         self.speeds = speeds
         self._by_route: dict[tuple[str, str], _Samples] = {}
         self._by_upstream: dict[str, _Samples] = {}
@@ -80,7 +80,7 @@
         waited_seconds: float,
         now: float,
     ) -> None:
-        """Record a call that was aborted before its answer arrived.
+        """Record a call that was aborted before its response arrived.
 
         It is evidence of a slow upstream if it waited for longer than calls usually
         take there, and carries no information otherwise.
--- a/lynxchute/upstreams/silence.py
+++ b/lynxchute/upstreams/silence.py
@@ -1,4 +1,4 @@
-"""Detect upstreams that have gone silent while answers are pending."""
+"""Detect upstreams that have gone silent while responses are pending."""
 
 from __future__ import annotations
 
@@ -15,13 +15,12 @@
 
 # Seconds between two checks of the upstreams.
 STEP_SECONDS = 0.1
-# An upstream with pending answers that has sent nothing for this many seconds is
+# An upstream with pending responses that has sent nothing for this many seconds is
 # probed. Reading a long prompt takes as long, so that silence alone is no proof of a
 # failure.
 SILENT_SECONDS = 0.35
-# If another upstream of the same data centre has just been found silent, the probe is
-# sent after this many seconds, which is longer than the pause between two events of a
-# stream.
+# The same once another upstream of the same data centre has just been found silent. It
+# is still longer than the pause between two events of a stream.
 SUSPECT_SILENT_SECONDS = 0.1
 # Seconds between two probes of an unreachable data centre.
 UNREACHABLE_PROBE_SECONDS = 0.5
@@ -34,7 +33,7 @@
 
     TCP takes seconds to notice a VM without power or behind a partition. Requests that
     may run elsewhere are cancelled, so that they are retried there; others wait for
-    their answer until their timeout.
+    their response until their timeout.
 
     Parameters
     ----------
@@ -79,13 +78,13 @@
             # upstreams from 0.9 ms to 0.1 ms.
             if not entry.open_sends and not is_any_unreachable:
                 continue
-            if self._is_silent(entry, now, SILENT_SECONDS):
+            if self._is_probe_due(entry, now, SILENT_SECONDS):
                 self._start_probe(entry, now)
             elif self._reachability.is_unreachable(entry.upstream.data_centre):
                 self._probe_unreachable(entry, now)
 
-    def _is_silent(self, entry: Entry, now: float, seconds: float) -> bool:
-        """Return whether an upstream with pending answers is due for a probe."""
+    def _is_probe_due(self, entry: Entry, now: float, seconds: float) -> bool:
+        """Return whether an upstream with pending responses is due for a probe."""
         if not entry.open_sends or now - entry.heard_at < seconds:
             return False
         if now - entry.probed_at < REPROBE_SECONDS:
@@ -140,7 +139,7 @@
         for entry in self._directory.entries_by_id.values():
             if entry.upstream.data_centre != data_centre or entry is silent:
                 continue
-            if self._is_silent(entry, now, SUSPECT_SILENT_SECONDS):
+            if self._is_probe_due(entry, now, SUSPECT_SILENT_SECONDS):
                 self._start_probe(entry, now)
 
     def _cancel_sends(self, entry: Entry, reason: str) -> None:
--- a/lynxchute/upstreams/statement_headers.py
+++ b/lynxchute/upstreams/statement_headers.py
@@ -1,4 +1,4 @@
-"""Decode the backpressure headers of answers."""
+"""Decode the backpressure headers of responses."""
 
 from __future__ import annotations
 
@@ -14,7 +14,8 @@
 DECIMAL = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?", re.ASCII)
 # Requests a second; no upstream is sent more, whatever it declares.
 MAX_LIMIT = 100_000.0
-# Seconds; a process that requests a longer backoff will have ended before.
+# Seconds; processes are assumed to be replaced within an hour, so a longer backoff has
+# no use.
 MAX_BACKOFF = 3600.0
 # Characters of an invalid value that are logged.
 LOGGED_CHARACTERS = 40
@@ -48,15 +49,15 @@
     leaving: str
 
     def decode(self, status: int, headers: Headers) -> Statement:
-        """Return what the head of an answer declares.
+        """Return what the head of a response declares.
 
         If a header occurs several times, the strictest value counts.
 
         Parameters
         ----------
         status
-            Status of the answer. Only a refusal (503) requests backoff; with any other
-            status Retry-After is meant for the caller.
+            Status of the response. Only a refusal (503) requests backoff; with any
+            other status Retry-After is meant for the caller.
         """
         is_declared = self.limit.lower() in headers or self.leaving.lower() in headers
         if not is_declared and status != SERVICE_UNAVAILABLE:
