--- a/lynxchute/bench/budget_kept.py
+++ b/lynxchute/bench/budget_kept.py
@@ -9,7 +9,7 @@
 from lynxchute.spending.standing import CallerDemand
 
 
-class KeptEscrow(Escrow):
+class LocalReserveEscrow(Escrow):
     """Escrow in which routers other than the home also hold a reserve of tokens."""
 
     name = "escrow_kept"
--- a/lynxchute/bench/budget_schemes.py
+++ b/lynxchute/bench/budget_schemes.py
@@ -24,7 +24,7 @@
 
     Attributes
     ----------
-    apart_refusals
+    partition_refusals
         The false refusals during partitions, in which no router reaches another.
     lost
         Tokens that count as used but were not, mostly through killed processes.
@@ -32,7 +32,7 @@
 
     overspend: int = 0
     false_refusals: int = 0
-    apart_refusals: int = 0
+    partition_refusals: int = 0
     right_refusals: int = 0
     lost: int = 0
     store_calls: int = 0
--- a/lynxchute/bench/budgets.py
+++ b/lynxchute/bench/budgets.py
@@ -12,7 +12,7 @@
 
 import defopt
 
-from lynxchute.bench.budget_kept import KeptEscrow
+from lynxchute.bench.budget_kept import LocalReserveEscrow
 from lynxchute.bench.budget_scene import (
     Arrival,
     Fault,
@@ -24,7 +24,7 @@
 
 # Interval of a router's periodic writes, in seconds.
 WRITE_INTERVAL = 0.5
-ALL_SCHEMES: tuple[type[Scheme], ...] = (*SCHEMES, KeptEscrow)
+ALL_SCHEMES: tuple[type[Scheme], ...] = (*SCHEMES, LocalReserveEscrow)
 
 
 def play(scheme: Scheme, trace: list[Arrival], faults: list[Fault]) -> Tally:
@@ -50,7 +50,7 @@
             continue
         if true_left[arrival.account] >= arrival.used:
             scheme.tally.false_refusals += 1
-            scheme.tally.apart_refusals += scheme.is_partitioned
+            scheme.tally.partition_refusals += scheme.is_partitioned
         else:
             scheme.tally.right_refusals += 1
     while running:
@@ -90,7 +90,7 @@
         "requests": requests,
         "overspend_tokens": tally.overspend,
         "false_refusals": tally.false_refusals,
-        "false_refusals_while_apart": tally.apart_refusals,
+        "false_refusals_while_apart": tally.partition_refusals,
         "right_refusals": tally.right_refusals,
         "lost_tokens": tally.lost,
         "store_calls_per_s": round(tally.store_calls / seconds, 2),
--- a/lynxchute/bench/emulator/engine.py
+++ b/lynxchute/bench/emulator/engine.py
@@ -131,7 +131,7 @@
         """Return the number of waiting and running requests."""
         return len(self.waiting) + len(self.reading) + len(self.running)
 
-    def take(self, run: EngineRun, now: float, prefilled_parts: set[str]) -> None:
+    def submit(self, run: EngineRun, now: float, prefilled_parts: set[str]) -> None:
         """Queue a request, and start a step if the engine is idle.
 
         Parameters
@@ -143,7 +143,7 @@
         if self.next_step_at is None:
             self._start_step(now, prefilled_parts)
 
-    def drop(self, run: EngineRun) -> None:
+    def cancel(self, run: EngineRun) -> None:
         """Cancel a request whose caller has disconnected."""
         run.has_left = True
 
--- a/lynxchute/bench/emulator/play.py
+++ b/lynxchute/bench/emulator/play.py
@@ -15,8 +15,8 @@
 from lynxchute.bench.emulator.policies import PlacementPolicy
 from lynxchute.bench.emulator.scenario import Arrival, Scenario, Trouble, make_trace
 from lynxchute.scheduling.newcomer import PendingRequest
-from lynxchute.standins.arrivals import Arrivals
-from lynxchute.upstreams.aims import LatencyTargets
+from lynxchute.standins.arrivals import ArrivalLog
+from lynxchute.upstreams.aims import LatencyObjectives
 
 # Callers give up on a stream whose first event takes longer than the largest of two
 # seconds, four times its objective and eight times the longest pause. A router refuses
@@ -71,7 +71,7 @@
 
     Attributes
     ----------
-    cold_most
+    max_cold_rate
         The most requests that reached a cold engine within one second.
     sent_to_evacuated
         Requests sent to an engine after its evacuation was known.
@@ -80,7 +80,7 @@
     requests: list[Request]
     read_again: int
     fetched: int
-    cold_most: int = 0
+    max_cold_rate: int = 0
     sent_to_evacuated: int = 0
 
 
@@ -113,7 +113,7 @@
         self._usual_slowness = [engine.slowness for engine in self._engines]
         self._known_down: set[int] = set()
         self._evacuated: set[int] = set()
-        self._arrivals_by_engine = [Arrivals() for _ in self._engines]
+        self._arrivals_by_engine = [ArrivalLog() for _ in self._engines]
         self._sent_to_evacuated = 0
         self._stepping: set[int] = set()
         self._prefilled_parts: set[str] = set()
@@ -137,14 +137,14 @@
             now, _, action = heapq.heappop(self._queue)
             action(now)
         read_again = sum(engine.read_again for engine in self._engines)
-        cold_most = max(
-            arrivals.most_while_cold() for arrivals in self._arrivals_by_engine
+        max_cold_rate = max(
+            arrivals.peak_cold_rate() for arrivals in self._arrivals_by_engine
         )
         return Played(
             self._requests,
             read_again,
             self._fetched,
-            cold_most,
+            max_cold_rate,
             self._sent_to_evacuated,
         )
 
@@ -175,7 +175,7 @@
         newcomer = PendingRequest(
             request.run_id,
             request.arrival.generation,
-            LatencyTargets((request.objective_at - now) * 1000.0, kind.max_pause_ms),
+            LatencyObjectives((request.objective_at - now) * 1000.0, kind.max_pause_ms),
         )
         choice = self._policy.choose(newcomer, engines, now)
         if choice is None:
@@ -211,13 +211,13 @@
         run = EngineRun(request.run_id, arrival.generation, now, arrival.output_tokens)
         request.run = run
         self._requests_by_run[run] = request
-        self._arrivals_by_engine[request.engine].note(now)
+        self._arrivals_by_engine[request.engine].record(now)
         if engine.is_down:
             self._schedule(
                 now + DETECTION_SECONDS, partial(self._fail_run, request, run)
             )
             return
-        engine.take(run, now, self._prefilled_parts)
+        engine.submit(run, now, self._prefilled_parts)
         self._schedule_step(request.engine)
         waits_until = arrival.at + request.longest_wait
         self._schedule(waits_until, partial(self._time_out, request, run))
@@ -249,7 +249,7 @@
         if request.run is not run or run.first_at is not None:
             return
         if request.outcome is None:
-            self._engines[request.engine].drop(run)
+            self._engines[request.engine].cancel(run)
             request.outcome = Outcome.FAILED
             self._notify_policy(self._policy.record_end, request)
 
@@ -340,7 +340,7 @@
             self._known_down.discard(number)
             self._evacuated.discard(number)
             if trouble.cold_seconds:
-                self._arrivals_by_engine[number].note_cold(trouble.cold_seconds, now)
+                self._arrivals_by_engine[number].record_cold(trouble.cold_seconds, now)
                 self._policy.cold_until[number] = now + trouble.cold_seconds
 
 
--- a/lynxchute/bench/emulator/policies.py
+++ b/lynxchute/bench/emulator/policies.py
@@ -26,7 +26,7 @@
     SharesByRank,
     WarmOnly,
 )
-from lynxchute.upstreams.entry import Entry
+from lynxchute.upstreams.entry import UpstreamEntry
 from lynxchute.upstreams.upstream import Upstream
 
 SERVICE = "pool"
@@ -169,7 +169,7 @@
         watch.refresh([SERVICE], -TAKE_OVER_SECONDS)
         self.cold = ColdPlacementLimiter(self.admission, watch, lambda service: limits)
         self._entries = [
-            Entry(Upstream(str(number), SERVICE, "127.0.0.1:1", "a"))
+            UpstreamEntry(Upstream(str(number), SERVICE, "127.0.0.1:1", "a"))
             for number in range(scenario.engines)
         ]
 
--- a/lynxchute/bench/limits.py
+++ b/lynxchute/bench/limits.py
@@ -14,10 +14,10 @@
 import attrs
 
 from lynxchute.upstreams.cold_admission import TAKE_OVER_SECONDS, HeldRank
-from lynxchute.upstreams.entry import Entry
+from lynxchute.upstreams.entry import UpstreamEntry
 from lynxchute.upstreams.rate_limits import RateLimits
 from lynxchute.upstreams.rate_sharing import SHARINGS_BY_NAME, TurnPosition
-from lynxchute.upstreams.statement import Statement
+from lynxchute.upstreams.statement import DeclaredBackpressure
 from lynxchute.upstreams.upstream import Upstream
 
 # Length of the window in which an upstream's requests are counted, in seconds.
@@ -79,9 +79,9 @@
 def play(fleet: Fleet, sharing: str, seed: int = 1) -> SharingResult:
     """Simulate a fleet with a method of sharing the limit; return the result."""
     rng = random.Random(seed)
-    entry = Entry(Upstream("e", "pool", "127.0.0.1:1", "a"))
+    entry = UpstreamEntry(Upstream("e", "pool", "127.0.0.1:1", "a"))
     entry.backpressure.record_answer(
-        Statement(fleet.limit), asked_at=0.0, now=0.0, clock_ms=0
+        DeclaredBackpressure(fleet.limit), asked_at=0.0, now=0.0, clock_ms=0
     )
     routers = [_rate_limits(fleet, sharing, rank) for rank in range(fleet.routers)]
     now, sent, most = TAKE_OVER_SECONDS, 0, 0
--- a/lynxchute/bench/shares.py
+++ b/lynxchute/bench/shares.py
@@ -115,7 +115,7 @@
     def record_use(self, account: str, cost: float, now: float) -> None:
         """Ignore the use."""
 
-    def excess(self, account: str, now: float) -> float:
+    def use_ratio(self, account: str, now: float) -> float:
         """Return 0, so that no account exceeds its share."""
         return 0.0
 
@@ -141,19 +141,19 @@
         Share of the slots' time that was used.
     """
 
-    asked: Counter[str] = attrs.Factory(Counter)
+    requested: Counter[str] = attrs.Factory(Counter)
     served: Counter[str] = attrs.Factory(Counter)
     refused_again: int = 0
     busy: float = 0.0
 
     def share(self, prefix: str, *, suffix: str = "") -> float:
         """Return the share of requests served, of names with this prefix and suffix."""
-        asked = served = 0
-        for name, count in self.asked.items():
+        requested = served = 0
+        for name, count in self.requested.items():
             if name.startswith(prefix) and name.endswith(suffix):
-                asked += count
+                requested += count
                 served += self.served[name]
-        return served / asked if asked else 1.0
+        return served / requested if requested else 1.0
 
 
 class Play:
@@ -184,10 +184,10 @@
                 break
             if event == "arrive":
                 self._schedule_next(request.source, now)
-                self._count(self.outcome.asked, request, now)
+                self._count(self.outcome.requested, request, now)
             if event == "end":
                 self._free_slots += 1
-                self._drain.record_freed(now)
+                self._drain.record_slot_freed(now)
             else:
                 self._submit(request, now)
             self._serve(now)
@@ -269,7 +269,7 @@
     started = time.process_time()
     for number, name in enumerate(names):
         shares.record_use(name, 100.0, number * 0.0005)
-        shares.excess(name, number * 0.0005)
+        shares.use_ratio(name, number * 0.0005)
     return (time.process_time() - started) / len(names) * 1e6
 
 
@@ -307,9 +307,9 @@
                 "busy": round(outcome.busy, 3),
             }
             for prefix in ("small", "large", "b-"):
-                if any(name.startswith(prefix) for name in outcome.asked):
+                if any(name.startswith(prefix) for name in outcome.requested):
                     row[prefix] = round(outcome.share(prefix), 3)
-            if any(name.endswith(LARGE) for name in outcome.asked):
+            if any(name.endswith(LARGE) for name in outcome.requested):
                 row["large requests"] = round(outcome.share("", suffix=LARGE), 3)
             row["refused_again"] = outcome.refused_again
             print(json.dumps(row))
--- a/lynxchute/budgets/ledger.py
+++ b/lynxchute/budgets/ledger.py
@@ -83,7 +83,7 @@
         Decides the size of grants and limit lines.
     parts
         Number of data centres that share the budgets.
-    store_part
+    store_partition
         Partition of the store that holds the router's own row.
 
     Attributes
@@ -112,10 +112,10 @@
         policy: GrantPolicy,
         *,
         parts: int,
-        store_part: str = "",
+        store_partition: str = "",
     ) -> None:
         self.vm = vm
-        self.store_part = store_part
+        self.store_partition = store_partition
         self.incarnation = incarnation
         self.is_open = False
         self.is_closing = False
@@ -562,7 +562,7 @@
     def _build_write(
         self, row: HolderRow, totals_by_account: dict[str, Totals]
     ) -> Write:
-        own = holder_id(self.vm, self.store_part)
+        own = holder_id(self.vm, self.store_partition)
         expected = [Expected(own, self._row_version)]
         puts = [Put(own, row.encode())]
         for account, totals in totals_by_account.items():
@@ -584,7 +584,7 @@
             share.terms = terms
 
     def _apply_conflict(self, plan: Plan, conflict: Conflict) -> None:
-        own_id = holder_id(self.vm, self.store_part)
+        own_id = holder_id(self.vm, self.store_partition)
         totals = []
         for row_id, row in conflict.rows_by_id.items():
             if row_id == own_id:
--- a/lynxchute/callers/dialect.py
+++ b/lynxchute/callers/dialect.py
@@ -23,8 +23,8 @@
 )
 from lynxchute.relay.events import SEPARATOR
 from lynxchute.relay.refusal import Reason, Refusal
-from lynxchute.upstreams.statement import Statement
-from lynxchute.upstreams.statement_headers import StatementHeaders
+from lynxchute.upstreams.statement import DeclaredBackpressure
+from lynxchute.upstreams.statement_headers import BackpressureHeaders
 
 BEARER = "bearer "
 # Maximum length of a request id; longer ones are not useful for lookups.
@@ -37,7 +37,7 @@
     names.REQUEST_ID.lower(),
 }
 NOT_RETURNED = frozenset({"content-length"})
-STATEMENT_HEADERS = StatementHeaders(names.LIMIT, names.LEAVING)
+STATEMENT_HEADERS = BackpressureHeaders(names.LIMIT, names.LEAVING)
 USAGE_PATTERN = re.compile(rb'"usage":\s*\{[^{}]*"total_tokens":\s*([0-9]{1,12})')
 
 
@@ -137,7 +137,7 @@
             return ResponseKind.INVALID
         return ResponseKind.ANSWERED
 
-    def statement(self, status: int, headers: Headers) -> Statement:
+    def statement(self, status: int, headers: Headers) -> DeclaredBackpressure:
         """Return what an upstream's response headers report about its state."""
         return STATEMENT_HEADERS.decode(status, headers)
 
--- a/lynxchute/containment/containment.py
+++ b/lynxchute/containment/containment.py
@@ -211,7 +211,7 @@
         self.judge.handle_evidence(evidence)
 
     def _current_judge(self) -> Member:
-        return self._members.by_vm[self._members.owner_of(JUDGE_KEY)]
+        return self._members.by_vm[self._members.owner_of_key(JUDGE_KEY)]
 
     def _recent_runs(self) -> tuple[BrokenRun, ...]:
         oldest_ms = self.judge.now_ms() - EVIDENCE_RETENTION_MS
--- a/lynxchute/containment/judge.py
+++ b/lynxchute/containment/judge.py
@@ -153,7 +153,7 @@
         for finding in self.attribution.judge(now_ms):
             self._report_finding(finding)
         expired = self.attribution.expire(now_ms)
-        if expired and self._members.owner_of(JUDGE_KEY) == self._members.own.vm:
+        if expired and self._members.owner_of_key(JUDGE_KEY) == self._members.own.vm:
             self.attribution.has_unsaved_changes = True
         is_due = self._clock() >= self._next_write_at and not self._is_writing
         if self.attribution.has_unsaved_changes and is_due:
--- a/lynxchute/demo.py
+++ b/lynxchute/demo.py
@@ -164,12 +164,14 @@
     sent = 0
     for upstream in deployment.upstreams:
         if upstream.name.startswith(EVACUATED):
-            sent += len(upstream.taken.since(since))
+            sent += len(upstream.arrival_log.since(since))
     _, shown = await deployment.operate("kyu-a-2", "show evacuations")
     _print_step(f"  {shown['rows']}")
     for name, engine in deployment.engines_by_name.items():
         if name.startswith(EVACUATED):
-            engine.taken.note_cold(COLD_SECONDS, asyncio.get_running_loop().time())
+            engine.arrival_log.record_cold(
+                COLD_SECONDS, asyncio.get_running_loop().time()
+            )
     await _run_statement(deployment, f"take back data centre {EVACUATED}")
     await callers.run(SCENE_SECONDS, rate)
     return sent
@@ -183,7 +185,7 @@
 def _cold_rate_excess(deployment: Deployment) -> int:
     """Return the requests beyond `MAX_COLD_RATE` in a cold engine's busiest second."""
     engines = deployment.engines_by_name.values()
-    most = max(engine.taken.most_while_cold() for engine in engines)
+    most = max(engine.arrival_log.peak_cold_rate() for engine in engines)
     return max(most - MAX_COLD_RATE, 0)
 
 
@@ -197,18 +199,18 @@
     """
     engines = list(deployment.engines_by_name.values())
     for engine in engines:
-        engine.deadly_texts.add(CRASH_TEXT)
+        engine.crash_texts.add(CRASH_TEXT)
     vms = sorted(deployment.routers_by_vm)
     quarantined_at, crashes_allowed, last = float("inf"), 0, 0
     for number in range(CRASH_REQUESTS):
         last = await _send_crash_request(deployment, vms[number % len(vms)])
-        crashes = sum(engine.ends for engine in engines)
+        crashes = sum(engine.restarts for engine in engines)
         if time.monotonic() < quarantined_at + QUARANTINE_SECONDS:
             crashes_allowed = crashes
         if crashes >= CRASHES_TO_QUARANTINE:
             quarantined_at = min(quarantined_at, time.monotonic())
         await asyncio.sleep(CRASH_PAUSE_SECONDS)
-    crashes = sum(engine.ends for engine in engines)
+    crashes = sum(engine.restarts for engine in engines)
     _print_step(
         f"  it crashed {crashes} engines; the last of {CRASH_REQUESTS} answers: {last}"
     )
--- a/lynxchute/edge/application.py
+++ b/lynxchute/edge/application.py
@@ -57,7 +57,7 @@
 from lynxchute.spending.balance import Rebalancer
 from lynxchute.spending.final_use import FinalUseExchange
 from lynxchute.spending.keeper import LedgerSync
-from lynxchute.spending.lenders import Lenders
+from lynxchute.spending.lenders import LoanClient
 from lynxchute.spending.reservations import FleetBudgets
 from lynxchute.spending.settlements import SettlementSender
 from lynxchute.spending.standing import LocalReserve
@@ -170,7 +170,7 @@
             # A partition of the store handles some hundred writes a second. With one
             # partition per router, writes of limit lines do not queue behind one
             # another.
-            store_part=settings.vm if settings.store_spans_parts else "",
+            store_partition=settings.vm if settings.store_spans_parts else "",
         )
         self.final_use_exchange = FinalUseExchange(ledger, self.members, self.peers)
         self.final_use_exchange.serve(self.peer_server)
@@ -184,7 +184,9 @@
         )
         self.configurations.listeners.append(self.ledger_sync.configure)
         self.settlements = SettlementSender(ledger, self.members, self.peers)
-        lenders = Lenders(self.ledger_sync, self.members, self.peers, self.settlements)
+        lenders = LoanClient(
+            self.ledger_sync, self.members, self.peers, self.settlements
+        )
         local_reserve = None
         if settings.features.demand_lines:
             local_reserve = LocalReserve(self.ledger_sync, lenders, self.members)
--- a/lynxchute/edge/exposition.py
+++ b/lynxchute/edge/exposition.py
@@ -61,7 +61,7 @@
         metrics.cold_upstreams.set(router.directory.count_cold(steady_seconds()))
         slowest = router.plain_calls.slowest_by_service(steady_seconds())
         metrics.slowness.replace(slowest)
-        metrics.limits.set(router.directory.count_limits())
+        metrics.limits.set(router.directory.count_limited())
         processor = router.load.loads().get("processor", IDLE_LOAD)
         metrics.processor_use.set(processor.use)
         metrics.processor_delay.set(processor.delay)
--- a/lynxchute/edge/plain_calls.py
+++ b/lynxchute/edge/plain_calls.py
@@ -10,8 +10,8 @@
 from lynxchute.relay.hedging import Hedger
 from lynxchute.telemetry import Metrics
 from lynxchute.upstreams.directory import Directory
-from lynxchute.upstreams.entry import Entry
-from lynxchute.upstreams.expected_finish import ExpectedFinish
+from lynxchute.upstreams.entry import UpstreamEntry
+from lynxchute.upstreams.expected_finish import ExpectedCompletion
 from lynxchute.upstreams.learned_speed import TwoTimescaleSpeeds
 from lynxchute.upstreams.permits import Permits
 from lynxchute.upstreams.placement import LeastOpen, Placement
@@ -68,7 +68,7 @@
             return
         times = ServiceTimes(TwoTimescaleSpeeds())
         self.times = times
-        self._expected_finish = ExpectedFinish(
+        self._expected_finish = ExpectedCompletion(
             settings.data_centre, gate, permits, times.speeds, rng, clock
         )
         if features.learned_speeds:
@@ -92,7 +92,7 @@
             self._clock,
         )
 
-    def slowness(self, entry: Entry, now: float) -> float:
+    def slowness(self, entry: UpstreamEntry, now: float) -> float:
         """Return the current service time of an upstream over its typical one."""
         if self.times is None:
             return 1.0
@@ -112,7 +112,7 @@
 
     def _prune_removed(self) -> None:
         if self.times is not None:
-            self.times.keep_only(self._directory.entries_by_id)
+            self.times.prune(self._directory.entries_by_id)
 
     def _discard_restarted(self, previous: Upstream) -> None:
         if self.times is not None:
--- a/lynxchute/fleet/members.py
+++ b/lynxchute/fleet/members.py
@@ -225,7 +225,7 @@
             )
         return vms
 
-    def owner_of(self, key: str) -> str:
+    def owner_of_key(self, key: str) -> str:
         """Return the VM that owns a fleet-wide task, chosen by rendezvous hashing.
 
         Routers that see the same reachable members choose the same owner.
--- a/lynxchute/overload/drain.py
+++ b/lynxchute/overload/drain.py
@@ -24,7 +24,7 @@
         self._updated_at = 0.0
         self._first_at: float | None = None
 
-    def record_freed(self, now: float) -> None:
+    def record_slot_freed(self, now: float) -> None:
         """Record that a slot has become free."""
         if self._first_at is None:
             self._first_at = now
--- a/lynxchute/overload/fair_shares.py
+++ b/lynxchute/overload/fair_shares.py
@@ -90,7 +90,7 @@
         self._total_updated_at = now
         self._record_cost(usage, cost)
 
-    def excess(self, account: str, now: float) -> float:
+    def use_ratio(self, account: str, now: float) -> float:
         """Return the account's recent use as a multiple of its fair share."""
         self._expire_idle(now)
         usage = self._usage_by_account.get(account)
--- a/lynxchute/overload/guard.py
+++ b/lynxchute/overload/guard.py
@@ -313,8 +313,8 @@
         if remaining >= 1.0:
             return False
         if self._shares is not None and account:
-            excess = self._shares.excess(account, self._clock())
-            remaining = 1.0 / excess if excess > 1.0 else 1.0
+            use_ratio = self._shares.use_ratio(account, self._clock())
+            remaining = 1.0 / use_ratio if use_ratio > 1.0 else 1.0
         return self._random.random() >= remaining
 
 
--- a/lynxchute/overload/local_shares.py
+++ b/lynxchute/overload/local_shares.py
@@ -43,7 +43,7 @@
             least = min(self._use_by_account, key=self._use_by_account.__getitem__)
             del self._use_by_account[least]
 
-    def excess(self, account: str, now: float) -> float:
+    def use_ratio(self, account: str, now: float) -> float:
         """Return the account's recent use as a multiple of its fair share."""
         self._decay(now)
         use = self._use_by_account.get(account, 0.0)
--- a/lynxchute/overload/shares.py
+++ b/lynxchute/overload/shares.py
@@ -25,7 +25,7 @@
         """
 
     @abstractmethod
-    def excess(self, account: str, now: float) -> float:
+    def use_ratio(self, account: str, now: float) -> float:
         """Return the account's recent use as a multiple of its fair share.
 
         The value is 1 or less for an account within its share.
--- a/lynxchute/overload/ticket_queue.py
+++ b/lynxchute/overload/ticket_queue.py
@@ -151,7 +151,7 @@
         self._service_rates.record_admission(ticket.rank, now)
         return ticket
 
-    def record_unqueued(self, rank: int, now: float) -> None:
+    def record_immediate_admission(self, rank: int, now: float) -> None:
         """Record a request that was given a slot without queueing."""
         self._service_rates.record_arrival(rank, now)
         self._service_rates.record_admission(rank, now)
@@ -205,11 +205,11 @@
         return ahead / per_second if per_second > 0.0 else math.inf
 
     def _key(self, ticket: Ticket, sequence: int, now: float) -> Key:
-        excess = self._shares.excess(ticket.account, now)
+        use_ratio = self._shares.use_ratio(ticket.account, now)
         excess_band = 0
-        if excess > SHARE_TOLERANCE:
+        if use_ratio > SHARE_TOLERANCE:
             # Each band doubles the excess, so that small changes keep the order.
-            excess_band = 1 + int(math.log2(excess / SHARE_TOLERANCE))
+            excess_band = 1 + int(math.log2(use_ratio / SHARE_TOLERANCE))
         if ticket.is_timely_retry and excess_band:
             excess_band -= 1
         at = ticket.arrived_at + (LATE_PENALTY_SECONDS if now > ticket.due_at else 0.0)
--- a/lynxchute/platform/dialect.py
+++ b/lynxchute/platform/dialect.py
@@ -17,7 +17,7 @@
     is_for_request,
 )
 from lynxchute.upstreams.generation import Generation, PromptPart
-from lynxchute.upstreams.statement import Statement
+from lynxchute.upstreams.statement import DeclaredBackpressure
 
 SINGLE_VALUE_HEADERS = (
     names.REQUEST_ID,
@@ -104,7 +104,7 @@
             return ResponseKind.INVALID
         return ResponseKind.ANSWERED
 
-    def statement(self, status: int, headers: Headers) -> Statement:
+    def statement(self, status: int, headers: Headers) -> DeclaredBackpressure:
         """Return the rate limit, backoff and drain state in the head of an answer."""
         return STATEMENT_HEADERS.decode(status, headers)
 
--- a/lynxchute/relay/answer.py
+++ b/lynxchute/relay/answer.py
@@ -5,7 +5,7 @@
 import attrs
 
 from lynxchute.http import Response
-from lynxchute.upstreams.entry import Entry, OpenSend
+from lynxchute.upstreams.entry import OpenSend, UpstreamEntry
 from lynxchute.upstreams.send_gate import WithheldReason
 
 
@@ -20,7 +20,7 @@
     """
 
     response: Response
-    entry: Entry
+    entry: UpstreamEntry
     cost: int
     run_id: str
     send: OpenSend
--- a/lynxchute/relay/chooser.py
+++ b/lynxchute/relay/chooser.py
@@ -16,7 +16,7 @@
 from lynxchute.relay.wait import QueueWaitLog
 from lynxchute.telemetry import log_event
 from lynxchute.upstreams.directory import Directory
-from lynxchute.upstreams.entry import Entry
+from lynxchute.upstreams.entry import UpstreamEntry
 from lynxchute.upstreams.neighbourhood import Neighbourhood
 from lynxchute.upstreams.placement import Choice, Placement
 from lynxchute.upstreams.send_gate import SendGate
@@ -193,7 +193,7 @@
             raise self._no_capacity_refusal(exchange, candidates)
         return choice
 
-    def _candidates(self, exchange: Exchange, now: float) -> Iterable[Entry]:
+    def _candidates(self, exchange: Exchange, now: float) -> Iterable[UpstreamEntry]:
         """Return the upstreams to consider for an exchange."""
         generation = exchange.call.generation
         if generation is None:
@@ -213,7 +213,7 @@
         return exchange.refuse(Reason.EVACUATED, title, now)
 
     def _backing_off_refusal(
-        self, exchange: Exchange, backing_off: Sequence[Entry], now: float
+        self, exchange: Exchange, backing_off: Sequence[UpstreamEntry], now: float
     ) -> Refusal:
         """Return the refusal for when every upstream has asked this router to back off.
 
@@ -230,7 +230,7 @@
         return exchange.refuse(Reason.BACKOFF, title, now, retry_after=wait)
 
     def _no_capacity_refusal(
-        self, exchange: Exchange, candidates: Sequence[Entry]
+        self, exchange: Exchange, candidates: Sequence[UpstreamEntry]
     ) -> Refusal:
         now = self._clock()
         rates = [entry.backpressure.rate(now) for entry in candidates]
@@ -252,7 +252,9 @@
         wait = max(1.0 / rate, MIN_RETRY_AFTER) if rate > 0 else None
         return exchange.refuse(Reason.LIMITED, title, now, retry_after=wait)
 
-    def _cold_refusal(self, exchange: Exchange, candidates: Sequence[Entry]) -> Refusal:
+    def _cold_refusal(
+        self, exchange: Exchange, candidates: Sequence[UpstreamEntry]
+    ) -> Refusal:
         """Return the refusal for when all upstreams are cold and at their limit."""
         now = self._clock()
         remaining = min(entry.cold_until for entry in candidates) - now
@@ -267,7 +269,7 @@
         )
         return exchange.refuse(Reason.COLD, title, now, retry_after=wait)
 
-    def _is_reachable(self, entry: Entry) -> bool:
+    def _is_reachable(self, entry: UpstreamEntry) -> bool:
         return not self._reachability.is_unreachable(entry.upstream.data_centre)
 
     def _wake_waiters(self) -> None:
--- a/lynxchute/relay/dialect.py
+++ b/lynxchute/relay/dialect.py
@@ -10,7 +10,7 @@
 
 from lynxchute.http import Headers, Request
 from lynxchute.relay.call import Call
-from lynxchute.upstreams.statement import NOTHING_STATED, Statement
+from lynxchute.upstreams.statement import NO_BACKPRESSURE, DeclaredBackpressure
 from lynxchute.upstreams.upstream import Upstream
 
 
@@ -88,9 +88,9 @@
     def response_kind(self, status: int, headers: Headers) -> ResponseKind:
         """Classify a response by its status and headers."""
 
-    def statement(self, status: int, headers: Headers) -> Statement:
+    def statement(self, status: int, headers: Headers) -> DeclaredBackpressure:
         """Return what an upstream's response headers report about its state."""
-        return NOTHING_STATED
+        return NO_BACKPRESSURE
 
     @abstractmethod
     def caller_headers(self, headers: Headers) -> list[tuple[bytes, bytes]]:
--- a/lynxchute/relay/exchange.py
+++ b/lynxchute/relay/exchange.py
@@ -11,7 +11,7 @@
 from lynxchute.relay.call import Call
 from lynxchute.relay.events import EventOrder
 from lynxchute.relay.refusal import Reason, Refusal, RunStatus
-from lynxchute.upstreams.aims import LatencyTargets
+from lynxchute.upstreams.aims import LatencyObjectives
 
 # Seconds before the caller's timeout at which a response must be sent to reach it.
 DELIVERY_MARGIN = 0.02
@@ -140,14 +140,14 @@
         wait = max(MIN_CALLER_WAIT, 4 * route.latency_objective, 8 * route.max_pause)
         return wait * CALLER_WAIT_SHARE
 
-    def aims(self, now: float) -> LatencyTargets:
+    def aims(self, now: float) -> LatencyObjectives:
         """Return the latency targets that a response has to meet to be on time."""
         route = self.route
         if self.events:
             # The stream has begun, so only the time until its next event matters.
-            return LatencyTargets(route.max_pause * 1000.0, route.max_pause * 1000.0)
+            return LatencyObjectives(route.max_pause * 1000.0, route.max_pause * 1000.0)
         left = self.received_at + route.latency_objective - now
-        return LatencyTargets(left * 1000.0, route.max_pause * 1000.0)
+        return LatencyObjectives(left * 1000.0, route.max_pause * 1000.0)
 
     def claim(self, now: float) -> Claim:
         """Return the admission claim: who asks for a slot and how long it can wait."""
--- a/lynxchute/relay/hedging.py
+++ b/lynxchute/relay/hedging.py
@@ -19,7 +19,7 @@
 from lynxchute.relay.refusal import Refusal, RunStatus
 from lynxchute.telemetry import Metrics, log_event
 from lynxchute.upstreams.directory import Directory
-from lynxchute.upstreams.entry import Entry
+from lynxchute.upstreams.entry import UpstreamEntry
 from lynxchute.upstreams.expected_finish import UpstreamState
 from lynxchute.upstreams.placement import Choice
 from lynxchute.upstreams.retry_budget import RetryBudget
@@ -90,7 +90,7 @@
         directory: Directory,
         times: ServiceTimes,
         retries: RetryBudget,
-        state_of: Callable[[Entry, float], UpstreamState],
+        state_of: Callable[[UpstreamEntry, float], UpstreamState],
         metrics: Metrics,
         clock: Callable[[], float],
     ) -> None:
@@ -170,7 +170,7 @@
                 return
             left = due - now
 
-    def _hedge_delay(self, exchange: Exchange, entry: Entry) -> float | None:
+    def _hedge_delay(self, exchange: Exchange, entry: UpstreamEntry) -> float | None:
         """Return the seconds after which a call is hedged, or None for never."""
         return hedge_delay(
             self._times.latency_quantile(entry.upstream.id, HEDGE_QUANTILE),
--- a/lynxchute/relay/sender.py
+++ b/lynxchute/relay/sender.py
@@ -22,7 +22,7 @@
 from lynxchute.relay.refusal import Reason, RunStatus
 from lynxchute.relay.statement_reader import BackpressureRecorder
 from lynxchute.telemetry import Metrics, log_event
-from lynxchute.upstreams.entry import Entry, OpenSend
+from lynxchute.upstreams.entry import OpenSend, UpstreamEntry
 from lynxchute.upstreams.health import SendOutcome
 from lynxchute.upstreams.placement import Choice, Placement
 from lynxchute.upstreams.retry_budget import RetryBudget
@@ -310,15 +310,15 @@
         def before_send() -> None:
             withheld = self._gate.withheld_reason(
                 entry,
-                permit_until=choice.permit_until,
-                admitted_until=choice.admitted_until,
+                cold_permit_until=choice.cold_permit_until,
+                rate_permit_until=choice.rate_permit_until,
                 now=self._clock(),
             )
             if withheld is not None:
                 raise SendWithheld(withheld)
             self._check_link(exchange)
             if self._gate.rates.is_limited(entry, self._clock()):
-                admitted_by = "counted" if choice.admitted_until else "turn"
+                admitted_by = "counted" if choice.rate_permit_until else "turn"
                 self._metrics.limited_sends.inc(admitted_by)
             # Time spent queueing for this VM's link is not latency of the upstream.
             meter = self._clients.meter
@@ -440,7 +440,7 @@
     def _record_failure(
         self,
         exchange: Exchange,
-        entry: Entry,
+        entry: UpstreamEntry,
         cost: int,
         outcome: SendOutcome,
         reason: str,
@@ -459,7 +459,9 @@
             bad_in_row=entry.health.bad_in_row,
         )
 
-    def _record_outcome(self, entry: Entry, cost: int, outcome: SendOutcome) -> None:
+    def _record_outcome(
+        self, entry: UpstreamEntry, cost: int, outcome: SendOutcome
+    ) -> None:
         entry.open_requests -= 1
         entry.open_tokens -= cost
         entry.health.record(outcome, self._clock())
--- a/lynxchute/relay/statement_reader.py
+++ b/lynxchute/relay/statement_reader.py
@@ -8,7 +8,7 @@
 from lynxchute.relay.dialect import Dialect
 from lynxchute.telemetry import log_event
 from lynxchute.upstreams.directory import Directory
-from lynxchute.upstreams.entry import Entry
+from lynxchute.upstreams.entry import UpstreamEntry
 
 
 class BackpressureRecorder:
@@ -34,7 +34,7 @@
     def record(
         self,
         request_id: str,
-        entry: Entry,
+        entry: UpstreamEntry,
         response: Response,
         *,
         sent_at: float,
@@ -50,7 +50,7 @@
             Whether the request ran, according to the response.
         """
         statement = self._dialect.statement(response.status, response.headers)
-        has_changed = self._directory.record_statement(
+        has_changed = self._directory.record_declaration(
             entry,
             statement,
             asked_at=sent_at,
--- a/lynxchute/scheduling/alone.py
+++ b/lynxchute/scheduling/alone.py
@@ -10,7 +10,7 @@
 import random
 from collections.abc import Iterable, Sequence
 
-from lynxchute.upstreams.entry import Entry
+from lynxchute.upstreams.entry import UpstreamEntry
 
 # Engines compared for each request. Two random choices keep several routers from
 # sending everything to the same engine, and still avoid busy engines.
@@ -36,7 +36,9 @@
     return max(int(slots * LOCAL_SHARE), MIN_LOCAL_REQUESTS)
 
 
-def sample_candidates(candidates: Iterable[Entry], rng: random.Random) -> list[Entry]:
+def sample_candidates(
+    candidates: Iterable[UpstreamEntry], rng: random.Random
+) -> list[UpstreamEntry]:
     """Return random engines on which this router has not used up its share.
 
     The list is empty if it has used up its share of all engines. Engines whose latest
@@ -51,13 +53,13 @@
     return rng.sample(pool, min(SAMPLE_SIZE, len(pool)))
 
 
-def least_loaded(entries: Sequence[Entry], now: float) -> list[Entry]:
+def least_loaded(entries: Sequence[UpstreamEntry], now: float) -> list[UpstreamEntry]:
     """Return the engines with the lowest load, by their reports and local requests."""
     least = min((_load(entry, now) for entry in entries), default=0.0)
     return [entry for entry in entries if _load(entry, now) <= least + LOAD_TOLERANCE]
 
 
-def _load(entry: Entry, now: float) -> float:
+def _load(entry: UpstreamEntry, now: float) -> float:
     """Return the known share of an engine's slots in use."""
     own = entry.open_requests / max(entry.upstream.slots, 1)
     return max(own, entry.reported_load(now))
--- a/lynxchute/scheduling/asking.py
+++ b/lynxchute/scheduling/asking.py
@@ -22,9 +22,9 @@
 from lynxchute.scheduling.news import RunUpdateSender
 from lynxchute.scheduling.place_requests import scheduling_key
 from lynxchute.telemetry import log_event
-from lynxchute.upstreams.aims import LatencyTargets
+from lynxchute.upstreams.aims import LatencyObjectives
 from lynxchute.upstreams.directory import Directory
-from lynxchute.upstreams.entry import Entry
+from lynxchute.upstreams.entry import UpstreamEntry
 from lynxchute.upstreams.generation import Generation
 from lynxchute.upstreams.neighbourhood import Neighbourhood
 from lynxchute.upstreams.send_gate import SendGate
@@ -109,7 +109,7 @@
         """
         own, key = self._members.own.vm, scheduling_key(request.service)
         for _ in range(MAX_QUERIED_ROUTERS if has_waited else 1):
-            vm = self._members.owner_of(key)
+            vm = self._members.owner_of_key(key)
             if vm == own:
                 break
             reply = await self._query(vm, request)
@@ -120,7 +120,7 @@
     def is_scheduling_for_others(self, service: str) -> bool:
         """Return whether this router knows the load that others put on a service."""
         key = scheduling_key(service)
-        if self._members.owner_of(key) != self._members.own.vm:
+        if self._members.owner_of_key(key) != self._members.own.vm:
             return False
         is_recent = self._clock() - self.last_queried_at < RECENT_QUERY_SECONDS
         return is_recent or self._members.own_rank(key) == 0
@@ -130,8 +130,8 @@
         run_id: str,
         service: str,
         generation: Generation,
-        by_id: dict[str, Entry],
-        aims: LatencyTargets,
+        by_id: dict[str, UpstreamEntry],
+        aims: LatencyObjectives,
     ) -> PlacementRequest:
         """Return the placement query for a generation."""
         key = generation.affinity_key(run_id)
@@ -152,7 +152,9 @@
             claim=aims.claim if self._may_wait else None,
         )
 
-    def _own_turns(self, service: str, by_id: dict[str, Entry]) -> tuple[str, ...]:
+    def _own_turns(
+        self, service: str, by_id: dict[str, UpstreamEntry]
+    ) -> tuple[str, ...]:
         """Return the throttled candidates to which this router may send in its turn."""
         now, found = self._clock(), []
         for entry in self._directory.with_backpressure(service, now):
@@ -183,7 +185,7 @@
         return reply
 
     def _excluded_ids(
-        self, service: str, key: str, by_id: dict[str, Entry]
+        self, service: str, key: str, by_id: dict[str, UpstreamEntry]
     ) -> list[str]:
         """Return the engines that would be considered but are not candidates here."""
         found = []
--- a/lynxchute/scheduling/cold_placements.py
+++ b/lynxchute/scheduling/cold_placements.py
@@ -10,7 +10,7 @@
     RankWatch,
     RecentPlacements,
 )
-from lynxchute.upstreams.entry import Entry
+from lynxchute.upstreams.entry import UpstreamEntry
 
 
 class ColdPlacementLimiter:
@@ -47,13 +47,15 @@
         """Update this router's rank for the given services."""
         self._rank_watch.refresh(services, now)
 
-    def admissible_entries(self, entries: Iterable[Entry], now: float) -> list[Entry]:
+    def admissible_entries(
+        self, entries: Iterable[UpstreamEntry], now: float
+    ) -> list[UpstreamEntry]:
         """Return the upstreams that may get one more request, in the given order."""
         known = list(entries)
         found = [entry for entry in known if self.may_place(entry, now)]
         return found or [entry for entry in known if not self._is_cold(entry, now)]
 
-    def may_place(self, entry: Entry, now: float) -> bool:
+    def may_place(self, entry: UpstreamEntry, now: float) -> bool:
         """Return whether this router may place one more request at an upstream."""
         limits = self.limits_of(entry.upstream.service)
         if not limits.has_limit:
@@ -63,7 +65,7 @@
             return placed < self._share(entry.upstream.service, now)
         return placed < limits.max_per_second
 
-    def record_placement(self, entry: Entry, now: float) -> bool:
+    def record_placement(self, entry: UpstreamEntry, now: float) -> bool:
         """Record a placement; return whether it is allowed if the upstream is cold."""
         service, upstream_id = entry.upstream.service, entry.upstream.id
         if not self.limits_of(service).has_limit:
@@ -76,7 +78,7 @@
         """Discard the state of upstreams that are not in `live_ids`."""
         self._recent.prune(live_ids)
 
-    def _is_cold(self, entry: Entry, now: float) -> bool:
+    def _is_cold(self, entry: UpstreamEntry, now: float) -> bool:
         return self.limits_of(entry.upstream.service).is_active(entry.cold_until, now)
 
     def _share(self, service: str, now: float) -> int:
--- a/lynxchute/scheduling/cold_watch.py
+++ b/lynxchute/scheduling/cold_watch.py
@@ -8,7 +8,7 @@
 from lynxchute.upstreams.cold_admission import ColdLimits
 from lynxchute.upstreams.directory import Directory
 from lynxchute.upstreams.engines import EngineClient, EngineUnavailable
-from lynxchute.upstreams.entry import Entry
+from lynxchute.upstreams.entry import UpstreamEntry
 from lynxchute.upstreams.probes import handle_probe
 
 # Seconds between two polls, and so the minimum between two probes of an engine.
@@ -78,7 +78,7 @@
                 entry.probed_at = now
                 self.tasks.spawn(self._probe(entry))
 
-    def _entries_to_probe(self) -> list[Entry]:
+    def _entries_to_probe(self) -> list[UpstreamEntry]:
         """Return the engines to probe: scheduled here, with a limit while cold."""
         is_probed_by_service: dict[str, bool] = {}
         found = []
@@ -93,7 +93,7 @@
                 found.append(entry)
         return found
 
-    async def _probe(self, entry: Entry) -> None:
+    async def _probe(self, entry: UpstreamEntry) -> None:
         try:
             probe = await self._engines.probe(entry.upstream)
         except EngineUnavailable:
--- a/lynxchute/scheduling/newcomer.py
+++ b/lynxchute/scheduling/newcomer.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from lynxchute.upstreams.aims import NO_TARGETS, LatencyTargets
+from lynxchute.upstreams.aims import NO_OBJECTIVES, LatencyObjectives
 from lynxchute.upstreams.generation import Generation
 
 
@@ -24,7 +24,7 @@
 
     run_id: str
     generation: Generation
-    aims: LatencyTargets = NO_TARGETS
+    aims: LatencyObjectives = NO_OBJECTIVES
     router: str = ""
     weight: float = 1.0
 
--- a/lynxchute/scheduling/place_requests.py
+++ b/lynxchute/scheduling/place_requests.py
@@ -4,7 +4,7 @@
 
 from lynxchute.fleet.messages import PlacementRequest
 from lynxchute.scheduling.newcomer import PendingRequest
-from lynxchute.upstreams.aims import LatencyTargets
+from lynxchute.upstreams.aims import LatencyObjectives
 from lynxchute.upstreams.generation import Generation, PromptPart
 
 
@@ -23,5 +23,5 @@
         parts=tuple(PromptPart(*part) for part in request.parts),
         expected_output_tokens=request.expected_output_tokens,
     )
-    aims = LatencyTargets(request.first_event_ms, request.pause_ms)
+    aims = LatencyObjectives(request.first_event_ms, request.pause_ms)
     return PendingRequest(request.run_id, generation, aims, request.router)
--- a/lynxchute/scheduling/placing.py
+++ b/lynxchute/scheduling/placing.py
@@ -19,7 +19,7 @@
 from lynxchute.scheduling.place_requests import pending_request
 from lynxchute.scheduling.turns import AdmissionQueue, reject_claim
 from lynxchute.upstreams.directory import Directory
-from lynxchute.upstreams.entry import Entry
+from lynxchute.upstreams.entry import UpstreamEntry
 from lynxchute.upstreams.neighbourhood import Neighbourhood
 from lynxchute.upstreams.send_gate import SendGate
 
@@ -87,7 +87,7 @@
         return self.decide_for_peer(request, entries)
 
     def decide_for_peer(
-        self, request: PlacementRequest, entries: Sequence[Entry]
+        self, request: PlacementRequest, entries: Sequence[UpstreamEntry]
     ) -> PlacementReply:
         """Decide a query of another router; reject it if its claim is invalid."""
         if request.claim is not None and self.admission_queue is not None:
@@ -101,7 +101,7 @@
         return attrs.evolve(reply, is_refused=bool(entries) and not reply.upstream)
 
     def decide(
-        self, request: PlacementRequest, entries: Sequence[Entry]
+        self, request: PlacementRequest, entries: Sequence[UpstreamEntry]
     ) -> PlacementReply:
         """Choose one of the entries, or queue the request until its turn."""
         if request.claim is None or self.admission_queue is None:
@@ -111,12 +111,14 @@
         )
 
     def place(
-        self, request: PlacementRequest, entries: Iterable[Entry]
+        self, request: PlacementRequest, entries: Iterable[UpstreamEntry]
     ) -> PlacementReply:
         """Choose one of the entries; the reply names no upstream if none is allowed."""
         return self._search(request, entries, skips_full=False).reply
 
-    def candidates(self, entries: Iterable[Entry], data_centre: str) -> list[Candidate]:
+    def candidates(
+        self, entries: Iterable[UpstreamEntry], data_centre: str
+    ) -> list[Candidate]:
         """Return the entries as candidates for requests from a data centre."""
         found = []
         for entry in entries:
@@ -127,18 +129,18 @@
             found.append(Candidate(upstream.id, upstream.slots, capacity, is_far))
         return found
 
-    def takes_work(self, entry: Entry) -> bool:
+    def takes_work(self, entry: UpstreamEntry) -> bool:
         """Return whether an engine accepts new requests."""
         return entry.takes_work and not self._gate.is_evacuated(entry.upstream)
 
-    def may_be_source(self, entry: Entry) -> bool:
+    def may_be_source(self, entry: UpstreamEntry) -> bool:
         """Return whether cached parts can be fetched from an engine, leaving or not."""
         return entry.removed_at is None and not self._gate.is_evacuated(entry.upstream)
 
     def _place_in_turn(
         self,
         request: PlacementRequest,
-        entries: Sequence[Entry],
+        entries: Sequence[UpstreamEntry],
         claim: Claim,
         queue: AdmissionQueue,
     ) -> PlacementReply:
@@ -158,12 +160,18 @@
             queue.discard(request.run_id)
         return found.reply
 
-    def _free_slots(self, request: PlacementRequest, entries: Sequence[Entry]) -> int:
+    def _free_slots(
+        self, request: PlacementRequest, entries: Sequence[UpstreamEntry]
+    ) -> int:
         candidates = self.candidates(entries, request.data_centre)
         return self.board.free_slots(pending_request(request), candidates)
 
     def _search(
-        self, request: PlacementRequest, entries: Iterable[Entry], *, skips_full: bool
+        self,
+        request: PlacementRequest,
+        entries: Iterable[UpstreamEntry],
+        *,
+        skips_full: bool,
     ) -> _PlacementAttempt:
         now = self._clock()
         pending = pending_request(request)
@@ -203,8 +211,8 @@
         return _PlacementAttempt(reply, place.is_full)
 
     def _within_rate(
-        self, request: PlacementRequest, entries: Iterable[Entry]
-    ) -> Iterable[Entry]:
+        self, request: PlacementRequest, entries: Iterable[UpstreamEntry]
+    ) -> Iterable[UpstreamEntry]:
         """Return the engines whose rate limit, if any, allows one more request."""
         now, rates = self._clock(), self._gate.rates
         excluded = set()
--- a/lynxchute/scheduling/rate_permits.py
+++ b/lynxchute/scheduling/rate_permits.py
@@ -17,7 +17,7 @@
 from lynxchute.telemetry import log_event
 from lynxchute.upstreams.cold_admission import PERMIT_SECONDS
 from lynxchute.upstreams.directory import Directory
-from lynxchute.upstreams.entry import Entry
+from lynxchute.upstreams.entry import UpstreamEntry
 from lynxchute.upstreams.permits import Permits
 from lynxchute.upstreams.rate_limits import RateLimits
 
@@ -70,7 +70,7 @@
         """Register the handler for permit queries of other routers."""
         server.handlers_by_class[PermitRequest] = self._handle_request
 
-    async def request_permit(self, entry: Entry) -> float:
+    async def request_permit(self, entry: UpstreamEntry) -> float:
         """Request a permit for one request.
 
         Returns
@@ -98,9 +98,9 @@
             if retry_at <= now:
                 del self._retry_at_by_process[process]
 
-    async def _query_permit(self, entry: Entry) -> PermitReply:
+    async def _query_permit(self, entry: UpstreamEntry) -> PermitReply:
         service = entry.upstream.service
-        vm = self._members.owner_of(scheduling_key(service))
+        vm = self._members.owner_of_key(scheduling_key(service))
         if vm == self._members.own.vm:
             return self._decide(entry)
         backpressure = known_backpressure(self._directory, service, self._clock())
@@ -120,7 +120,7 @@
         merge_backpressure(self._directory, reply.backpressure, self._clock())
         return reply
 
-    def _decide(self, entry: Entry) -> PermitReply:
+    def _decide(self, entry: UpstreamEntry) -> PermitReply:
         now = self._clock()
         if self._rates.admit(entry, now):
             return PermitReply(is_admitted=True)
--- a/lynxchute/scheduling/scheduler.py
+++ b/lynxchute/scheduling/scheduler.py
@@ -31,11 +31,11 @@
 from lynxchute.scheduling.placing import EnginePlacer
 from lynxchute.scheduling.turns import AdmissionQueue
 from lynxchute.telemetry import log_event
-from lynxchute.upstreams.aims import NO_TARGETS, LatencyTargets
+from lynxchute.upstreams.aims import NO_OBJECTIVES, LatencyObjectives
 from lynxchute.upstreams.cold_admission import PERMIT_SECONDS
 from lynxchute.upstreams.directory import Directory
 from lynxchute.upstreams.engines import EngineClient, EngineUnavailable
-from lynxchute.upstreams.entry import Entry
+from lynxchute.upstreams.entry import UpstreamEntry
 from lynxchute.upstreams.generation import Generation
 from lynxchute.upstreams.neighbourhood import Neighbourhood
 from lynxchute.upstreams.placement import Choice, Placement
@@ -146,7 +146,7 @@
         self.board.prune_runs(incarnations)
         if self.placing.admission_queue is not None:
             self.placing.admission_queue.update_routers(incarnations)
-        by_service: dict[str, list[Entry]] = {}
+        by_service: dict[str, list[UpstreamEntry]] = {}
         for entry in self._directory.entries_by_id.values():
             if self.placing.takes_work(entry):
                 by_service.setdefault(entry.upstream.service, []).append(entry)
@@ -188,8 +188,8 @@
         self,
         run_id: str,
         generation: Generation | None,
-        candidates: Sequence[Entry],
-        aims: LatencyTargets = NO_TARGETS,
+        candidates: Sequence[UpstreamEntry],
+        aims: LatencyObjectives = NO_OBJECTIVES,
     ) -> Choice | None:
         """Return the chosen candidate, or None if none may receive the request."""
         assert generation is not None
@@ -215,14 +215,14 @@
             source.upstream if source and may_fetch else None,
             reply.expected_ms / 1000.0,
             placed_by=vm,
-            permit_until=asked_at + PERMIT_SECONDS if reply.is_counted else 0.0,
-            admitted_until=asked_at + PERMIT_SECONDS if reply.is_admitted else 0.0,
+            cold_permit_until=asked_at + PERMIT_SECONDS if reply.is_counted else 0.0,
+            rate_permit_until=asked_at + PERMIT_SECONDS if reply.is_admitted else 0.0,
             is_placed_alone=vm == self._members.own.vm
             and not self.is_scheduler_for(service),
         )
 
     async def _decide(
-        self, request: PlacementRequest, candidates: Sequence[Entry]
+        self, request: PlacementRequest, candidates: Sequence[UpstreamEntry]
     ) -> tuple[str, PlacementReply]:
         """Return the VM that decides on a request, and its reply."""
         vm, reply = await self._placement_client.query(
@@ -243,7 +243,7 @@
         return own, self.placing.decide(request, candidates)
 
     def _place_locally(
-        self, request: PlacementRequest, candidates: Sequence[Entry]
+        self, request: PlacementRequest, candidates: Sequence[UpstreamEntry]
     ) -> PlacementReply:
         """Place a request by the engines' reports and this router's open requests."""
         now = self._clock()
@@ -297,7 +297,7 @@
         return self._scheduling_vm(service) == self._members.own.vm
 
     def _scheduling_vm(self, service: str) -> str:
-        return self._members.owner_of(scheduling_key(service))
+        return self._members.owner_of_key(scheduling_key(service))
 
     async def _handle_run_news(self, request: RunUpdateRequest) -> Ack:
         for update in request.news:
@@ -326,7 +326,7 @@
             return
         entry = self._directory.entries_by_id.get(update.upstream)
         if queue is not None and entry is not None:
-            queue.record_freed(entry.upstream.service, self._clock())
+            queue.record_slot_freed(entry.upstream.service, self._clock())
         if update.stage is RunStage.FAILED:
             self.board.record_failure(update.upstream, update.run_id, self._clock())
             return
--- a/lynxchute/scheduling/turns.py
+++ b/lynxchute/scheduling/turns.py
@@ -168,13 +168,13 @@
         # Requests that were queued have been counted on arrival.
         self._record_attempt(request, claim, now)
         if service_queue is not None:
-            service_queue.queue.record_unqueued(claim.rank, now)
+            service_queue.queue.record_immediate_admission(claim.rank, now)
 
-    def record_freed(self, service: str, now: float) -> None:
+    def record_slot_freed(self, service: str, now: float) -> None:
         """Record that a slot of an engine has become free."""
         service_queue = self._queue_by_service.get(service)
         if service_queue is not None:
-            service_queue.queue.drain.record_freed(now)
+            service_queue.queue.drain.record_slot_freed(now)
 
     def discard(self, run_id: str) -> None:
         """Discard a request that was cancelled or is placed by another router."""
--- a/lynxchute/spending/balance.py
+++ b/lynxchute/spending/balance.py
@@ -13,7 +13,7 @@
 from lynxchute.fleet.members import Member, Members
 from lynxchute.fleet.messages import TransferRequest
 from lynxchute.spending.keeper import LedgerSync
-from lynxchute.spending.lenders import Lenders
+from lynxchute.spending.lenders import LoanClient
 from lynxchute.spending.standing import LocalReserve
 from lynxchute.telemetry import log_event
 
@@ -66,7 +66,7 @@
     def __init__(
         self,
         ledger_sync: LedgerSync,
-        lenders: Lenders,
+        lenders: LoanClient,
         members: Members,
         peers: Peers,
         local_reserve: LocalReserve | None = None,
--- a/lynxchute/spending/keeper.py
+++ b/lynxchute/spending/keeper.py
@@ -306,7 +306,9 @@
         """
         try:
             totals = await self._store.scan(TOTALS_TABLE)
-            holders = await self._store.scan(HOLDERS_TABLE, part=self.ledger.store_part)
+            holders = await self._store.scan(
+                HOLDERS_TABLE, part=self.ledger.store_partition
+            )
         except StoreUnavailable as error:
             log_event("budgets not read yet", reason=str(error))
             return False
--- a/lynxchute/spending/lenders.py
+++ b/lynxchute/spending/lenders.py
@@ -56,7 +56,7 @@
     answered: list[str] = attrs.Factory(list)
 
 
-class Lenders:
+class LoanClient:
     """Client for borrowing tokens from other routers.
 
     Parameters
--- a/lynxchute/spending/reservations.py
+++ b/lynxchute/spending/reservations.py
@@ -32,7 +32,7 @@
     Reservation,
 )
 from lynxchute.spending.keeper import LedgerSync
-from lynxchute.spending.lenders import GatherResult, Lenders
+from lynxchute.spending.lenders import GatherResult, LoanClient
 from lynxchute.spending.settlements import SettlementSender
 from lynxchute.spending.standing import LocalReserve
 from lynxchute.telemetry import Metrics, log_event
@@ -108,7 +108,7 @@
         peers: Peers,
         settlements: SettlementSender,
         metrics: Metrics,
-        lenders: Lenders,
+        lenders: LoanClient,
         local_reserve: LocalReserve | None = None,
     ) -> None:
         self._metrics = metrics
--- a/lynxchute/spending/standing.py
+++ b/lynxchute/spending/standing.py
@@ -11,7 +11,7 @@
 from lynxchute.fleet.members import Members
 from lynxchute.fleet.messages import ReserveRequest
 from lynxchute.spending.keeper import LedgerSync
-from lynxchute.spending.lenders import Lenders
+from lynxchute.spending.lenders import LoanClient
 
 # Seconds between two checks of the reserves.
 STEP_SECONDS = 1.0
@@ -56,7 +56,7 @@
     """
 
     def __init__(
-        self, ledger_sync: LedgerSync, lenders: Lenders, members: Members
+        self, ledger_sync: LedgerSync, lenders: LoanClient, members: Members
     ) -> None:
         self.loop = PeriodicTask("standing", self._step, STEP_SECONDS)
         self._ledger = ledger_sync.ledger
--- a/lynxchute/standins/arrivals.py
+++ b/lynxchute/standins/arrivals.py
@@ -9,7 +9,7 @@
 
 
 @attrs.define
-class Arrivals:
+class ArrivalLog:
     """The arrival times of an upstream's requests, in seconds of the loop's clock.
 
     Attributes
@@ -26,7 +26,7 @@
     request_ids: list[str] = attrs.Factory(list)
     cold_spans: list[tuple[float, float]] = attrs.Factory(list)
 
-    def note(self, now: float, request_id: str = "") -> None:
+    def record(self, now: float, request_id: str = "") -> None:
         """Record the arrival of a request."""
         self.times.append(now)
         self.request_ids.append(request_id)
@@ -35,7 +35,7 @@
         """Return the arrival time and the id of each request."""
         return list(zip(self.times, self.request_ids, strict=True))
 
-    def note_cold(self, seconds: float, now: float) -> None:
+    def record_cold(self, seconds: float, now: float) -> None:
         """Record that the upstream is cold for some seconds from now on."""
         self.cold_spans.append((now, now + seconds))
 
@@ -47,7 +47,7 @@
         """Return the arrival times from a given time on."""
         return self.times[bisect_left(self.times, then) :]
 
-    def most_while_cold(self) -> int:
+    def peak_cold_rate(self) -> int:
         """Return the most requests that arrived in any one second of a cold span."""
         most = 0
         for begin, end in self.cold_spans:
@@ -59,12 +59,12 @@
         return most
 
 
-def most_within(times: Sequence[float], span: float) -> int:
+def max_in_window(times: Sequence[float], span: float) -> int:
     """Return the largest number of the ascending times in any window of this length.
 
     Examples
     --------
-    >>> most_within([1.0, 1.5, 2.0, 4.0], 1.0)
+    >>> max_in_window([1.0, 1.5, 2.0, 4.0], 1.0)
     2
     """
     most, first = 0, 0
--- a/lynxchute/standins/backpressure_scene.py
+++ b/lynxchute/standins/backpressure_scene.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from lynxchute.standins.arrivals import most_within
+from lynxchute.standins.arrivals import max_in_window
 from lynxchute.standins.callers import CallerRequest, Callers
 from lynxchute.standins.deployment import Deployment
 
@@ -55,15 +55,17 @@
     limited, leaving, backing_off = engines
     loop = asyncio.get_running_loop()
     started_at = loop.time()
-    limited.limit, leaving.says_it_leaves = LIMIT, True
+    limited.limit, leaving.announces_leaving = LIMIT, True
     backing_off.backoff_until = started_at + BACKOFF_SECONDS
     await callers.run(seconds, rate)
-    limited_arrivals = limited.taken.since(started_at + LIMIT_GRACE_SECONDS)
-    excess = most_within(limited_arrivals, LIMIT_SPAN) - MAX_IN_LIMIT_SPAN
+    limited_arrivals = limited.arrival_log.since(started_at + LIMIT_GRACE_SECONDS)
+    excess = max_in_window(limited_arrivals, LIMIT_SPAN) - MAX_IN_LIMIT_SPAN
     limited.limit = None
     return ThrottlingViolations(
         limit_passed=max(excess, 0),
-        sent_to_leaving=len(leaving.taken.since(started_at + LEAVING_GRACE_SECONDS)),
+        sent_to_leaving=len(
+            leaving.arrival_log.since(started_at + LEAVING_GRACE_SECONDS)
+        ),
         sent_in_backoff=_sent_in_backoff(backing_off.refusals, callers.sent),
     )
 
--- a/lynxchute/standins/engine.py
+++ b/lynxchute/standins/engine.py
@@ -76,9 +76,9 @@
 
     Attributes
     ----------
-    deadly_texts
+    crash_texts
         Message texts that crash the process as soon as it runs them.
-    ends
+    restarts
         The number of crashes so far.
     """
 
@@ -93,8 +93,8 @@
         super().__init__(name)
         self.models = models
         self.runs: list[Generation] = []
-        self.deadly_texts: set[str] = set()
-        self.ends = 0
+        self.crash_texts: set[str] = set()
+        self.restarts = 0
         self._restart_task: asyncio.Task[None] | None = None
         self._cached_tokens_by_prefix: OrderedDict[str, int] = OrderedDict()
         self._first_token_delay = first_token_delay
@@ -143,7 +143,7 @@
             done=int(last) if last.isdecimal() else 0,
         )
         self.runs.append(run)
-        if question["messages"][-1]["content"] in self.deadly_texts:
+        if question["messages"][-1]["content"] in self.crash_texts:
             await self._crash(run, respond)
             return
         try:
@@ -162,7 +162,7 @@
         await respond.start(200, [*headers, ("Transfer-Encoding", "chunked")])
         await asyncio.sleep(CRASH_SECONDS)
         if self._restart_task is None or self._restart_task.done():
-            self.ends += 1
+            self.restarts += 1
             self._restart_task = asyncio.create_task(self._restart())
 
     async def _restart(self) -> None:
--- a/lynxchute/standins/platform_store.py
+++ b/lynxchute/standins/platform_store.py
@@ -159,7 +159,7 @@
         row = self.rows.get((table, part, key))
         return None if row is None else base64.b64decode(row.value or "")
 
-    def forget_history(self) -> None:
+    def discard_history(self) -> None:
         """Discard all changes so far, so that requests for them are answered 410."""
         self._discarded_until = self.version
         self._history = []
--- a/lynxchute/standins/platform_upstream.py
+++ b/lynxchute/standins/platform_upstream.py
@@ -11,7 +11,7 @@
 
 from lynxchute.platform import names
 from lynxchute.platform.names import UPSTREAM_TABLE
-from lynxchute.standins.arrivals import Arrivals
+from lynxchute.standins.arrivals import ArrivalLog
 from lynxchute.standins.platform_store import PlatformStoreStandin
 from lynxchute.standins.upstream_exchange import UpstreamExchange
 from lynxchute.standins.upstream_run import (
@@ -51,15 +51,15 @@
         Tokens of the prompt parts that it reports as cached, by id of the part.
     started_ms
         When its process started, in Unix milliseconds; None if it does not report it.
-    reached_at
+    advertised_port
         The port that it registers if a relay is in front of it; 0 for its own.
-    deadly_bodies
+    crash_bodies
         Request bodies that crash the process as soon as it runs them.
     crashes
         The number of crashes so far.
-    taken
+    arrival_log
         The arrival times of requests, and the periods in which it was cold.
-    cold_most
+    max_cold_rate
         Requests a second that it can serve while cold; one more crashes it. 0 for no
         limit.
     limit
@@ -70,7 +70,7 @@
     backoff_until
         Until when it refuses all requests and asks for a backoff of the remaining
         time, on the loop's clock.
-    says_it_leaves
+    announces_leaving
         Whether its answers announce that it is leaving, whatever its registered
         state.
     """
@@ -94,15 +94,15 @@
         self.cache: dict[str, int] = {}
         self.state = "ready"
         self.port = 0
-        self.reached_at = 0
-        self.deadly_bodies: set[bytes] = set()
+        self.advertised_port = 0
+        self.crash_bodies: set[bytes] = set()
         self.crashes = 0
-        self.taken = Arrivals()
-        self.cold_most = 0
+        self.arrival_log = ArrivalLog()
+        self.max_cold_rate = 0
         self.limit: float | None = None
         self.backoff = 0.0
         self.backoff_until = 0.0
-        self.says_it_leaves = False
+        self.announces_leaving = False
         self.connections = 0
         self.started_ms: int | None = int(time.time() * 1000)
         self._is_unresponsive = False
@@ -137,14 +137,14 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def start_again(self, after_ms: int = 1000) -> None:
+    async def restart(self, after_ms: int = 1000) -> None:
         """Restart under the same id and address, without earlier runs and cache."""
         self.started_ms = (self.started_ms or 0) + after_ms
         self.runs, self.cache, self.faults = [], {}, []
         self._is_unresponsive = False
         await self.start(self.port)
 
-    async def start_anew(self, store: PlatformStoreStandin) -> None:
+    async def start_new_process(self, store: PlatformStoreStandin) -> None:
         """Start a new process with a new id at the same address, and register it."""
         await store.drop(UPSTREAM_TABLE, self.id)
         self.id = f"i-{next(_ids):06x}"
@@ -152,14 +152,14 @@
         await self.start(self.port)
         await self.register(store)
 
-    def grow_cold(self, seconds: float) -> None:
+    def become_cold(self, seconds: float) -> None:
         """Be cold for some seconds, as after a start."""
-        self.taken.note_cold(seconds, asyncio.get_running_loop().time())
+        self.arrival_log.record_cold(seconds, asyncio.get_running_loop().time())
 
     @property
     def _cold_ms(self) -> int:
         now = asyncio.get_running_loop().time()
-        return int(max(self.taken.cold_seconds(now), 0.0) * 1000)
+        return int(max(self.arrival_log.cold_seconds(now), 0.0) * 1000)
 
     def backpressure_headers(
         self, *, is_refusal: bool = False
@@ -168,7 +168,7 @@
         headers = []
         if self.limit is not None:
             headers.append((names.UPSTREAM_LIMIT, f"{self.limit:g}"))
-        if self.says_it_leaves:
+        if self.announces_leaving:
             headers.append((names.UPSTREAM_LEAVING, "1"))
         backoff = max(
             self.backoff, self.backoff_until - asyncio.get_running_loop().time()
@@ -181,7 +181,7 @@
         """Write its entry to the store."""
         entry: dict[str, object] = {
             "service": self.service,
-            "address": f"127.0.0.1:{self.reached_at or self.port}",
+            "address": f"127.0.0.1:{self.advertised_port or self.port}",
             "zone": self.data_centre,
             "version": "v1",
             "slots": 64,
@@ -235,8 +235,7 @@
             if expected != self.id:
                 fault = Fault.MOVED
             elif (
-                self._exceeds_cold_rate(run.request_id)
-                or run.body in self.deadly_bodies
+                self._exceeds_cold_rate(run.request_id) or run.body in self.crash_bodies
             ):
                 fault = Fault.CRASH
             elif asyncio.get_running_loop().time() < self.backoff_until:
@@ -262,10 +261,10 @@
     def _exceeds_cold_rate(self, request_id: str) -> bool:
         """Record a request; return whether it exceeds the rate of a cold process."""
         now = asyncio.get_running_loop().time()
-        self.taken.note(now, request_id)
-        if not self.cold_most or self.taken.cold_seconds(now) <= 0:
+        self.arrival_log.record(now, request_id)
+        if not self.max_cold_rate or self.arrival_log.cold_seconds(now) <= 0:
             return False
-        return len(self.taken.since(now - 1.0)) > self.cold_most
+        return len(self.arrival_log.since(now - 1.0)) > self.max_cold_rate
 
     def _crash(self) -> None:
         """Crash the process, which closes all connections."""
--- a/lynxchute/standins/upstream.py
+++ b/lynxchute/standins/upstream.py
@@ -8,7 +8,7 @@
 
 from lynxchute.callers import names
 from lynxchute.http import HttpServer, Request, Responder
-from lynxchute.standins.arrivals import Arrivals
+from lynxchute.standins.arrivals import ArrivalLog
 from lynxchute.standins.faults import FAULTS_PATH, Faults
 
 STATE_PATH = "/state"
@@ -25,12 +25,12 @@
 
     Attributes
     ----------
-    taken
+    arrival_log
         The arrival times of requests, and the periods in which it was cold.
     limit
         The rate limit for all routers together that its answers declare, in requests
         a second; None for none.
-    says_it_leaves
+    announces_leaving
         Whether its answers announce that it is leaving and accepts no new work.
     backoff_until
         Until when it refuses requests and asks for a backoff, on the loop's clock.
@@ -41,9 +41,9 @@
     def __init__(self, name: str) -> None:
         self.name = name
         self.faults = Faults()
-        self.taken = Arrivals()
+        self.arrival_log = ArrivalLog()
         self.limit: float | None = None
-        self.says_it_leaves = False
+        self.announces_leaving = False
         self.backoff_until = 0.0
         self.refusals: list[tuple[float, str]] = []
         self.server = HttpServer(self._handle)
@@ -72,7 +72,7 @@
             return
         if request.headers.get(names.EXPECTED_UPSTREAM.lower()):
             now = asyncio.get_running_loop().time()
-            self.taken.note(now, request_id_of(request))
+            self.arrival_log.record(now, request_id_of(request))
             if now < self.backoff_until:
                 await self._refuse(request, respond, now)
                 return
@@ -83,7 +83,7 @@
         headers = []
         if self.limit is not None:
             headers.append((names.LIMIT, f"{self.limit:g}"))
-        if self.says_it_leaves:
+        if self.announces_leaving:
             headers.append((names.LEAVING, "1"))
         return headers
 
--- a/lynxchute/standins/upstream_exchange.py
+++ b/lynxchute/standins/upstream_exchange.py
@@ -67,7 +67,7 @@
 
     async def _fail_without_answer(self) -> bool:
         if self.fault is Fault.HANG:
-            self.run.caller_left = not await self.reader.read(1)
+            self.run.router_disconnected = not await self.reader.read(1)
         elif self.fault is Fault.RESET:
             self.writer.transport.abort()
         elif self.fault is Fault.GARBLE:
@@ -129,7 +129,7 @@
         for number in range(self.run.first_event, self.events + 1):
             await asyncio.sleep(self.event_delay)
             if self._is_router_gone():
-                self.run.caller_left = True
+                self.run.router_disconnected = True
                 return False
             event = f"id: {number}\ndata: {self.run.request_id}.{number}\n\n"
             if self.fault is Fault.CUT and number == self.events // 2:
--- a/lynxchute/standins/upstream_run.py
+++ b/lynxchute/standins/upstream_run.py
@@ -75,7 +75,7 @@
     first_event: int = 1
     events_sent: int = 0
     ended: bool = False
-    caller_left: bool = False
+    router_disconnected: bool = False
 
 
 SILENT_FAULTS = frozenset({Fault.HANG, Fault.LOSE, Fault.RESET, Fault.GARBLE})
--- a/lynxchute/upstreams/aims.py
+++ b/lynxchute/upstreams/aims.py
@@ -10,7 +10,7 @@
 
 
 @attrs.frozen
-class LatencyTargets:
+class LatencyObjectives:
     """Latency objectives that a response must meet to be on time for its caller.
 
     Attributes
@@ -29,4 +29,4 @@
     claim: Claim | None = None
 
 
-NO_TARGETS = LatencyTargets()
+NO_OBJECTIVES = LatencyObjectives()
--- a/lynxchute/upstreams/backpressure.py
+++ b/lynxchute/upstreams/backpressure.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from lynxchute.upstreams.statement import Statement
+from lynxchute.upstreams.statement import DeclaredBackpressure
 
 # When a limit ends, the permitted rate starts at the old limit, or at RAMP_FLOOR
 # requests a second if that is higher, and doubles every RAMP_DOUBLING_SECONDS. At the
@@ -61,7 +61,7 @@
 
     def record_answer(
         self,
-        statement: Statement,
+        statement: DeclaredBackpressure,
         *,
         asked_at: float,
         now: float,
@@ -91,7 +91,7 @@
 
     def record_probe_answer(
         self,
-        statement: Statement,
+        statement: DeclaredBackpressure,
         now: float,
         clock_ms: int,
         *,
@@ -166,7 +166,9 @@
         grown = 2.0 ** ((now - self.ended_at) // RAMP_DOUBLING_SECONDS)
         return float(max(self.previous_limit, RAMP_FLOOR) * grown)
 
-    def _record_lasting_state(self, statement: Statement, now: float) -> None:
+    def _record_lasting_state(
+        self, statement: DeclaredBackpressure, now: float
+    ) -> None:
         """Record draining and backoff, which a later response does not shorten."""
         self.is_leaving = self.is_leaving or statement.is_leaving
         # Several requests may have been refused at once: the longest backoff applies.
--- a/lynxchute/upstreams/backpressure_watch.py
+++ b/lynxchute/upstreams/backpressure_watch.py
@@ -8,7 +8,7 @@
 from lynxchute.telemetry import log_event
 from lynxchute.upstreams.directory import Directory
 from lynxchute.upstreams.engines import EngineClient, EngineUnavailable
-from lynxchute.upstreams.entry import Entry
+from lynxchute.upstreams.entry import UpstreamEntry
 from lynxchute.upstreams.probes import handle_probe
 from lynxchute.upstreams.rate_limits import RateLimits
 
@@ -76,7 +76,7 @@
                 self.tasks.spawn(self._probe(entry))
         self._rates.prune({entry.upstream.process for entry in throttled})
 
-    def _is_due(self, entry: Entry, now: float) -> bool:
+    def _is_due(self, entry: UpstreamEntry, now: float) -> bool:
         backpressure, upstream = entry.backpressure, entry.upstream
         # Without a known start time only a probe can tell a new process from the one
         # that is draining.
@@ -89,7 +89,7 @@
         checked_at = max(backpressure.updated_at, entry.probed_at)
         return now - checked_at >= PROBE_AFTER_SECONDS + rank * PROBE_STAGGER_SECONDS
 
-    async def _probe(self, entry: Entry) -> None:
+    async def _probe(self, entry: UpstreamEntry) -> None:
         try:
             probe = await self._engines.probe(entry.upstream)
         except EngineUnavailable as error:
--- a/lynxchute/upstreams/directory.py
+++ b/lynxchute/upstreams/directory.py
@@ -8,9 +8,9 @@
 
 from lynxchute.telemetry import log_event
 from lynxchute.upstreams.backpressure import Backpressure
-from lynxchute.upstreams.entry import Entry
+from lynxchute.upstreams.entry import UpstreamEntry
 from lynxchute.upstreams.health import Health
-from lynxchute.upstreams.statement import Statement
+from lynxchute.upstreams.statement import DeclaredBackpressure
 from lynxchute.upstreams.upstream import Upstream
 
 # Number of earlier starts under one id whose late reports are recognised. The store
@@ -41,8 +41,8 @@
     def __init__(self) -> None:
         self.cold_seconds_of: Callable[[str], float] = lambda service: 0.0
         self.clock_ms: Callable[[float], int] = lambda now: 0
-        self.entries_by_id: dict[str, Entry] = {}
-        self.backpressured_by_id: dict[str, Entry] = {}
+        self.entries_by_id: dict[str, UpstreamEntry] = {}
+        self.backpressured_by_id: dict[str, UpstreamEntry] = {}
         self.listeners: list[Callable[[], None]] = []
         self.restart_listeners: list[Callable[[Upstream], None]] = []
 
@@ -70,7 +70,7 @@
     def _put(self, upstream: Upstream, now: float, *, is_start: bool) -> bool:
         entry = self.entries_by_id.get(upstream.id)
         if entry is None:
-            entry = Entry(upstream)
+            entry = UpstreamEntry(upstream)
             self.entries_by_id[upstream.id] = entry
             if is_start:
                 entry.extend_cold(self.cold_seconds_of(upstream.service), now)
@@ -89,10 +89,10 @@
         entry.removed_at = None
         return is_changed
 
-    def record_statement(
+    def record_declaration(
         self,
-        entry: Entry,
-        statement: Statement,
+        entry: UpstreamEntry,
+        statement: DeclaredBackpressure,
         *,
         asked_at: float,
         now: float,
@@ -129,7 +129,7 @@
         return is_changed
 
     def record_probe_answer(
-        self, entry: Entry, statement: Statement, now: float
+        self, entry: UpstreamEntry, statement: DeclaredBackpressure, now: float
     ) -> None:
         """Record what the response to a probe declares about its upstream."""
         was_leaving = entry.is_leaving
@@ -143,7 +143,7 @@
         if entry.is_leaving != was_leaving:
             self.changed()
 
-    def record_leaving(self, entry: Entry, now: float) -> None:
+    def record_leaving(self, entry: UpstreamEntry, now: float) -> None:
         """Record the report of another router that an upstream is draining."""
         if entry.backpressure.is_leaving:
             return
@@ -151,7 +151,7 @@
         self.update_backpressured(entry, now)
         self.changed()
 
-    def update_backpressured(self, entry: Entry, now: float) -> None:
+    def update_backpressured(self, entry: UpstreamEntry, now: float) -> None:
         """Add an upstream to `backpressured_by_id` or remove it, as appropriate."""
         upstream_id = entry.upstream.id
         is_known = self.entries_by_id.get(upstream_id) is entry
@@ -165,7 +165,7 @@
         entry = self.entries_by_id.get(upstream_id)
         return "" if entry is None else entry.backpressure.describe(now)
 
-    def with_backpressure(self, service: str, now: float) -> list[Entry]:
+    def with_backpressure(self, service: str, now: float) -> list[UpstreamEntry]:
         """Return the upstreams of a service that have backpressure to report."""
         for entry in list(self.backpressured_by_id.values()):
             self.update_backpressured(entry, now)
@@ -176,7 +176,7 @@
         return found
 
     def record_start(
-        self, entry: Entry, started_ms: int | None, now: float = 0.0
+        self, entry: UpstreamEntry, started_ms: int | None, now: float = 0.0
     ) -> bool:
         """Record a process's start time; return whether the process is a new one.
 
@@ -195,13 +195,15 @@
         self.entries_by_id[upstream.id].expires_at = expires_at
         return True
 
-    def _replace_process(self, entry: Entry, upstream: Upstream, now: float) -> None:
+    def _replace_process(
+        self, entry: UpstreamEntry, upstream: Upstream, now: float
+    ) -> None:
         """Discard all state of the previous process with an upstream's id."""
         before = entry.upstream
         known_start_ms = before.started_ms or 0
         if (upstream.started_ms or 0) > known_start_ms:
             starts = (*entry.earlier_starts, known_start_ms)[-MAX_EARLIER_STARTS:]
-            replacement = Entry(upstream, earlier_starts=starts)
+            replacement = UpstreamEntry(upstream, earlier_starts=starts)
             replacement.extend_cold(self.cold_seconds_of(upstream.service), now)
             self.entries_by_id[upstream.id] = replacement
             # The previous process has ended. If its VM lost power there is no
@@ -270,7 +272,7 @@
             found += entry.takes_work and now < entry.cold_until
         return found
 
-    def count_limits(self) -> int:
+    def count_limited(self) -> int:
         """Return how many upstreams have a rate limit."""
         entries = self.backpressured_by_id.values()
         return sum(1 for entry in entries if entry.backpressure.limit is not None)
@@ -289,7 +291,7 @@
                 found.append(upstream_id)
         return found
 
-    def available(self, service: str, now: float) -> Iterator[Entry]:
+    def available(self, service: str, now: float) -> Iterator[UpstreamEntry]:
         """Yield the upstreams of a service that accept work, or may do so again."""
         for entry in self.entries_by_id.values():
             if entry.upstream.service != service:
--- a/lynxchute/upstreams/engines.py
+++ b/lynxchute/upstreams/engines.py
@@ -7,7 +7,7 @@
 import attrs
 
 from lynxchute.upstreams.generation import PromptPart
-from lynxchute.upstreams.statement import NOTHING_STATED, Statement
+from lynxchute.upstreams.statement import NO_BACKPRESSURE, DeclaredBackpressure
 from lynxchute.upstreams.upstream import Upstream
 
 
@@ -45,7 +45,7 @@
 
     started_ms: int | None = None
     cold_seconds: float = 0.0
-    statement: Statement = NOTHING_STATED
+    statement: DeclaredBackpressure = NO_BACKPRESSURE
     active_requests: int | None = None
 
 
--- a/lynxchute/upstreams/entry.py
+++ b/lynxchute/upstreams/entry.py
@@ -11,7 +11,7 @@
 from lynxchute.quarantine import Progress
 from lynxchute.upstreams.backpressure import Backpressure
 from lynxchute.upstreams.health import Health
-from lynxchute.upstreams.statement import NOTHING_STATED, Statement
+from lynxchute.upstreams.statement import NO_BACKPRESSURE, DeclaredBackpressure
 from lynxchute.upstreams.upstream import Upstream
 
 # Seconds of a response after which its request cannot be the cause of the upstream's
@@ -92,7 +92,7 @@
 
 
 @attrs.define(eq=False)
-class Entry:
+class UpstreamEntry:
     """An upstream, its health, and this router's open requests there.
 
     Attributes
@@ -134,7 +134,7 @@
     probed_at: float = 0.0
     earlier_starts: tuple[int, ...] = ()
     cold_until: float = 0.0
-    last_statement: Statement = NOTHING_STATED
+    last_statement: DeclaredBackpressure = NO_BACKPRESSURE
     backpressure: Backpressure = attrs.Factory(Backpressure)
     reported_requests: int = 0
     reported_at: float = -math.inf
--- a/lynxchute/upstreams/expected_finish.py
+++ b/lynxchute/upstreams/expected_finish.py
@@ -8,8 +8,8 @@
 
 import attrs
 
-from lynxchute.upstreams.aims import NO_TARGETS, LatencyTargets
-from lynxchute.upstreams.entry import Entry
+from lynxchute.upstreams.aims import NO_OBJECTIVES, LatencyObjectives
+from lynxchute.upstreams.entry import UpstreamEntry
 from lynxchute.upstreams.generation import Generation
 from lynxchute.upstreams.learned_speed import MAX_SLOWNESS
 from lynxchute.upstreams.permits import Permits
@@ -111,7 +111,7 @@
     return [weight / total for weight in raw]
 
 
-class ExpectedFinish(Placement):
+class ExpectedCompletion(Placement):
     """Distribute calls by the expected completion time at each upstream.
 
     It suits upstreams that differ in speed or become slow for fractions of a second: a
@@ -155,8 +155,8 @@
         self,
         run_id: str,
         generation: Generation | None,
-        candidates: Sequence[Entry],
-        aims: LatencyTargets = NO_TARGETS,
+        candidates: Sequence[UpstreamEntry],
+        aims: LatencyObjectives = NO_OBJECTIVES,
     ) -> Choice | None:
         """Return an upstream drawn by weight among those that accept the request."""
         now = self._clock()
@@ -172,7 +172,7 @@
                 return choice
         return None
 
-    def state_of(self, entry: Entry, now: float) -> UpstreamState:
+    def state_of(self, entry: UpstreamEntry, now: float) -> UpstreamState:
         """Return the current state of an upstream."""
         overdue = max((s.overdue_ratio(now) for s in entry.open_sends), default=0.0)
         return UpstreamState(
--- a/lynxchute/upstreams/load_report.py
+++ b/lynxchute/upstreams/load_report.py
@@ -9,7 +9,7 @@
 from lynxchute.upstreams.engines import Probe
 from lynxchute.upstreams.generation import PromptPart
 from lynxchute.upstreams.http_engines import HttpEngineClient, no_answer
-from lynxchute.upstreams.statement_headers import StatementHeaders
+from lynxchute.upstreams.statement_headers import BackpressureHeaders
 from lynxchute.upstreams.upstream import Upstream
 
 # Load and cache of an engine: `{"running": 3, "cached": [["id", 120]]}`.
@@ -31,7 +31,7 @@
 
     LIST_PATH = LOAD_PATH
 
-    def __init__(self, clients: ClientPool, headers: StatementHeaders) -> None:
+    def __init__(self, clients: ClientPool, headers: BackpressureHeaders) -> None:
         super().__init__(clients)
         self._headers = headers
 
--- a/lynxchute/upstreams/neighbourhood.py
+++ b/lynxchute/upstreams/neighbourhood.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 
 from lynxchute.upstreams.directory import Directory
-from lynxchute.upstreams.entry import Entry
+from lynxchute.upstreams.entry import UpstreamEntry
 
 # Up to this number of upstreams, all are considered for each request: the cost of each
 # (14 us to place a request, 4 us to build the placement request) adds up to 2 ms. With
@@ -78,7 +78,7 @@
         """Discard the cached ids, because the directory has changed."""
         self._ids_by_service = {}
 
-    def entries(self, service: str, key: str, now: float) -> list[Entry]:
+    def entries(self, service: str, key: str, now: float) -> list[UpstreamEntry]:
         """Return the candidates for a key that accept work, or may do so again."""
         if len(self._ids(service)) <= FULL_SCAN_LIMIT:
             return list(self._directory.available(service, now))
--- a/lynxchute/upstreams/permits.py
+++ b/lynxchute/upstreams/permits.py
@@ -4,14 +4,14 @@
 
 from abc import ABC, abstractmethod
 
-from lynxchute.upstreams.entry import Entry
+from lynxchute.upstreams.entry import UpstreamEntry
 
 
 class Permits(ABC):
     """Request admission to upstreams with a rate limit."""
 
     @abstractmethod
-    async def request_permit(self, entry: Entry) -> float:
+    async def request_permit(self, entry: UpstreamEntry) -> float:
         """Request admission for one send.
 
         Returns
--- a/lynxchute/upstreams/placement.py
+++ b/lynxchute/upstreams/placement.py
@@ -7,8 +7,8 @@
 
 import attrs
 
-from lynxchute.upstreams.aims import NO_TARGETS, LatencyTargets
-from lynxchute.upstreams.entry import Entry
+from lynxchute.upstreams.aims import NO_OBJECTIVES, LatencyObjectives
+from lynxchute.upstreams.entry import UpstreamEntry
 from lynxchute.upstreams.generation import Generation
 from lynxchute.upstreams.permits import Permits
 from lynxchute.upstreams.send_gate import SendGate
@@ -28,21 +28,21 @@
         Expected time until the first event of the response; 0 if unknown.
     placed_by
         VM that chose the upstream; empty for this one.
-    permit_until
+    cold_permit_until
         Until when the request may be sent although the upstream is cold, on the steady
         clock in seconds; 0 if it may not.
-    admitted_until
+    rate_permit_until
         Until when it may be sent although the upstream has a rate limit, likewise.
     is_placed_alone
         Whether this VM chose without the VM that schedules for the service.
     """
 
-    entry: Entry
+    entry: UpstreamEntry
     fetch_from: Upstream | None = None
     expected_seconds: float = 0.0
     placed_by: str = ""
-    permit_until: float = 0.0
-    admitted_until: float = 0.0
+    cold_permit_until: float = 0.0
+    rate_permit_until: float = 0.0
     is_placed_alone: bool = False
 
 
@@ -54,8 +54,8 @@
         self,
         run_id: str,
         generation: Generation | None,
-        candidates: Sequence[Entry],
-        aims: LatencyTargets = NO_TARGETS,
+        candidates: Sequence[UpstreamEntry],
+        aims: LatencyObjectives = NO_OBJECTIVES,
     ) -> Choice | None:
         """Return one of the candidates, of which there is at least one.
 
@@ -129,8 +129,8 @@
         self,
         run_id: str,
         generation: Generation | None,
-        candidates: Sequence[Entry],
-        aims: LatencyTargets = NO_TARGETS,
+        candidates: Sequence[UpstreamEntry],
+        aims: LatencyObjectives = NO_OBJECTIVES,
     ) -> Choice | None:
         """Return the upstream of the lowest cost that admits the request.
 
@@ -150,17 +150,21 @@
                 return choice
         return None
 
-    def _cost(self, entry: Entry, now: float) -> float:
+    def _cost(self, entry: UpstreamEntry, now: float) -> float:
         far = entry.upstream.data_centre != self._data_centre
         cost = entry.open_requests + (self._near_bonus if far else 0)
         return cost + 20.0 * entry.health.recent_bad_share(now)
 
 
 async def admitted_choice(
-    entry: Entry, gate: SendGate, permits: Permits, now: float
+    entry: UpstreamEntry, gate: SendGate, permits: Permits, now: float
 ) -> Choice | None:
     """Return an upstream as the choice if its rate limit admits the request."""
     if not gate.rates.is_limited(entry, now) or gate.rates.has_turn(entry, now):
         return Choice(entry)
-    admitted_until = await permits.request_permit(entry)
-    return Choice(entry, admitted_until=admitted_until) if admitted_until else None
+    rate_permit_until = await permits.request_permit(entry)
+    return (
+        Choice(entry, rate_permit_until=rate_permit_until)
+        if rate_permit_until
+        else None
+    )
--- a/lynxchute/upstreams/probes.py
+++ b/lynxchute/upstreams/probes.py
@@ -5,10 +5,12 @@
 from lynxchute.telemetry import log_event
 from lynxchute.upstreams.directory import Directory
 from lynxchute.upstreams.engines import Probe
-from lynxchute.upstreams.entry import Entry
+from lynxchute.upstreams.entry import UpstreamEntry
 
 
-def handle_probe(directory: Directory, entry: Entry, probe: Probe, now: float) -> None:
+def handle_probe(
+    directory: Directory, entry: UpstreamEntry, probe: Probe, now: float
+) -> None:
     """Update an upstream's start time, warm-up and backpressure by a probe response."""
     if directory.record_start(entry, probe.started_ms, now):
         directory.changed()
--- a/lynxchute/upstreams/rate_limits.py
+++ b/lynxchute/upstreams/rate_limits.py
@@ -9,7 +9,7 @@
 import attrs
 
 from lynxchute.upstreams.cold_admission import HeldRank
-from lynxchute.upstreams.entry import Entry
+from lynxchute.upstreams.entry import UpstreamEntry
 from lynxchute.upstreams.rate_sharing import (
     CONFIRMED_SECONDS,
     RateSharing,
@@ -90,16 +90,16 @@
         self._store_silence = store_silence
         self._usage_by_process: dict[str, _Usage] = {}
 
-    def is_limited(self, entry: Entry, now: float) -> bool:
+    def is_limited(self, entry: UpstreamEntry, now: float) -> bool:
         """Return whether an upstream accepts a limited rate only."""
         return entry.backpressure.rate(now) is not None
 
-    def has_turn(self, entry: Entry, now: float) -> bool:
+    def has_turn(self, entry: UpstreamEntry, now: float) -> bool:
         """Return whether this router may send a request in its own turn now."""
         turn = self._own_turn(entry, now)
         return turn is not None and self._usage(entry, now).has_turn_left(turn)
 
-    def use_turn(self, entry: Entry, now: float) -> bool:
+    def use_turn(self, entry: UpstreamEntry, now: float) -> bool:
         """Use this router's turn for one request; return whether that was possible."""
         turn = self._own_turn(entry, now)
         usage = self._usage(entry, now)
@@ -108,12 +108,12 @@
         usage.record_send(turn, self._clock_ms(now))
         return True
 
-    def may_admit(self, entry: Entry, now: float) -> bool:
+    def may_admit(self, entry: UpstreamEntry, now: float) -> bool:
         """Return whether this router may admit a request on behalf of all routers."""
         rate = self._central_rate(entry, now)
         return rate > 0.0 and self._usage(entry, now).bucket.has_room(rate, now)
 
-    def admit(self, entry: Entry, now: float) -> bool:
+    def admit(self, entry: UpstreamEntry, now: float) -> bool:
         """Admit a request on behalf of all routers; return whether there was room."""
         rate = self._central_rate(entry, now)
         return rate > 0.0 and self._usage(entry, now).bucket.consume(rate, now)
@@ -129,7 +129,7 @@
             if process not in processes:
                 del self._usage_by_process[process]
 
-    def _central_rate(self, entry: Entry, now: float) -> float:
+    def _central_rate(self, entry: UpstreamEntry, now: float) -> float:
         rate = entry.backpressure.rate(now)
         if rate is None:
             return 0.0
@@ -142,7 +142,7 @@
         is_confirmed = self._store_silence(now) < CONFIRMED_SECONDS
         return self._sharing.central_rate(rate, is_confirmed=is_confirmed)
 
-    def _own_turn(self, entry: Entry, now: float) -> Turn | None:
+    def _own_turn(self, entry: UpstreamEntry, now: float) -> Turn | None:
         rate = entry.backpressure.rate(now)
         position = self._position_of(entry.upstream.service)
         clock_ms = self._clock_ms(now)
@@ -151,7 +151,7 @@
         offset = zlib.crc32(entry.upstream.process.encode())
         return own_turn(self._sharing.turn_rate(rate), position, offset, clock_ms)
 
-    def _usage(self, entry: Entry, now: float) -> _Usage:
+    def _usage(self, entry: UpstreamEntry, now: float) -> _Usage:
         process = entry.upstream.process
         usage = self._usage_by_process.get(process)
         if usage is None:
--- a/lynxchute/upstreams/send_gate.py
+++ b/lynxchute/upstreams/send_gate.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from lynxchute.upstreams.cold_admission import ColdLimits
-from lynxchute.upstreams.entry import Entry
+from lynxchute.upstreams.entry import UpstreamEntry
 from lynxchute.upstreams.evacuations import Evacuations
 from lynxchute.upstreams.rate_limits import RateLimits
 from lynxchute.upstreams.upstream import Upstream
@@ -68,11 +68,11 @@
         """Return whether an upstream is in an evacuated data centre."""
         return self._evacuations.is_evacuated(upstream.data_centre)
 
-    def is_cold(self, entry: Entry, now: float) -> bool:
+    def is_cold(self, entry: UpstreamEntry, now: float) -> bool:
         """Return whether an upstream is cold and therefore limited."""
         return self._limits_of(entry.upstream.service).is_active(entry.cold_until, now)
 
-    def may_query(self, entry: Entry, now: float) -> bool:
+    def may_query(self, entry: UpstreamEntry, now: float) -> bool:
         """Return whether the router may send a query of its own to an upstream.
 
         Such queries are not urgent. Probes are not subject to this check.
@@ -85,20 +85,20 @@
 
     def withheld_reason(
         self,
-        entry: Entry,
+        entry: UpstreamEntry,
         *,
-        permit_until: float,
-        admitted_until: float = 0.0,
+        cold_permit_until: float,
+        rate_permit_until: float = 0.0,
         now: float,
     ) -> WithheldReason | None:
         """Return why a request must not be sent now; None if it may be sent.
 
         Parameters
         ----------
-        permit_until
+        cold_permit_until
             Until when the request may be sent although the upstream is cold, in
             seconds.
-        admitted_until
+        rate_permit_until
             Until when it may be sent although the upstream has a rate limit; later it
             uses this router's own turn, if there is one.
         """
@@ -108,8 +108,8 @@
             return WithheldReason.LEAVING
         if entry.backpressure.is_backing_off(now):
             return WithheldReason.BACKOFF
-        if now >= permit_until and self.is_cold(entry, now):
+        if now >= cold_permit_until and self.is_cold(entry, now):
             return WithheldReason.COLD
-        if now < admitted_until or not self.rates.is_limited(entry, now):
+        if now < rate_permit_until or not self.rates.is_limited(entry, now):
             return None
         return None if self.rates.use_turn(entry, now) else WithheldReason.LIMITED
--- a/lynxchute/upstreams/service_times.py
+++ b/lynxchute/upstreams/service_times.py
@@ -118,7 +118,7 @@
         self._by_upstream.pop(upstream_id, None)
         self.speeds.discard_upstream(upstream_id)
 
-    def keep_only(self, upstream_ids: Container[str]) -> None:
+    def prune(self, upstream_ids: Container[str]) -> None:
         """Drop the samples of all other upstreams."""
         for upstream_id in list(self._by_upstream):
             if upstream_id not in upstream_ids:
--- a/lynxchute/upstreams/silence.py
+++ b/lynxchute/upstreams/silence.py
@@ -9,7 +9,7 @@
 from lynxchute.telemetry import log_event
 from lynxchute.upstreams.directory import Directory
 from lynxchute.upstreams.engines import EngineClient, EngineUnavailable
-from lynxchute.upstreams.entry import Entry
+from lynxchute.upstreams.entry import UpstreamEntry
 from lynxchute.upstreams.health import SendOutcome
 from lynxchute.upstreams.probes import handle_probe
 
@@ -83,7 +83,7 @@
             elif self._reachability.is_unreachable(entry.upstream.data_centre):
                 self._probe_unreachable(entry, now)
 
-    def _is_probe_due(self, entry: Entry, now: float, seconds: float) -> bool:
+    def _is_probe_due(self, entry: UpstreamEntry, now: float, seconds: float) -> bool:
         """Return whether an upstream with pending responses is due for a probe."""
         if not entry.open_sends or now - entry.heard_at < seconds:
             return False
@@ -91,7 +91,7 @@
             return False
         return any(send.may_resend() for send in entry.open_sends)
 
-    def _probe_unreachable(self, entry: Entry, now: float) -> None:
+    def _probe_unreachable(self, entry: UpstreamEntry, now: float) -> None:
         """Probe a data centre's upstreams in turn until it is reachable again."""
         data_centre = entry.upstream.data_centre
         asked_at = self._unreachable_probed_at.get(
@@ -104,11 +104,11 @@
         self._unreachable_probed_at[data_centre] = now
         self._start_probe(entry, now)
 
-    def _start_probe(self, entry: Entry, now: float) -> None:
+    def _start_probe(self, entry: UpstreamEntry, now: float) -> None:
         entry.probed_at = now
         self.tasks.spawn(self._send_probe(entry))
 
-    async def _send_probe(self, entry: Entry) -> None:
+    async def _send_probe(self, entry: UpstreamEntry) -> None:
         asked_at = self._clock()
         try:
             probe = await self._engines.probe(entry.upstream)
@@ -130,7 +130,7 @@
             if entry.upstream.data_centre == data_centre:
                 entry.health.resume()
 
-    def _probe_others(self, silent: Entry) -> None:
+    def _probe_others(self, silent: UpstreamEntry) -> None:
         """Probe the other upstreams of a data centre earlier than usual."""
         data_centre, now = silent.upstream.data_centre, self._clock()
         self._reachability.record_timeout(
@@ -142,7 +142,7 @@
             if self._is_probe_due(entry, now, SUSPECT_SILENT_SECONDS):
                 self._start_probe(entry, now)
 
-    def _cancel_sends(self, entry: Entry, reason: str) -> None:
+    def _cancel_sends(self, entry: UpstreamEntry, reason: str) -> None:
         entry.health.record(SendOutcome.UNREACHED, self._clock())
         moving = [send for send in entry.open_sends if send.may_resend()]
         if not moving:
--- a/lynxchute/upstreams/statement.py
+++ b/lynxchute/upstreams/statement.py
@@ -6,7 +6,7 @@
 
 
 @attrs.frozen
-class Statement:
+class DeclaredBackpressure:
     """Backpressure that one response declares about the upstream that sent it.
 
     Attributes
@@ -28,4 +28,4 @@
     unreadable: tuple[str, ...] = ()
 
 
-NOTHING_STATED = Statement()
+NO_BACKPRESSURE = DeclaredBackpressure()
--- a/lynxchute/upstreams/statement_headers.py
+++ b/lynxchute/upstreams/statement_headers.py
@@ -7,7 +7,7 @@
 import attrs
 
 from lynxchute.http import Headers
-from lynxchute.upstreams.statement import NOTHING_STATED, Statement
+from lynxchute.upstreams.statement import NO_BACKPRESSURE, DeclaredBackpressure
 
 # RFC 9110, section 10.2.3. The HTTP-date form of that section is not supported.
 RETRY_AFTER = "Retry-After"
@@ -23,7 +23,7 @@
 
 
 @attrs.frozen
-class StatementHeaders:
+class BackpressureHeaders:
     """Names of the headers in which upstreams declare backpressure.
 
     Attributes
@@ -36,7 +36,7 @@
 
     Examples
     --------
-    >>> headers = StatementHeaders("X-Limit", "X-Leaving")
+    >>> headers = BackpressureHeaders("X-Limit", "X-Leaving")
     >>> headers.decode(200, Headers([(b"X-Limit", b"1.5")])).limit
     1.5
     >>> headers.decode(503, Headers([(b"Retry-After", b"3")])).backoff
@@ -48,7 +48,7 @@
     limit: str
     leaving: str
 
-    def decode(self, status: int, headers: Headers) -> Statement:
+    def decode(self, status: int, headers: Headers) -> DeclaredBackpressure:
         """Return what the head of a response declares.
 
         If a header occurs several times, the strictest value counts.
@@ -61,7 +61,7 @@
         """
         is_declared = self.limit.lower() in headers or self.leaving.lower() in headers
         if not is_declared and status != SERVICE_UNAVAILABLE:
-            return NOTHING_STATED
+            return NO_BACKPRESSURE
         unreadable: list[str] = []
         limits = _numbers(headers, self.limit, unreadable)
         backoffs = [0.0]
@@ -71,7 +71,7 @@
         for value in leaving:
             if value not in ("0", "1"):
                 unreadable.append(f"{self.leaving}: {value[:LOGGED_CHARACTERS]}")
-        return Statement(
+        return DeclaredBackpressure(
             limit=min(*limits, MAX_LIMIT) if limits else None,
             backoff=min(max(backoffs), MAX_BACKOFF),
             is_leaving="1" in leaving,
--- a/tests/backpressure_machine.py
+++ b/tests/backpressure_machine.py
@@ -30,7 +30,7 @@
 from lynxchute.upstreams.rate_limits import RateLimits
 from lynxchute.upstreams.rate_sharing import MostlyCentral, TurnPosition
 from lynxchute.upstreams.send_gate import SendGate
-from lynxchute.upstreams.statement import Statement
+from lynxchute.upstreams.statement import DeclaredBackpressure
 from lynxchute.upstreams.upstream import Upstream
 
 ROUTERS = 4
@@ -69,7 +69,7 @@
     number: int
     run: int
     sent_at: float
-    statement: Statement | None = None
+    statement: DeclaredBackpressure | None = None
 
 
 @attrs.frozen
@@ -269,7 +269,7 @@
         self.now += 0.1
         for answer in self.answers:
             if answer.statement is None and answer.made_at <= self.now:
-                answer.statement = Statement(self.limit)
+                answer.statement = DeclaredBackpressure(self.limit)
         due = [answer for answer in self.answers if answer.at <= self.now]
         self.answers = [answer for answer in self.answers if answer.at > self.now]
         for answer in due:
@@ -293,7 +293,7 @@
 
     def place_and_send(self, router, delay, transit):
         """Give a router one request, which it sends if it may."""
-        asked_at, admitted_until = self.now, 0.0
+        asked_at, rate_permit_until = self.now, 0.0
         central = self.central_router_of(router)
         self.share_backpressure(router, central)
         self.share_backpressure(central, router)
@@ -301,8 +301,8 @@
         if rates.is_limited(entry, asked_at) and not rates.has_turn(entry, asked_at):
             if not central.gate.rates.admit(central.entry, asked_at):
                 return
-            admitted_until = asked_at + PERMIT_SECONDS
-        self.send(router, delay, transit, admitted_until)
+            rate_permit_until = asked_at + PERMIT_SECONDS
+        self.send(router, delay, transit, rate_permit_until)
 
     def central_router_of(self, router):
         """Return the router of lowest rank that a router can reach in its view."""
@@ -314,11 +314,11 @@
                 return other
         return router
 
-    def send(self, router, delay, transit, admitted_until):
+    def send(self, router, delay, transit, rate_permit_until):
         withheld = router.gate.withheld_reason(
             router.entry,
-            permit_until=0.0,
-            admitted_until=admitted_until,
+            cold_permit_until=0.0,
+            rate_permit_until=rate_permit_until,
             now=self.now,
         )
         if withheld is not None:
@@ -337,7 +337,7 @@
         router = self.routers[answer.number]
         if router.run != answer.run:
             return
-        router.directory.record_statement(
+        router.directory.record_declaration(
             router.entry, answer.statement, asked_at=answer.sent_at, now=self.now
         )
         if self.limit is not None and answer.statement.limit is not None:
--- a/tests/backpressure_mutants.py
+++ b/tests/backpressure_mutants.py
@@ -5,7 +5,7 @@
 from lynxchute.upstreams import rate_limits, rate_sharing
 from lynxchute.upstreams.backpressure import Backpressure
 from lynxchute.upstreams.directory import Directory
-from lynxchute.upstreams.entry import Entry
+from lynxchute.upstreams.entry import UpstreamEntry
 from lynxchute.upstreams.rate_limits import RateLimits
 from lynxchute.upstreams.rate_sharing import MostlyCentral, TurnPosition, own_turn
 
@@ -95,7 +95,7 @@
 
 def ignore_leaving_in_answers():
     is_leaving = property(lambda self: self.upstream.is_leaving)
-    return mock.patch.object(Entry, "is_leaving", is_leaving)
+    return mock.patch.object(UpstreamEntry, "is_leaving", is_leaving)
 
 
 def skip_the_backoff_check_before_sending():
--- a/tests/cold_machine.py
+++ b/tests/cold_machine.py
@@ -27,7 +27,7 @@
 from lynxchute.upstreams.evacuations import Evacuations
 from lynxchute.upstreams.send_gate import SendGate
 from lynxchute.upstreams.upstream import Upstream
-from tests.support import no_limits_kept
+from tests.support import unlimited_rates
 
 ROUTERS = 4
 LIMITS = ColdLimits(start_seconds=3.0, per_second=6.6, factor=1.5, extra=5.0)
@@ -87,7 +87,7 @@
         self.arrivals = []
         self.informed = set()
         self.waiting = []
-        self.gate = SendGate(Evacuations(), lambda name: LIMITS, no_limits_kept())
+        self.gate = SendGate(Evacuations(), lambda name: LIMITS, unlimited_rates())
 
     @initialize()
     def begin(self):
@@ -243,7 +243,7 @@
                 entry.extend_cold(self.cold_until - self.now, self.now)
             permit = send.asked_at + PERMIT_SECONDS if send.is_counted else 0.0
             if (
-                self.gate.withheld_reason(entry, permit_until=permit, now=self.now)
+                self.gate.withheld_reason(entry, cold_permit_until=permit, now=self.now)
                 is None
             ):
                 self.arrivals.append(self.now)
--- a/tests/cold_mutants.py
+++ b/tests/cold_mutants.py
@@ -5,7 +5,7 @@
 from lynxchute.scheduling.cold_placements import ColdPlacementLimiter
 from lynxchute.upstreams import cold_admission
 from lynxchute.upstreams.cold_admission import RecentPlacements
-from lynxchute.upstreams.entry import Entry
+from lynxchute.upstreams.entry import UpstreamEntry
 from lynxchute.upstreams.send_gate import SendGate
 
 
@@ -26,15 +26,15 @@
         self.cold_until = now + seconds
         return True
 
-    return mock.patch.object(Entry, "extend_cold", extend_cold)
+    return mock.patch.object(UpstreamEntry, "extend_cold", extend_cold)
 
 
 def extend_permits():
     withheld_reason = SendGate.withheld_reason
 
-    def withhold(self, entry, *, permit_until, now, **more):
-        until = now + 1.0 if permit_until else 0.0
-        return withheld_reason(self, entry, permit_until=until, now=now, **more)
+    def withhold(self, entry, *, cold_permit_until, now, **more):
+        until = now + 1.0 if cold_permit_until else 0.0
+        return withheld_reason(self, entry, cold_permit_until=until, now=now, **more)
 
     return mock.patch.object(SendGate, "withheld_reason", withhold)
 
--- a/tests/soak/backpressure.py
+++ b/tests/soak/backpressure.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from lynxchute.standins.arrivals import most_within
+from lynxchute.standins.arrivals import max_in_window
 from lynxchute.telemetry import log_event
 
 LIMIT_GUARANTEE = "throttled upstreams get what they name"
@@ -108,7 +108,7 @@
                 continue
             if arrival.at >= max(bound_from, since + GRACE_SECONDS):
                 bound_times.append(arrival.at)
-        peak = most_within(bound_times, WINDOW_SECONDS)
+        peak = max_in_window(bound_times, WINDOW_SECONDS)
         allowed = int(LIMIT_FACTOR * max(limits) * WINDOW_SECONDS + LIMIT_EXTRA)
         if peak > allowed:
             detail = f"{standin.id}: {peak} of {allowed} at limits {limits}"
@@ -147,7 +147,7 @@
         log_event("soak fault", fault=f"{standin.id} says that it leaves")
         loop = asyncio.get_running_loop()
         since = loop.time()
-        standin.says_it_leaves = True
+        standin.announces_leaving = True
         upstream.is_up = False
         await self._fleet.add_upstream(standin.service, standin.data_centre)
         await asyncio.sleep(self._rng.uniform(*PHASE_DURATION))
@@ -172,7 +172,7 @@
         """Return the arrivals at an upstream within a time span."""
         records = {r.request_id: r for r in self._callers.records}
         arrivals = []
-        for at, request_id in standin.taken.items():
+        for at, request_id in standin.arrival_log.items():
             record = records.get(request_id)
             if record is not None and since <= at < until:
                 arrivals.append(Arrival(at, record.vm, record.start_number))
--- a/tests/soak/deadly.py
+++ b/tests/soak/deadly.py
@@ -125,7 +125,7 @@
 
     def _mark_body_deadly(self):
         for upstream in self._fleet.upstreams:
-            upstream.standin.deadly_bodies.add(DEADLY_BODY)
+            upstream.standin.crash_bodies.add(DEADLY_BODY)
 
     async def _watch_crashes(self):
         """Record the crashes of upstreams and restart each crashed upstream."""
@@ -144,4 +144,4 @@
     async def _restart(self, upstream):
         await asyncio.sleep(self._rng.uniform(*RESTART_DELAY))
         if upstream.is_up:
-            await upstream.standin.start_anew(self._fleet.store)
+            await upstream.standin.start_new_process(self._fleet.store)
--- a/tests/soak/evacuator.py
+++ b/tests/soak/evacuator.py
@@ -80,7 +80,7 @@
             if standin.data_centre != data_centre or standin.service != "pool":
                 continue
             if upstream.is_up:
-                standin.grow_cold(COLD_SECONDS)
+                standin.become_cold(COLD_SECONDS)
                 await standin.register(self._fleet.store)
 
     def _undisturbed_vms(self):
@@ -103,7 +103,7 @@
             standin = upstream.standin
             if standin.data_centre != span.data_centre:
                 continue
-            for time, request_id in standin.taken.items():
+            for time, request_id in standin.arrival_log.items():
                 is_in_span = span.since <= time < span.until
                 if is_in_span and vms_by_request.get(request_id) in undisturbed_vms:
                     detail = f"{request_id} at {standin.id}"
@@ -114,7 +114,7 @@
     def check_cold(self):
         """Check that no cold upstream got more than MAX_COLD_REQUESTS in a second."""
         for upstream in self._fleet.upstreams:
-            peak = upstream.standin.taken.most_while_cold()
+            peak = upstream.standin.arrival_log.peak_cold_rate()
             if peak > MAX_COLD_REQUESTS:
                 detail = f"{upstream.standin.id}: {peak} in a second"
                 self._checker.record_violation(COLD_GUARANTEE, detail)
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -299,7 +299,7 @@
     async def _store_forgets(self):
         """Discard the store's history of changes."""
         self._store_fault_count += 1
-        self._fleet.store.forget_history()
+        self._fleet.store.discard_history()
 
     async def _upstream_faults(self):
         """Make an upstream fail up to 6 of its next requests."""
--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -117,10 +117,10 @@
         await standin.start()
         link = Link(f"127.0.0.1:{standin.port}")
         await link.start()
-        standin.reached_at = link.port
+        standin.advertised_port = link.port
         if self.version and service == "pool":
             # An engine that joins a running fleet starts cold.
-            standin.grow_cold(COLD_SECONDS)
+            standin.become_cold(COLD_SECONDS)
         await standin.register(self.store)
         upstream = SoakUpstream(standin, link)
         self.upstreams.append(upstream)
--- a/tests/support.py
+++ b/tests/support.py
@@ -17,7 +17,7 @@
 CHAT = "/v1/chat/completions"
 
 
-def no_limits_kept():
+def unlimited_rates():
     """Return rate limits of a router without the store's clock and other routers."""
     return RateLimits(
         MostlyCentral(), lambda *_: None, lambda _: None, lambda _: 0, lambda _: 0.0
@@ -90,7 +90,7 @@
             await asyncio.sleep(0.02)
 
 
-async def counts_match(deployment, timeout=10):
+async def wait_for_matching_counts(deployment, timeout=10):
     """Wait until the routers' counts equal the upstreams' records of use."""
     async with asyncio.timeout(timeout):
         while counted_by_account(deployment) != served_by_account(deployment):
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 
 from lynxchute.bench import budget_scene
-from lynxchute.bench.budget_kept import KeptEscrow
+from lynxchute.bench.budget_kept import LocalReserveEscrow
 from lynxchute.bench.budget_schemes import Cached, Central, Escrow, Static
 from lynxchute.bench.budgets import play
 from lynxchute.budgets import DemandPolicy, ShareView
@@ -180,7 +180,10 @@
 
     def test_local_reserves_are_never_overspent_and_lose_few_tokens(self):
         for scene in ("no_faults", "cut_and_death", "all_die"):
-            escrow, kept = self.play(Escrow, scene), self.play(KeptEscrow, scene)
+            escrow, kept = (
+                self.play(Escrow, scene),
+                self.play(LocalReserveEscrow, scene),
+            )
             self.assertEqual(0, kept.overspend)
             self.assertLessEqual(kept.lost, 1.15 * escrow.lost)
             self.assertLessEqual(kept.store_calls, 1.2 * escrow.store_calls)
@@ -190,9 +193,9 @@
         trace = budget_scene.make_trace(deployment, self.SECONDS, 1, hot=True)
         faults = budget_scene.scenes(deployment, self.SECONDS)["hot_apart"]
         escrow = play(Escrow(deployment), trace, faults)
-        kept = play(KeptEscrow(deployment), trace, faults)
+        kept = play(LocalReserveEscrow(deployment), trace, faults)
         self.assertEqual(0, kept.overspend)
-        self.assertLess(kept.apart_refusals, 0.9 * escrow.apart_refusals)
+        self.assertLess(kept.partition_refusals, 0.9 * escrow.partition_refusals)
 
     def test_a_cached_total_overspends(self):
         self.assertGreater(self.play(Cached, "no_faults").overspend, 0)
--- a/tests/test_cold_upstreams.py
+++ b/tests/test_cold_upstreams.py
@@ -16,7 +16,7 @@
 from lynxchute.bench.emulator.policies import POLICIES_BY_NAME
 from lynxchute.bench.emulator.scenario import read_scenario
 from lynxchute.scheduling.cold_placements import ColdPlacementLimiter
-from lynxchute.standins.arrivals import Arrivals
+from lynxchute.standins.arrivals import ArrivalLog
 from lynxchute.standins.platform_store import Outage
 from lynxchute.upstreams.cold_admission import (
     TAKE_OVER_SECONDS,
@@ -28,7 +28,7 @@
     WarmOnly,
 )
 from lynxchute.upstreams.directory import Directory
-from lynxchute.upstreams.entry import Entry
+from lynxchute.upstreams.entry import UpstreamEntry
 from lynxchute.upstreams.upstream import Upstream
 from tests import cold_mutants, mutants
 from tests.cold_machine import ColdMachine
@@ -102,7 +102,7 @@
     def test_a_service_without_a_limit_is_not_limited(self):
         cold = ColdPlacementLimiter(WarmOnly(), RankWatch(lambda s: 0), lambda s: free)
         free = ColdLimits(start_seconds=3.0)
-        entry = Entry(ENGINE, cold_until=1e9)
+        entry = UpstreamEntry(ENGINE, cold_until=1e9)
         for _ in range(100):
             self.assertTrue(cold.may_place(entry, 0.0))
             cold.record_placement(entry, 0.0)
@@ -110,12 +110,12 @@
     def test_a_warm_upstream_at_the_limit_is_skipped_since_it_may_become_cold(self):
         watch = RankWatch(lambda s: 1)
         cold = ColdPlacementLimiter(FirstRegistered(), watch, lambda s: LIMITS)
-        entry, placed = Entry(ENGINE), 0
+        entry, placed = UpstreamEntry(ENGINE), 0
         while cold.may_place(entry, 5.0):
             cold.record_placement(entry, 5.0)
             placed += 1
         self.assertEqual(LIMITS.max_per_second, placed)
-        other = Entry(attrs.evolve(ENGINE, id="other"))
+        other = UpstreamEntry(attrs.evolve(ENGINE, id="other"))
         self.assertEqual([other], cold.admissible_entries([entry, other], 5.0))
         # If no other has room, sending to it is better than a refusal.
         self.assertEqual([entry], cold.admissible_entries([entry], 5.0))
@@ -161,18 +161,18 @@
         }
         kept = played["board"]
         self.assertEqual(0, kept.sent_to_evacuated)
-        self.assertLessEqual(kept.cold_most, LIMITS.max_per_second)
+        self.assertLessEqual(kept.max_cold_rate, LIMITS.max_per_second)
         self.assertGreater(self.value(kept), 0.95)
         self.assertGreater(self.value(kept), self.value(played["board_warm_only"]))
 
 
 class ArrivalsTest(testtools.TestCase):
     def test_the_busiest_second_of_a_warm_up_counts(self):
-        taken = Arrivals()
-        taken.note_cold(2.0, 10.0)
+        arrival_log = ArrivalLog()
+        arrival_log.record_cold(2.0, 10.0)
         for time in (9.9, 9.95, 10.5, 10.6, 11.4, 11.55, 12.1):
-            taken.note(time)
-        self.assertEqual(3, taken.most_while_cold())
+            arrival_log.record(time)
+        self.assertEqual(3, arrival_log.peak_cold_rate())
 
 
 def with_cold_limit(**changes):
@@ -191,10 +191,10 @@
         for router in deployment.routers.values():
             await until(lambda r=router: r.configurations.current.version == 2)
 
-    async def grow_cold(self, deployment, engines, seconds):
+    async def become_cold(self, deployment, engines, seconds):
         for engine in engines:
-            engine.grow_cold(seconds)
-            engine.cold_most = 8
+            engine.become_cold(seconds)
+            engine.max_cold_rate = 8
             await engine.register(deployment.store)
         for router in deployment.routers.values():
             entries_by_id = router.directory.entries_by_id
@@ -218,11 +218,11 @@
             await self.configure_cold_limit(deployment)
             cold, warm = deployment.engines
             await asyncio.sleep(TAKE_OVER_SECONDS)
-            await self.grow_cold(deployment, [cold], 4.0)
+            await self.become_cold(deployment, [cold], 4.0)
             answers = await self.burst(deployment, 16)
             self.assertEqual({200}, {answer[0] for answer in answers})
             self.assertEqual(0, cold.crashes)
-            self.assertLessEqual(cold.taken.most_while_cold(), 4)
+            self.assertLessEqual(cold.arrival_log.peak_cold_rate(), 4)
 
         self.with_platform(scenario)
 
@@ -230,7 +230,7 @@
         async def scenario(deployment):
             await self.configure_cold_limit(deployment)
             await asyncio.sleep(TAKE_OVER_SECONDS)
-            await self.grow_cold(deployment, deployment.engines, 3.0)
+            await self.become_cold(deployment, deployment.engines, 3.0)
             began = asyncio.get_running_loop().time()
             answers = await self.burst(deployment, 30)
             took = asyncio.get_running_loop().time() - began
@@ -248,7 +248,7 @@
             self.assertLess(took, 1.0)
             for engine in deployment.engines:
                 self.assertEqual(0, engine.crashes)
-                self.assertLessEqual(engine.taken.most_while_cold(), 8)
+                self.assertLessEqual(engine.arrival_log.peak_cold_rate(), 8)
 
         self.with_platform(scenario)
 
@@ -262,7 +262,7 @@
             first = members.preference_order("schedule pool", list(members.by_vm))[0]
             (other,) = set(deployment.routers) - {first}
             await deployment.routers.pop(first).kill()
-            await self.grow_cold(deployment, deployment.engines, 3.0)
+            await self.become_cold(deployment, deployment.engines, 3.0)
             answers = await self.burst(deployment, 6, vms=(other,))
             self.assertEqual({503}, {answer[0] for answer in answers})
             for engine in deployment.engines:
@@ -284,15 +284,15 @@
                 deployment.faults(vm).outage = Outage.BUSY
             await asyncio.sleep(2.0)
             for engine in deployment.engines:
-                engine.grow_cold(6.0)
+                engine.become_cold(6.0)
             # Routers cannot notice it at once; the target is one second.
             await asyncio.sleep(1.0)
             for engine in deployment.engines:
-                engine.cold_most = 8
+                engine.max_cold_rate = 8
             await self.burst(deployment, 40)
             for engine in deployment.engines:
                 self.assertEqual(0, engine.crashes)
-                self.assertLessEqual(engine.taken.most_while_cold(), 8)
+                self.assertLessEqual(engine.arrival_log.peak_cold_rate(), 8)
 
         self.with_platform(scenario)
 
--- a/tests/test_containment.py
+++ b/tests/test_containment.py
@@ -19,7 +19,7 @@
 from lynxchute.store import StoreClock
 from lynxchute.telemetry import Metrics
 from lynxchute.upstreams.directory import Directory
-from lynxchute.upstreams.entry import CRASH_WINDOW_SECONDS, Entry, OpenSend
+from lynxchute.upstreams.entry import CRASH_WINDOW_SECONDS, OpenSend, UpstreamEntry
 from lynxchute.upstreams.upstream import Upstream
 from tests.support import AsyncTestCase
 
@@ -144,7 +144,7 @@
 
     def containment(self):
         directory = Directory()
-        directory.entries_by_id[ENGINE.id] = Entry(ENGINE)
+        directory.entries_by_id[ENGINE.id] = UpstreamEntry(ENGINE)
         return Containment(
             self.fleet.members,
             self.fleet.peers,
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -242,7 +242,7 @@
             await order_evacuation(deployment, "a")
             await revoke_evacuation(deployment, "a")
             await order_evacuation(deployment, "b")
-            deployment.store.forget_history()
+            deployment.store.discard_history()
             for vm in deployment.routers:
                 deployment.faults(vm).hides_changes = False
             await wait_for_evacuation_state(deployment, "b")
--- a/tests/test_fair_shares.py
+++ b/tests/test_fair_shares.py
@@ -50,7 +50,7 @@
         for name, shares in self.all_schemes():
             for number in range(1_000):
                 shares.record_use("a", 100.0, number * 0.01)
-            self.assertLessEqual(shares.excess("a", 10.0), 1.0, name)
+            self.assertLessEqual(shares.use_ratio("a", 10.0), 1.0, name)
 
     def test_an_account_with_higher_use_exceeds_its_share(self):
         for name, shares in self.all_schemes():
@@ -59,8 +59,8 @@
                 for account in "abcd":
                     shares.record_use(account, 1.0, now)
                 shares.record_use("big", 7.5, now)
-            self.assertGreater(shares.excess("big", 25.0), 2.0, name)
-            self.assertLessEqual(shares.excess("a", 25.0), 1.0, name)
+            self.assertGreater(shares.use_ratio("big", 25.0), 2.0, name)
+            self.assertLessEqual(shares.use_ratio("a", 25.0), 1.0, name)
 
     def test_a_higher_weight_allows_more_use(self):
         for name, shares in self.all_schemes(
@@ -69,7 +69,7 @@
             for number in range(500):
                 shares.record_use("a", 1.0, number * 0.05)
                 shares.record_use("big", 4.0, number * 0.05)
-            self.assertAlmostEqual(1.0, shares.excess("big", 25.0), 1, name)
+            self.assertAlmostEqual(1.0, shares.use_ratio("big", 25.0), 1, name)
 
     def test_use_expires(self):
         for name, shares in self.all_schemes():
@@ -77,8 +77,8 @@
             shares.record_use("a", 1.0, 0.0)
             later = 5 * DECAY_SECONDS
             shares.record_use("a", 1.0, later)
-            self.assertEqual(0.0, shares.excess("big", later), name)
-            self.assertLessEqual(shares.excess("a", later), 1.0, name)
+            self.assertEqual(0.0, shares.use_ratio("big", later), name)
+            self.assertLessEqual(shares.use_ratio("a", later), 1.0, name)
 
     def test_state_is_bounded_and_keeps_the_largest_account(self):
         for name, shares in self.all_schemes(max_accounts=64):
@@ -86,23 +86,23 @@
                 shares.record_use(f"a{number}", 1.0, number * 0.0005)
                 shares.record_use("big", 10.0, number * 0.0005)
             self.assertEqual(64, len(shares))
-            self.assertGreater(shares.excess("big", 2.5), 4.0, name)
+            self.assertGreater(shares.use_ratio("big", 2.5), 4.0, name)
 
     def test_invalid_costs_are_ignored(self):
         for name, shares in self.all_schemes():
             for cost in (0.0, -5.0, math.nan, math.inf):
                 shares.record_use("a", cost, 0.0)
-            self.assertEqual(0.0, shares.excess("a", 0.0), name)
+            self.assertEqual(0.0, shares.use_ratio("a", 0.0), name)
 
     def test_a_changed_weight_applies_at_once(self):
         weights = {"a": 1.0}
         shares = EqualDivision(lambda account: weights.get(account, 1.0))
         shares.record_use("a", 3.0, 0.0)
         shares.record_use("b", 1.0, 0.0)
-        self.assertAlmostEqual(1.5, shares.excess("a", 0.0))
+        self.assertAlmostEqual(1.5, shares.use_ratio("a", 0.0))
         weights["a"] = 3.0
         shares.record_use("a", 0.001, 0.0)
-        self.assertAlmostEqual(1.0, shares.excess("a", 0.0), 2)
+        self.assertAlmostEqual(1.0, shares.use_ratio("a", 0.0), 2)
 
     def test_an_invalid_weight_becomes_the_default(self):
         for value in (-1, 0, math.nan, math.inf, 1e9, "3", None, True):
@@ -199,7 +199,9 @@
             outcome = self.simulate("all too many, a tenth large", scheme)
             large = outcome.share("", suffix=LARGE)
             self.assertGreater(large, 0.5 * outcome.share("small"), scheme)
-            self.assertLess(outcome.refused_again, 0.01 * outcome.asked.total(), scheme)
+            self.assertLess(
+                outcome.refused_again, 0.01 * outcome.requested.total(), scheme
+            )
 
 
 class QueueTestCase(testtools.TestCase):
@@ -347,11 +349,11 @@
         drain = DrainRate(50.0)
         self.assertEqual(50.0, drain.per_second(0.0))
         for number in range(200):
-            drain.record_freed(number * 0.1)
+            drain.record_slot_freed(number * 0.1)
         self.assertAlmostEqual(10.0, drain.per_second(20.0), delta=1.0)
 
     def test_the_rate_falls_when_no_places_become_free(self):
         drain = DrainRate(50.0)
         for number in range(200):
-            drain.record_freed(number * 0.1)
+            drain.record_slot_freed(number * 0.1)
         self.assertLess(drain.per_second(40.0), 0.1)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -14,12 +14,12 @@
     CHAT,
     AsyncTestCase,
     Caller,
-    counts_match,
     engine_runs,
     question,
     runs,
     stream_text,
     until,
+    wait_for_matching_counts,
     with_deployment,
 )
 
@@ -58,7 +58,7 @@
         async def scenario(deployment):
             for vm in list(deployment.routers_by_vm):
                 await Caller(deployment, vm).ask(question())
-            await counts_match(deployment)
+            await wait_for_matching_counts(deployment)
             used = counted_by_account(deployment)[ACCOUNT]
             await deployment.kill_router("kyu-a-1")
             await deployment.start_router("kyu-a-1")
@@ -79,7 +79,7 @@
             status, _, body = await caller.send("POST", "/tickets/", {})
             self.assertEqual((502, "unknown"), (status, json.loads(body)["run"]))
             self.assertEqual(1, len(runs(deployment)))
-            await counts_match(deployment)
+            await wait_for_matching_counts(deployment)
 
         with_deployment(self, scenario)
 
@@ -110,7 +110,7 @@
             caller = Caller(deployment, "kyu-a-1")
             for number in range(10):
                 await ask_until_served(self, caller, question(f"number {number}"))
-            await counts_match(deployment)
+            await wait_for_matching_counts(deployment)
             self.assertEqual(10, len(engine_runs(deployment)))
             self.assertLessEqual(sum(granted_tokens(deployment).values()), 100_000)
 
@@ -123,7 +123,7 @@
             for vm in deployment.routers_by_vm:
                 deployment.store_faults(vm).outage = Outage.BUSY
             await ask_until_served(self, caller, question("during"))
-            await counts_match(deployment)
+            await wait_for_matching_counts(deployment)
             used = counted_by_account(deployment)[ACCOUNT]
             for vm in deployment.routers_by_vm:
                 deployment.store_faults(vm).outage = Outage.NONE
--- a/tests/test_gather.py
+++ b/tests/test_gather.py
@@ -7,7 +7,7 @@
 from lynxchute.fleet.client import Peers, PeerUnreachable
 from lynxchute.fleet.members import Member, Members
 from lynxchute.fleet.messages import LendReply
-from lynxchute.spending.lenders import Lenders
+from lynxchute.spending.lenders import LoanClient
 from lynxchute.spending.reservations import GATHER_SECONDS
 from tests.support import AsyncTestCase
 
@@ -69,7 +69,7 @@
         self.settlements = FakeSettlements()
 
     def lenders(self, peers):
-        lenders = Lenders(
+        lenders = LoanClient(
             FakeLedgerSync(self.ledger), self.members, peers, self.settlements
         )
         lenders.candidates = lambda account: [
--- a/tests/test_hedging.py
+++ b/tests/test_hedging.py
@@ -157,7 +157,7 @@
                 "GET", "/safe/x", request_id="one"
             )
             self.assertEqual((200, b"answer to one"), (status, body))
-            await until(lambda: near.runs[0].caller_left)
+            await until(lambda: near.runs[0].router_disconnected)
             self.assertEqual(["one"], far.arrivals)
             self.assertEqual({"won": 1}, self.hedges(deployment))
             self.assert_nothing_open(deployment)
@@ -174,7 +174,7 @@
             )
             self.assertEqual((200, b"answer to one"), (status, body))
             self.assertEqual(1, len(near.runs))
-            await until(lambda: far.runs[0].caller_left)
+            await until(lambda: far.runs[0].router_disconnected)
             self.assertEqual({"lost": 1}, self.hedges(deployment))
             self.assert_nothing_open(deployment)
 
@@ -203,7 +203,9 @@
             call.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await call
-            await until(lambda: all(app.runs[0].caller_left for app in deployment.apps))
+            await until(
+                lambda: all(app.runs[0].router_disconnected for app in deployment.apps)
+            )
             await until(lambda: self.hedges(deployment) == {"left": 1})
             self.assert_nothing_open(deployment)
 
--- a/tests/test_neighbourhood.py
+++ b/tests/test_neighbourhood.py
@@ -32,7 +32,7 @@
 )
 from lynxchute.upstreams.send_gate import SendGate
 from lynxchute.upstreams.upstream import Upstream
-from tests.support import AsyncTestCase, no_limits_kept
+from tests.support import AsyncTestCase, unlimited_rates
 
 MANY = 3_000
 
@@ -110,7 +110,7 @@
             directory,
             lambda service: None,
             None,
-            SendGate(Evacuations(), lambda service: limits, no_limits_kept()),
+            SendGate(Evacuations(), lambda service: limits, unlimited_rates()),
             cold,
             LinkMeter(1e6),
             lambda: 0.0,
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -8,11 +8,11 @@
     ACCOUNT,
     AsyncTestCase,
     Caller,
-    counts_match,
     engine_runs,
     question,
     runs,
     stream_text,
+    wait_for_matching_counts,
     with_deployment,
 )
 
@@ -29,7 +29,7 @@
                 self.assertEqual(expected, message["content"])
                 status, _, body = await caller.ask(question(stream=True))
                 self.assertEqual((expected, True), stream_text(body))
-            await counts_match(deployment)
+            await wait_for_matching_counts(deployment)
             ran = [run["total_tokens"] for run in engine_runs(deployment)]
             self.assertEqual(6, len(ran))
             self.assertEqual(sum(ran), counted_by_account(deployment)[ACCOUNT])
@@ -62,7 +62,7 @@
             caller = Caller(deployment, "kyu-a-1")
             status, _, body = await caller.send("POST", "/tickets/7", {"lane": 2})
             self.assertEqual((200, "/tickets/7"), (status, json.loads(body)["path"]))
-            await counts_match(deployment)
+            await wait_for_matching_counts(deployment)
             self.assertEqual(1, served_by_account(deployment)[ACCOUNT])
             (run,) = runs(deployment)
             self.assertEqual(ACCOUNT, run["account"])
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -19,11 +19,11 @@
     SETTLE_SECONDS,
     PauseTracker,
 )
-from lynxchute.upstreams.aims import LatencyTargets
+from lynxchute.upstreams.aims import LatencyObjectives
 from lynxchute.upstreams.generation import Generation, PromptPart
 
 LIMIT_MS = 300.0
-AIMS = LatencyTargets(first_event_ms=1_000.0, pause_ms=LIMIT_MS)
+AIMS = LatencyObjectives(first_event_ms=1_000.0, pause_ms=LIMIT_MS)
 LONG, SHORT = 16_000, 500
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -252,7 +252,7 @@
             )
             nothing = await store.changes("own", after=changes.version, wait=0.0)
             self.assertEqual((), nothing.rows)
-            standin.forget_history()
+            standin.discard_history()
             with self.assertRaises(HistoryLost):
                 await store.changes("own", after=before, wait=0.0)
 
@@ -309,7 +309,7 @@
             await until(lambda: feed.unavailable_since is not None)
             await standin.drop("own", "first")
             await standin.put("own", "second", b"2")
-            standin.forget_history()
+            standin.discard_history()
             faults.outage = Outage.NONE
             await until(lambda: [r.id.key for r in feed.live_rows()] == ["second"])
             self.assertIsNone(feed.unavailable_since)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -50,7 +50,7 @@
                 continue
             seen[upstream] = upstream.crashes
             await asyncio.sleep(RESTART_SECONDS)
-            await upstream.start_anew(deployment.store)
+            await upstream.start_new_process(deployment.store)
 
 
 def crash_count(deployment):
@@ -62,7 +62,7 @@
 
     async def work(deployment):
         for upstream in deployment.upstreams:
-            upstream.deadly_bodies.add(DEADLY)
+            upstream.crash_bodies.add(DEADLY)
         restarting = asyncio.create_task(restart_upstreams(deployment))
         try:
             return await scenario(deployment)
@@ -208,7 +208,7 @@
         async def scenario(deployment):
             for vm in VMS:
                 deployment.faults(vm).outage = Outage.SILENT
-            judge = deployment.routers["a-1"].members.owner_of(JUDGE_KEY)
+            judge = deployment.routers["a-1"].members.owner_of_key(JUDGE_KEY)
             left = next(vm for vm in VMS if vm != judge)
             started = [vm for vm in VMS if vm != left]
             # The remaining router has seen none of the crashes itself.
@@ -235,7 +235,7 @@
         async def scenario(deployment):
             for vm in VMS:
                 deployment.faults(vm).outage = Outage.SILENT
-            judge = deployment.routers["a-1"].members.owner_of(JUDGE_KEY)
+            judge = deployment.routers["a-1"].members.owner_of_key(JUDGE_KEY)
             # Only the judge has seen the crashes.
             await crash_until_known(deployment, [judge], known_at=VMS)
             await deployment.routers.pop(judge).kill()
@@ -252,7 +252,7 @@
         async def scenario(deployment):
             await repeat(deployment, 1, ["b-1"])
             await asyncio.sleep(PROPAGATION_SECONDS / 2)
-            judge = deployment.routers["a-1"].members.owner_of(JUDGE_KEY)
+            judge = deployment.routers["a-1"].members.owner_of_key(JUDGE_KEY)
             await deployment.routers.pop(judge).kill()
             left = [vm for vm in VMS if vm != judge]
             await crash_until_known(
@@ -266,7 +266,7 @@
 
     def test_an_unreachable_router_is_notified_again(self):
         async def scenario(deployment):
-            judge = deployment.routers["a-1"].members.owner_of(JUDGE_KEY)
+            judge = deployment.routers["a-1"].members.owner_of_key(JUDGE_KEY)
             unreachable = next(vm for vm in VMS if vm != judge)
             others = [vm for vm in VMS if vm != unreachable]
             # Neither the row in the store nor messages reach this router.
@@ -313,7 +313,7 @@
         async def scenario(deployment):
             # One engine leaves the request unanswered; the others run it and crash.
             slow = deployment.engines[0]
-            slow.deadly_bodies.clear()
+            slow.crash_bodies.clear()
             for engine in deployment.engines[1:]:
                 engine.state = "draining"
                 await engine.register(deployment.store)
@@ -338,7 +338,7 @@
         async def scenario(deployment):
             await crash_until_known(deployment, VMS)
             for upstream in deployment.upstreams:
-                upstream.deadly_bodies.clear()
+                upstream.crash_bodies.clear()
             await until(lambda: deployment.is_settled("a-1"))
             caller = PlatformCaller(deployment, "a-1")
             same = await caller.send("POST", "/stream/x", DEADLY, tokens=(100, 60))
@@ -371,7 +371,7 @@
         async def scenario(deployment):
             await crash_until_known(deployment, VMS)
             for upstream in deployment.upstreams:
-                upstream.deadly_bodies.clear()
+                upstream.crash_bodies.clear()
             await until(lambda: deployment.is_settled("a-1"))
             platform = make_platform(deployment.settings["a-1"].store)
             runner = StatementRunner(platform)
@@ -415,16 +415,16 @@
         async def scenario(deployment):
             engines = list(deployment.engines_by_name.values())
             for engine in engines:
-                engine.deadly_texts.add(DEADLY.decode())
+                engine.crash_texts.add(DEADLY.decode())
             vms = sorted(deployment.routers_by_vm)
-            while sum(engine.ends for engine in engines) < CRASHES_TO_QUARANTINE:
+            while sum(engine.restarts for engine in engines) < CRASHES_TO_QUARANTINE:
                 await Caller(deployment, vms[0]).ask(deadly)
                 await asyncio.sleep(0.1)
             await asyncio.sleep(PROPAGATION_SECONDS)
-            before = sum(engine.ends for engine in engines)
+            before = sum(engine.restarts for engine in engines)
             refused = [await Caller(deployment, vm).ask(deadly) for vm in vms]
             other = [await Caller(deployment, vm).ask(question()) for vm in vms]
-            ended = sum(engine.ends for engine in engines) - before
+            ended = sum(engine.restarts for engine in engines) - before
             return ended, refused, [status for status, _, _ in other]
 
         deadly = question(DEADLY.decode(), stream=True)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -442,7 +442,7 @@
                 (run,) = runs(deployment.engines)
                 sending.cancel()
                 await asyncio.gather(sending, return_exceptions=True)
-                await until(lambda run=run: run.caller_left, timeout=0.5)
+                await until(lambda run=run: run.router_disconnected, timeout=0.5)
                 for engine in deployment.engines:
                     engine.runs.clear()
 
@@ -460,7 +460,7 @@
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
             (run,) = runs(deployment.engines)
-            await until(lambda: run.caller_left, timeout=0.5)
+            await until(lambda: run.router_disconnected, timeout=0.5)
 
         self.with_platform(scenario)
 
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -7,7 +7,7 @@
 
 from lynxchute.scheduling.board import Candidate, EngineBoard
 from lynxchute.scheduling.newcomer import PendingRequest
-from lynxchute.upstreams.aims import NO_TARGETS
+from lynxchute.upstreams.aims import NO_OBJECTIVES
 from lynxchute.upstreams.directory import Directory
 from lynxchute.upstreams.entry import OpenSend
 from lynxchute.upstreams.generation import Generation, PromptPart
@@ -124,7 +124,7 @@
         candidate = Candidate("i-1", 64, 400_000, False)
         generation = Generation("m", 500, 60, (PromptPart("aa", 400),))
         board.place(
-            PendingRequest("r1.0", generation, NO_TARGETS, "run"), [candidate], 1.0
+            PendingRequest("r1.0", generation, NO_OBJECTIVES, "run"), [candidate], 1.0
         )
         board.discard_upstream("i-1")
         board.track_new([candidate])
@@ -143,7 +143,7 @@
         async def scenario(deployment):
             stream, busy, idle = await start_long_stream(deployment)
             await busy.lose_power()
-            await busy.start_again()
+            await busy.restart()
             await busy.register(deployment.store)
             status, _, body = await stream
             self.assertEqual((200, list(range(1, 31))), (status, event_ids(body)))
@@ -158,7 +158,7 @@
         async def scenario(deployment):
             stream, busy, idle = await start_long_stream(deployment)
             await busy.lose_power()
-            await busy.start_again()
+            await busy.restart()
             status, _, body = await stream
             self.assertEqual((200, 30), (status, len(event_ids(body))))
             self.assertEqual(1, len(idle.runs))
@@ -176,7 +176,7 @@
             await until(lambda: any(a.runs for a in deployment.apps))
             busy, idle = sorted(deployment.apps, key=lambda a: -len(a.runs))
             await busy.lose_power()
-            await busy.start_again()
+            await busy.restart()
             await busy.register(deployment.store)
             async with asyncio.timeout(2.0):
                 status, _, _ = await call
--- a/tests/test_router_load.py
+++ b/tests/test_router_load.py
@@ -111,17 +111,17 @@
 
     def test_only_the_large_account_has_excess(self):
         shares = self.shares(0.5, hot=9.0, small=1.0)
-        self.assertEqual(0.25, shares.excess("small", 0.0))
-        self.assertEqual(9.0 / 4.0, shares.excess("hot", 0.0))
+        self.assertEqual(0.25, shares.use_ratio("small", 0.0))
+        self.assertEqual(9.0 / 4.0, shares.use_ratio("hot", 0.0))
 
     def test_a_lone_account_may_use_all_capacity(self):
-        self.assertEqual(1.0, self.shares(1.0, hot=9.0).excess("hot", 0.0))
-        self.assertEqual(2.0, self.shares(0.5, hot=9.0).excess("hot", 0.0))
+        self.assertEqual(1.0, self.shares(1.0, hot=9.0).use_ratio("hot", 0.0))
+        self.assertEqual(2.0, self.shares(0.5, hot=9.0).use_ratio("hot", 0.0))
 
     def test_use_expires(self):
         shares = self.shares(0.5, hot=9.0, small=1.0)
-        self.assertEqual(0.0, shares.excess("hot", 100.0))
-        self.assertEqual(0.0, shares.excess("nobody", 100.0))
+        self.assertEqual(0.0, shares.use_ratio("hot", 100.0))
+        self.assertEqual(0.0, shares.use_ratio("nobody", 100.0))
 
     @given(st.lists(st.floats(0, 1e6), min_size=1, max_size=30), st.floats(0, 1e6))
     def test_the_fair_level_is_max_min_fair(self, uses, capacity):
@@ -143,7 +143,7 @@
             shares.record_use(account, cost, now)
             now += passed if 0 <= passed <= 3 else 0.0
         for account in "abc":
-            self.assertGreaterEqual(shares.excess(account, now), 0.0)
+            self.assertGreaterEqual(shares.use_ratio(account, now), 0.0)
 
 
 class FakeResource:
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -68,7 +68,7 @@
 
     def send(self, engine, request, now=0.0, output=3):
         run = EngineRun("r", request, now, output)
-        engine.take(run, now, self.seen)
+        engine.submit(run, now, self.seen)
         return run
 
     def finish(self, engine):
@@ -135,7 +135,7 @@
         engine = self.engine(slots=1)
         first = self.send(engine, generation(0, 5000), output=600)
         second = self.send(engine, generation(0, 100))
-        engine.drop(first)
+        engine.cancel(first)
         self.finish(engine)
         self.assertIsNone(first.first_at)
         self.assertLess(second.first_at, 0.5)
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -30,7 +30,7 @@
 from lynxchute.upstreams.generation import Generation, PromptPart
 from lynxchute.upstreams.send_gate import SendGate
 from lynxchute.upstreams.upstream import Upstream
-from tests.support import AsyncTestCase, no_limits_kept, until
+from tests.support import AsyncTestCase, unlimited_rates, until
 
 PROMPT = 2_000
 
@@ -144,7 +144,7 @@
         self.limits = ColdLimits()
         self.evacuations = Evacuations()
         self.gate = SendGate(
-            self.evacuations, lambda service: self.limits, no_limits_kept()
+            self.evacuations, lambda service: self.limits, unlimited_rates()
         )
         self.rank = 0
         self.cold = ColdPlacementLimiter(
--- a/tests/test_spending.py
+++ b/tests/test_spending.py
@@ -505,7 +505,9 @@
             async def no_wait():
                 return None
 
-            ledger = Ledger("a-1", "now", DemandPolicy(), parts=2, store_part="a-1")
+            ledger = Ledger(
+                "a-1", "now", DemandPolicy(), parts=2, store_partition="a-1"
+            )
             ledger.prepaid_by_account[ACCOUNT] = 1_000_000
             ledger_sync = LedgerSync(
                 ledger,
--- a/tests/test_stated_backoff.py
+++ b/tests/test_stated_backoff.py
@@ -20,7 +20,7 @@
 from lynxchute.http import ExchangeError
 from lynxchute.standins.upstream_run import Fault
 from lynxchute.upstreams.backpressure import Backpressure
-from lynxchute.upstreams.statement import NOTHING_STATED, Statement
+from lynxchute.upstreams.statement import NO_BACKPRESSURE, DeclaredBackpressure
 from tests import backpressure_mutants, mutants
 from tests.fuzz import run
 from tests.platform_support import (
@@ -42,9 +42,9 @@
     def test_a_later_shorter_backoff_does_not_shorten_a_longer_one(self):
         backpressure = Backpressure()
         for backoff, now in ((3.0, 1.0), (0.5, 2.0), (0.0, 3.0)):
-            statement = Statement(backoff=backoff)
+            statement = DeclaredBackpressure(backoff=backoff)
             backpressure.record_answer(statement, asked_at=now, now=now, clock_ms=0)
-        backpressure.record_probe_answer(NOTHING_STATED, 3.5, 0)
+        backpressure.record_probe_answer(NO_BACKPRESSURE, 3.5, 0)
         self.assertTrue(backpressure.is_backing_off(3.9))
         self.assertFalse(backpressure.is_backing_off(4.0))
 
@@ -69,7 +69,7 @@
             backing_off.backoff = BACKOFF_SECONDS
             backing_off.faults = [Fault.DECLINE] * 1000
             statuses = await press(deployment, ask, seconds=BACKOFF_SECONDS)
-            (refused_at, *later) = backing_off.taken.times
+            (refused_at, *later) = backing_off.arrival_log.times
             in_backoff = [t for t in later if t - refused_at > GRACE_SECONDS]
             self.assertLessEqual(len(in_backoff), MAX_IN_BACKOFF)
             return statuses
@@ -127,8 +127,8 @@
             now = asyncio.get_running_loop().time()
             for router in deployment.routers.values():
                 entry = router.directory.entries_by_id[idle.id]
-                statement = Statement(backoff=BACKOFF_SECONDS)
-                router.directory.record_statement(
+                statement = DeclaredBackpressure(backoff=BACKOFF_SECONDS)
+                router.directory.record_declaration(
                     entry, statement, asked_at=now, now=now
                 )
             await busy.stop()
--- a/tests/test_stated_by_own.py
+++ b/tests/test_stated_by_own.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from lynxchute.standins.arrivals import most_within
+from lynxchute.standins.arrivals import max_in_window
 from tests.support import AsyncTestCase, Caller, question, until, with_deployment
 
 LIMIT = 0.5
@@ -30,36 +30,36 @@
             began = asyncio.get_running_loop().time()
             statuses = await send_requests(deployment, 8.0)
             self.assertEqual({200}, set(statuses))
-            times = limited.taken.since(began + GRACE_SECONDS)
-            self.assertLessEqual(most_within(times, SPAN_SECONDS), MAX_IN_SPAN)
+            times = limited.arrival_log.since(began + GRACE_SECONDS)
+            self.assertLessEqual(max_in_window(times, SPAN_SECONDS), MAX_IN_SPAN)
             vm = next(iter(deployment.routers_by_vm))
             _, shown = await deployment.operate(vm, "show upstreams")
             wants_by_name = {row["upstream"]: row["wants"] for row in shown["rows"]}
             self.assertEqual("limit 0.5/s", wants_by_name[limited.name])
             limited.limit = None
-            before = len(limited.taken.times)
+            before = len(limited.arrival_log.times)
             await send_requests(deployment, 8.0)
-            self.assertGreater(len(limited.taken.times) - before, 20)
+            self.assertGreater(len(limited.arrival_log.times) - before, 20)
 
         with_deployment(self, scenario)
 
     def test_a_leaving_upstream_gets_nothing_until_it_restarts(self):
         async def scenario(deployment):
             leaving = next(iter(deployment.engines_by_name.values()))
-            leaving.says_it_leaves = True
+            leaving.announces_leaving = True
             await send_requests(deployment, 1.0)
-            before = len(leaving.taken.times)
+            before = len(leaving.arrival_log.times)
             self.assertEqual({200}, set(await send_requests(deployment, 1.0)))
-            self.assertEqual(before, len(leaving.taken.times))
+            self.assertEqual(before, len(leaving.arrival_log.times))
             # Its next process has the same name and does not report its start time.
-            leaving.says_it_leaves = False
+            leaving.announces_leaving = False
             entries = [
                 router.directory.entries_by_id[leaving.name]
                 for router in deployment.routers_by_vm.values()
             ]
             await until(lambda: all(entry.takes_work for entry in entries))
             await send_requests(deployment, 2.0)
-            self.assertGreater(len(leaving.taken.times), before)
+            self.assertGreater(len(leaving.arrival_log.times), before)
 
         with_deployment(self, scenario)
 
--- a/tests/test_stated_leaving.py
+++ b/tests/test_stated_leaving.py
@@ -23,7 +23,7 @@
     merge_backpressure,
 )
 from lynxchute.upstreams.directory import Directory
-from lynxchute.upstreams.statement import NOTHING_STATED, Statement
+from lynxchute.upstreams.statement import NO_BACKPRESSURE, DeclaredBackpressure
 from lynxchute.upstreams.upstream import Upstream
 from tests.platform_support import (
     PlatformCaller,
@@ -38,7 +38,7 @@
 DRAIN_SECONDS = 2.0
 
 
-LEAVING = Statement(is_leaving=True)
+LEAVING = DeclaredBackpressure(is_leaving=True)
 ENGINE = Upstream("e", "pool", "127.0.0.1:1", "a", started_ms=1, keeps_id=True)
 
 
@@ -47,15 +47,15 @@
         directory = Directory()
         directory.put(ENGINE)
         entry = directory.entries_by_id["e"]
-        directory.record_statement(entry, LEAVING, asked_at=0.0, now=1.0)
+        directory.record_declaration(entry, LEAVING, asked_at=0.0, now=1.0)
         return directory
 
     def test_neither_a_later_entry_nor_a_later_answer_revokes_leaving(self):
         directory = self.leaving()
         entry = directory.entries_by_id["e"]
         directory.put(attrs.evolve(ENGINE, slots=2), 2.0)
-        directory.record_statement(entry, NOTHING_STATED, asked_at=2.0, now=3.0)
-        directory.record_probe_answer(entry, NOTHING_STATED, 4.0)
+        directory.record_declaration(entry, NO_BACKPRESSURE, asked_at=2.0, now=3.0)
+        directory.record_probe_answer(entry, NO_BACKPRESSURE, 4.0)
         self.assertFalse(entry.takes_work)
         self.assertEqual([], list(directory.available("pool", 4.0)))
 
@@ -93,7 +93,7 @@
         choice = await choose(exchange)
         if choice.entry.upstream.id == upstream_id:
             now = asyncio.get_running_loop().time()
-            router.directory.record_statement(
+            router.directory.record_declaration(
                 choice.entry, statement, asked_at=now, now=now
             )
         return choice
@@ -105,7 +105,7 @@
     def check(self, upstreams_of, ask):
         async def scenario(deployment):
             leaving = upstreams_of(deployment)[0]
-            leaving.says_it_leaves = True
+            leaving.announces_leaving = True
             # Every router has forwarded one of its answers by the end of this load.
             await press(deployment, ask, seconds=1.0)
             await asyncio.sleep(DRAIN_SECONDS)
@@ -163,7 +163,7 @@
     def test_running_requests_of_a_leaving_engine_complete(self):
         async def scenario(deployment):
             stream_, busy, _ = await start_long_stream(deployment)
-            busy.says_it_leaves = True
+            busy.announces_leaving = True
             await press(deployment, stream, seconds=0.5)
             status, _, body = await stream_
             self.assertEqual(200, status)
@@ -174,7 +174,7 @@
     def test_a_restarted_router_learns_of_leaving_from_others(self):
         async def scenario(deployment):
             leaving = deployment.engines[0]
-            leaving.says_it_leaves = True
+            leaving.announces_leaving = True
             await press(deployment, stream, seconds=1.0)
             await deployment.routers.pop("b-2").kill()
             await deployment.start_router("b-2")
--- a/tests/test_stated_limits.py
+++ b/tests/test_stated_limits.py
@@ -22,7 +22,7 @@
 from lynxchute.fleet.members import Member, Members
 from lynxchute.http import ExchangeError, Headers
 from lynxchute.platform.statements import STATEMENT_HEADERS
-from lynxchute.standins.arrivals import most_within
+from lynxchute.standins.arrivals import max_in_window
 from lynxchute.upstreams.backpressure import (
     RAMP_SECONDS,
     TRIAL_RATE,
@@ -31,7 +31,7 @@
 )
 from lynxchute.upstreams.directory import Directory
 from lynxchute.upstreams.rate_sharing import SHARINGS_BY_NAME
-from lynxchute.upstreams.statement import NOTHING_STATED, Statement
+from lynxchute.upstreams.statement import NO_BACKPRESSURE, DeclaredBackpressure
 from lynxchute.upstreams.statement_headers import MAX_BACKOFF, MAX_LIMIT
 from lynxchute.upstreams.upstream import Upstream
 from tests import backpressure_mutants, mutants
@@ -58,7 +58,7 @@
     def test_a_fraction_and_zero_are_valid_limits(self):
         self.assertEqual(0.25, self.decode(("server-limit", "0.25")).limit)
         self.assertEqual(0.0, self.decode(("Server-Limit", "0")).limit)
-        self.assertEqual(NOTHING_STATED, self.decode(("X-Other", "1")))
+        self.assertEqual(NO_BACKPRESSURE, self.decode(("X-Other", "1")))
 
     def test_invalid_values_are_ignored_and_reported(self):
         for value in ("-1", "nan", "inf", "1e9", "", "two", "9" * 13, "\xb2"):
@@ -92,23 +92,23 @@
 class BackpressureTest(testtools.TestCase):
     def backpressure(self, limit=2.0):
         backpressure = Backpressure()
-        record_answer(backpressure, Statement(limit), asked_at=0.9, now=1.0)
+        record_answer(backpressure, DeclaredBackpressure(limit), asked_at=0.9, now=1.0)
         return backpressure
 
     def test_a_lower_limit_applies_at_once_and_a_higher_one_if_newer(self):
         backpressure = self.backpressure()
-        record_answer(backpressure, Statement(1.0), asked_at=0.1, now=1.1)
+        record_answer(backpressure, DeclaredBackpressure(1.0), asked_at=0.1, now=1.1)
         self.assertEqual(1.0, backpressure.rate(1.1))
-        record_answer(backpressure, Statement(4.0), asked_at=1.05, now=1.2)
+        record_answer(backpressure, DeclaredBackpressure(4.0), asked_at=1.05, now=1.2)
         self.assertEqual(1.0, backpressure.rate(1.2))
-        record_answer(backpressure, Statement(4.0), asked_at=1.15, now=1.3)
+        record_answer(backpressure, DeclaredBackpressure(4.0), asked_at=1.15, now=1.3)
         self.assertEqual(4.0, backpressure.rate(1.3))
 
     def test_a_newer_answer_without_a_limit_ends_it_with_a_ramp(self):
         backpressure = self.backpressure()
-        record_answer(backpressure, NOTHING_STATED, asked_at=0.5, now=1.5)
+        record_answer(backpressure, NO_BACKPRESSURE, asked_at=0.5, now=1.5)
         self.assertEqual(2.0, backpressure.rate(1.5))
-        record_answer(backpressure, NOTHING_STATED, asked_at=1.2, now=2.0)
+        record_answer(backpressure, NO_BACKPRESSURE, asked_at=1.2, now=2.0)
         rates = [backpressure.rate(2.0 + later) for later in (0.0, 0.5, 1.0, 2.9)]
         self.assertEqual([2.0, 4.0, 8.0, 64.0], rates)
         self.assertIsNone(backpressure.rate(2.0 + RAMP_SECONDS))
@@ -116,7 +116,7 @@
     def test_a_refusal_without_a_limit_does_not_end_it(self):
         backpressure = self.backpressure()
         backpressure.record_answer(
-            Statement(backoff=1.0),
+            DeclaredBackpressure(backoff=1.0),
             asked_at=1.2,
             now=2.0,
             clock_ms=2000,
@@ -126,11 +126,11 @@
 
     def test_a_limit_missing_from_probe_answers_permits_trials_only(self):
         backpressure = self.backpressure(limit=0.0)
-        backpressure.record_probe_answer(NOTHING_STATED, 2.0, 2000)
+        backpressure.record_probe_answer(NO_BACKPRESSURE, 2.0, 2000)
         self.assertEqual(0.0, backpressure.rate(2.0))
         later = 1.0 + UNCERTAIN_AFTER_SECONDS
         self.assertEqual(TRIAL_RATE, backpressure.rate(later))
-        backpressure.record_probe_answer(Statement(0.0), later, 4000)
+        backpressure.record_probe_answer(DeclaredBackpressure(0.0), later, 4000)
         self.assertEqual(0.0, backpressure.rate(later + 9.0))
 
     def test_limits_from_other_routers_apply_if_newer(self):
@@ -152,7 +152,7 @@
         # Two routers sent each other a limit of 0 again and again, each time with a
         # slightly later time, so that neither ever considered it uncertain.
         backpressure = self.backpressure(limit=0.0)
-        backpressure.record_probe_answer(NOTHING_STATED, 2.0, 2000)
+        backpressure.record_probe_answer(NO_BACKPRESSURE, 2.0, 2000)
         for later in range(10):
             now = 2.0 + later
             backpressure.record_peer_limit(
@@ -165,7 +165,9 @@
         upstream = Upstream("e", "pool", "127.0.0.1:1", "a", started_ms=1)
         directory.put(upstream)
         entry = directory.entries_by_id["e"]
-        directory.record_statement(entry, Statement(1.0), asked_at=0.0, now=1.0)
+        directory.record_declaration(
+            entry, DeclaredBackpressure(1.0), asked_at=0.0, now=1.0
+        )
         self.assertEqual([entry], directory.with_backpressure("pool", 1.0))
         directory.record_start(entry, 2, 2.0)
         self.assertEqual([], directory.with_backpressure("pool", 2.0))
@@ -228,8 +230,8 @@
         return self.with_platform(scenario, routers=ROUTERS, **more)
 
     def busiest_span(self, limited, limited_since):
-        return most_within(
-            limited.taken.since(limited_since + GRACE_SECONDS), SPAN_SECONDS
+        return max_in_window(
+            limited.arrival_log.since(limited_since + GRACE_SECONDS), SPAN_SECONDS
         )
 
     def check(self, upstreams_of, ask, limit=1.0):
@@ -243,7 +245,7 @@
                 self.busiest_span(limited, limited_since), max_in_span(limit)
             )
             # It receives requests at half of its limit at least.
-            came = len(limited.taken.since(limited_since + GRACE_SECONDS))
+            came = len(limited.arrival_log.since(limited_since + GRACE_SECONDS))
             self.assertGreaterEqual(came, 6.0 * limit / 2)
 
         self.with_routers(scenario)
@@ -290,8 +292,8 @@
             for router in deployment.routers.values():
                 entry = router.directory.entries_by_id[idle.id]
                 now = asyncio.get_running_loop().time()
-                router.directory.record_statement(
-                    entry, Statement(0.0), asked_at=now, now=now
+                router.directory.record_declaration(
+                    entry, DeclaredBackpressure(0.0), asked_at=now, now=now
                 )
             await until(lambda: busy.runs[0].events_sent > 3)
             await busy.stop()
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -32,19 +32,19 @@
     AdmissionQueue,
 )
 from lynxchute.telemetry import Metrics
-from lynxchute.upstreams.aims import LatencyTargets
+from lynxchute.upstreams.aims import LatencyObjectives
 from lynxchute.upstreams.cold_admission import (
     ColdLimits,
     FirstRegistered,
     RankWatch,
 )
 from lynxchute.upstreams.directory import Directory
-from lynxchute.upstreams.entry import REPORT_VALID_SECONDS, Entry
+from lynxchute.upstreams.entry import REPORT_VALID_SECONDS, UpstreamEntry
 from lynxchute.upstreams.evacuations import Evacuations
 from lynxchute.upstreams.send_gate import SendGate
 from lynxchute.upstreams.upstream import Upstream
 from tests.fuzz import run
-from tests.support import AsyncTestCase, no_limits_kept, until
+from tests.support import AsyncTestCase, unlimited_rates, until
 from tests.test_scheduling import generation, member
 from tests.turns_machine import TurnsMachine
 
@@ -134,7 +134,7 @@
             directory,
             lambda service: None,
             None,
-            SendGate(Evacuations(), lambda service: limits, no_limits_kept()),
+            SendGate(Evacuations(), lambda service: limits, unlimited_rates()),
             ColdPlacementLimiter(
                 FirstRegistered(), RankWatch(lambda s: 0), lambda s: limits
             ),
@@ -146,7 +146,7 @@
     async def choose(self, scheduler, run_id, **more):
         """Query once; return the choice, or the exception raised instead."""
         entries = list(scheduler._directory.entries_by_id.values())
-        aims = LatencyTargets(claim=claim(**more))
+        aims = LatencyObjectives(claim=claim(**more))
         try:
             return await scheduler.choose(run_id, generation(), entries, aims)
         except (AdmissionPending, AdmissionRefused) as outcome:
@@ -235,7 +235,7 @@
         async def scenario():
             big = generation(tokens=399_000)
             entries = list(self.asker._directory.entries_by_id.values())
-            aims = LatencyTargets(claim=claim())
+            aims = LatencyObjectives(claim=claim())
             choice = await self.asker.choose("big", big, entries, aims)
             self.assertIsNotNone(choice.entry)
             self.assertIsInstance(await self.choose(self.asker, "r1"), AdmissionPending)
@@ -246,7 +246,7 @@
         async def scenario():
             big = generation(tokens=900_000)
             entries = list(self.asker._directory.entries_by_id.values())
-            aims = LatencyTargets(claim=claim())
+            aims = LatencyObjectives(claim=claim())
             choice = await self.asker.choose("big", big, entries, aims)
             self.assertIsNotNone(choice.entry)
 
@@ -280,7 +280,7 @@
                     self.asker, f"s{number}", account="b", content="c", left=0.3
                 )
             shares = self.first.placing.admission_queue.shares
-            self.assertGreater(shares.excess("b", self.now), 1.5)
+            self.assertGreater(shares.use_ratio("b", self.now), 1.5)
             patient = await self.choose(self.asker, "p", account="b", content="d")
             newest = await self.choose(self.asker, "n", account="small")
             self.assertLess(newest.ahead, patient.ahead + 1)
@@ -292,10 +292,10 @@
             await self.fill()
             await self.choose(self.asker, "r1", account="b")
             shares = self.first.placing.admission_queue.shares
-            before = shares.excess("b", self.now)
+            before = shares.use_ratio("b", self.now)
             for _ in range(20):
                 await self.choose(self.asker, "r1", account="b")
-            self.assertEqual(before, shares.excess("b", self.now))
+            self.assertEqual(before, shares.use_ratio("b", self.now))
 
         self.run_fleet(scenario)
 
@@ -397,7 +397,7 @@
                     "pool",
                     generation(),
                     {"e0": entries[0]},
-                    LatencyTargets(),
+                    LatencyObjectives(),
                 )
                 successor.placing.place(request, entries)
             self.fault_by_vm[self.order[0]] = fault
@@ -527,7 +527,7 @@
 
 class ReportedLoadTest(testtools.TestCase):
     def test_reported_load_expires(self):
-        entry = Entry(Upstream("e", "pool", "127.0.0.1:1", "a", slots=8))
+        entry = UpstreamEntry(Upstream("e", "pool", "127.0.0.1:1", "a", slots=8))
         self.assertEqual(0.0, entry.reported_load(5.0))
         entry.record_active_requests(4, 5.0)
         self.assertEqual(0.5, entry.reported_load(5.0 + REPORT_VALID_SECONDS))
--- a/tests/test_uneven.py
+++ b/tests/test_uneven.py
@@ -20,7 +20,7 @@
 from lynxchute.upstreams.entry import OpenSend
 from lynxchute.upstreams.evacuations import Evacuations
 from lynxchute.upstreams.expected_finish import (
-    ExpectedFinish,
+    ExpectedCompletion,
     UpstreamState,
     weights,
 )
@@ -37,7 +37,7 @@
 from lynxchute.upstreams.send_gate import SendGate
 from lynxchute.upstreams.service_times import MAX_ROUTES, ServiceTimes
 from lynxchute.upstreams.upstream import Upstream
-from tests.support import no_limits_kept
+from tests.support import unlimited_rates
 
 ESTIMATORS = (TwoTimescaleSpeeds, ChangeDetector)
 WORK = 0.045
@@ -157,7 +157,7 @@
             times.record("app", "look", "b", 3 * WORK, 1.0)
         times.discard_upstream("b")
         self.assertEqual(1.0, times.speeds.slowness("b", 1.0))
-        times.keep_only({"b"})
+        times.prune({"b"})
         self.assertFalse(times.has_samples("a"))
 
 
@@ -218,7 +218,7 @@
                 name, "app", f"127.0.0.1:{ord(name)}", name, slots=6, started_ms=1
             )
         limits = ColdLimits(0.0, 0.0, 0.0, 0.0)
-        gate = SendGate(Evacuations(), lambda _: limits, no_limits_kept())
+        gate = SendGate(Evacuations(), lambda _: limits, unlimited_rates())
         self.calls = PlainCallPlacement(
             Settings(**(features or {"learned_speeds": True})),
             self.directory,
@@ -256,7 +256,7 @@
     def test_without_learned_speeds_open_requests_decide(self):
         self.assertIsInstance(Fleet(hedging=True).calls.placement, LeastOpen)
         self.assertIsNone(Fleet(fair_shares=True).calls.times)
-        self.assertIsInstance(Fleet().calls.placement, ExpectedFinish)
+        self.assertIsInstance(Fleet().calls.placement, ExpectedCompletion)
 
     def test_the_near_upstream_gets_most_and_each_gets_some(self):
         found = Fleet().chosen()
--- a/tests/tickets_machine.py
+++ b/tests/tickets_machine.py
@@ -134,7 +134,7 @@
     def admit_next(self, count):
         """Free places and admit the next tickets."""
         for _ in range(count):
-            self.queue.drain.record_freed(self.now)
+            self.queue.drain.record_slot_freed(self.now)
             ticket = self.queue.consume(self.now)
             if ticket is None:
                 return
@@ -145,19 +145,19 @@
 
     def check_order(self, taken):
         """Check that no comparable ticket had arrived long before the admitted one."""
-        if taken.is_timely_retry or self.excess(taken) > 0.9 * SHARE_TOLERANCE:
+        if taken.is_timely_retry or self.use_ratio(taken) > 0.9 * SHARE_TOLERANCE:
             return
         for ticket in self.waiting_by_run.values():
             if ticket.run_id not in self.queue or ticket.rank != taken.rank:
                 continue
-            if ticket.is_timely_retry or self.excess(ticket) > 0.9 * SHARE_TOLERANCE:
+            if ticket.is_timely_retry or self.use_ratio(ticket) > 0.9 * SHARE_TOLERANCE:
                 continue
             margin = LATE_PENALTY_SECONDS + REORDER_SECONDS
             waited_before = taken.arrived_at - ticket.arrived_at
             assert waited_before <= margin, "an older ticket was overtaken"
 
-    def excess(self, ticket):
-        return self.shares.excess(ticket.account, self.now)
+    def use_ratio(self, ticket):
+        return self.shares.use_ratio(ticket.account, self.now)
 
     @rule(data=st.data())
     def poll_waiting(self, data):
@@ -185,7 +185,7 @@
     @invariant()
     def shares_add_up(self):
         """Check that the shares of all active accounts add up to the whole."""
-        excesses = {a: self.shares.excess(a, self.now) for a in ACCOUNTS}
+        excesses = {a: self.shares.use_ratio(a, self.now) for a in ACCOUNTS}
         known = {a: e for a, e in excesses.items() if e > 0.0}
         if not known:
             return
@@ -198,4 +198,6 @@
         recent = self.now - RETAINED_TIME_CONSTANTS * DECAY_SECONDS
         for account in ACCOUNTS:
             if not any(a == account and at > recent for a, _, at in self.uses):
-                assert not self.shares.excess(account, self.now), "use did not expire"
+                assert not self.shares.use_ratio(account, self.now), (
+                    "use did not expire"
+                )
--- a/tests/turns_machine.py
+++ b/tests/turns_machine.py
@@ -29,7 +29,7 @@
 from lynxchute.upstreams.neighbourhood import Neighbourhood
 from lynxchute.upstreams.send_gate import SendGate
 from lynxchute.upstreams.upstream import Upstream
-from tests.support import no_limits_kept
+from tests.support import unlimited_rates
 
 ENGINES = 2
 SLOTS = 2
@@ -46,7 +46,7 @@
         self.now = 100.0
         self.directory = Directory()
         self.entries = []
-        gate = SendGate(Evacuations(), lambda service: LIMITS, no_limits_kept())
+        gate = SendGate(Evacuations(), lambda service: LIMITS, unlimited_rates())
         watch = RankWatch(lambda service: 0)
         self.turns = AdmissionQueue(lambda account: 1.0, Metrics())
         self.placing = EnginePlacer(
@@ -126,7 +126,7 @@
         """End a run."""
         run_id = data.draw(st.sampled_from(sorted(self.engine_by_run)))
         self.placing.board.record_end(self.engine_by_run.pop(run_id), run_id, self.now)
-        self.turns.record_freed(SERVICE, self.now)
+        self.turns.record_slot_freed(SERVICE, self.now)
         self.finished.add(run_id)
 
     @precondition(lambda self: self.waiting)
--- a/tests/words_machine.py
+++ b/tests/words_machine.py
@@ -8,9 +8,9 @@
 from lynxchute.upstreams.directory import Directory
 from lynxchute.upstreams.evacuations import Evacuations
 from lynxchute.upstreams.send_gate import SendGate
-from lynxchute.upstreams.statement import NOTHING_STATED, Statement
+from lynxchute.upstreams.statement import NO_BACKPRESSURE, DeclaredBackpressure
 from lynxchute.upstreams.upstream import Upstream
-from tests.support import no_limits_kept
+from tests.support import unlimited_rates
 
 ENGINE = Upstream("e", "pool", "127.0.0.1:1", "a", started_ms=1, keeps_id=True)
 
@@ -27,7 +27,9 @@
         self.violations = []
         self.directory = Directory()
         self.directory.put(ENGINE, self.now)
-        self.gate = SendGate(Evacuations(), lambda name: ColdLimits(), no_limits_kept())
+        self.gate = SendGate(
+            Evacuations(), lambda name: ColdLimits(), unlimited_rates()
+        )
 
     @property
     def entry(self):
@@ -46,8 +48,8 @@
     )
     def answer(self, backoff, is_leaving, asked):
         """Deliver an answer to a request that was sent a while ago."""
-        statement = Statement(backoff=backoff, is_leaving=is_leaving)
-        self.directory.record_statement(
+        statement = DeclaredBackpressure(backoff=backoff, is_leaving=is_leaving)
+        self.directory.record_declaration(
             self.entry, statement, asked_at=self.now - asked, now=self.now
         )
         self.backoff_until = max(self.backoff_until, self.now + backoff)
@@ -66,7 +68,7 @@
 
     @rule()
     def report(self):
-        self.directory.record_probe_answer(self.entry, NOTHING_STATED, self.now)
+        self.directory.record_probe_answer(self.entry, NO_BACKPRESSURE, self.now)
 
     @rule(slots=st.integers(1, 3))
     def put_entry(self, slots):
@@ -94,7 +96,9 @@
     @rule()
     def send(self):
         """Send a request that was placed before anything was declared."""
-        withheld = self.gate.withheld_reason(self.entry, permit_until=0.0, now=self.now)
+        withheld = self.gate.withheld_reason(
+            self.entry, cold_permit_until=0.0, now=self.now
+        )
         is_forbidden = self.is_leaving or self.now < self.backoff_until
         if withheld is None and is_forbidden:
             self.violations.append(self.now)
