--- a/lynxchute/scheduling/crowding.py
+++ b/lynxchute/scheduling/crowding.py
@@ -116,7 +116,7 @@
     ) -> float:
         """Return the expected number of late requests, times `LATE_COST_MS`.
 
-        Small costs for each running request and for the expected latency are added.
+        Costs for each running request and for the expected latency are added.
         """
         late = late_probability(expected_ms, request.aims.first_event_ms)
         late += (1.0 - late) * state.pause_probability(request, now)
