--- a/lynxchute/callers/question.py
+++ b/lynxchute/callers/question.py
@@ -46,13 +46,16 @@
 
     def generation(self, request_id: str, max_tokens: int) -> Generation:
         """Return the request's demand on an engine."""
-        shared = min(self.prefix_bound, self.prompt_bound)
-        own = self.prompt_bound - shared
+        prefix_tokens = min(self.prefix_bound, self.prompt_bound)
+        other_tokens = self.prompt_bound - prefix_tokens
         return Generation(
             model=self.model,
             prompt_tokens=self.prompt_bound,
             max_output_tokens=max_tokens,
-            parts=(PromptPart(self.prefix, shared), PromptPart(request_id, own)),
+            parts=(
+                PromptPart(self.prefix, prefix_tokens),
+                PromptPart(request_id, other_tokens),
+            ),
         )
 
     def engine_body(self, max_tokens: int) -> bytes:
@@ -83,15 +86,15 @@
         problems.append("'stream_options' must be an object.")
     if problems:
         return Error(tuple(problems))
-    limit = body.get("max_completion_tokens") or body.get("max_tokens")
-    head = _prompt_prefix(body)
+    max_tokens = body.get("max_completion_tokens") or body.get("max_tokens")
+    prefix = _prompt_prefix(body)
     chat_request = ChatRequest(
         model=body["model"],
         stream=bool(body.get("stream")),
-        max_tokens=limit,
+        max_tokens=max_tokens,
         prompt_bound=_max_prompt_tokens(body["messages"]),
-        prefix=hashlib.blake2b(head, digest_size=8).hexdigest(),
-        prefix_bound=len(head),
+        prefix=hashlib.blake2b(prefix, digest_size=8).hexdigest(),
+        prefix_bound=len(prefix),
         wants_usage=bool((options or {}).get("include_usage")),
         body=body,
     )
--- a/lynxchute/http/client.py
+++ b/lynxchute/http/client.py
@@ -338,10 +338,10 @@
         ExchangeError
             With ``sent`` false only if no byte of the request was sent.
         """
-        limits = timeouts or self._timeouts
+        exchange_timeouts = timeouts or self._timeouts
         await self._slots.acquire()
         try:
-            connection = await self._connect(limits, max_idle)
+            connection = await self._connect(exchange_timeouts, max_idle)
         except BaseException:
             self._slots.release()
             raise
@@ -354,7 +354,7 @@
             if before_send is not None:
                 before_send()
             connection.send(outgoing, body)
-            head = await self._read_head(connection, limits, matches_request)
+            head = await self._read_head(connection, exchange_timeouts, matches_request)
         except (BrokenConnectionError, TimeoutError) as error:
             connection.abort()
             self._slots.release()
@@ -367,7 +367,7 @@
             connection.abort()
             self._slots.release()
             raise
-        return Response(self, connection, head, limits.between_bytes)
+        return Response(self, connection, head, exchange_timeouts.between_bytes)
 
     async def post_json(
         self,
@@ -412,9 +412,9 @@
         return complete
 
     async def _connect(
-        self, limits: Timeouts, max_idle: float | None
+        self, exchange_timeouts: Timeouts, max_idle: float | None
     ) -> ClientConnection:
-        reused = self._pop_idle(limits, max_idle)
+        reused = self._pop_idle(exchange_timeouts, max_idle)
         if reused is not None:
             return reused
         loop = asyncio.get_running_loop()
@@ -423,7 +423,7 @@
                 loop.create_connection(
                     lambda: ClientConnection(self._meter), self._host, self._port
                 ),
-                limits.connect + self._meter.delay(),
+                exchange_timeouts.connect + self._meter.delay(),
                 lambda created: created[1].abort(),
             )
         except (OSError, TimeoutError) as error:
@@ -432,18 +432,18 @@
         return connection
 
     def _pop_idle(
-        self, limits: Timeouts, max_idle: float | None
+        self, exchange_timeouts: Timeouts, max_idle: float | None
     ) -> ClientConnection | None:
         """Return the most recently used idle connection, if it may still be reused."""
         now = asyncio.get_running_loop().time()
         while self._idle:
             connection = self._idle.pop()
-            idle = now - connection.idle_since
-            expiry = connection.keep_alive_seconds or limits.keepalive_expiry
-            if not connection.is_alive or idle > expiry:
+            idle_seconds = now - connection.idle_since
+            expiry = connection.keep_alive_seconds or exchange_timeouts.keepalive_expiry
+            if not connection.is_alive or idle_seconds > expiry:
                 connection.abort()
                 continue
-            if max_idle is not None and idle > max_idle:
+            if max_idle is not None and idle_seconds > max_idle:
                 self._idle.append(connection)
                 return None
             return connection
@@ -452,10 +452,10 @@
     async def _read_head(
         self,
         connection: ClientConnection,
-        limits: Timeouts,
+        exchange_timeouts: Timeouts,
         matches_request: Callable[[h11.Response], bool],
     ) -> h11.Response:
-        head_timeout = limits.first_byte
+        head_timeout = exchange_timeouts.first_byte
         if head_timeout is not None:
             head_timeout += self._meter.delay()
         async with asyncio.timeout(head_timeout):
--- a/lynxchute/http/client_connection.py
+++ b/lynxchute/http/client_connection.py
@@ -66,7 +66,7 @@
         self._in_use = False
         self._closed = False
         self._error: Exception | None = None
-        self._broken: BrokenConnectionError | None = None
+        self._deferred_error: BrokenConnectionError | None = None
         self._body_ended = False
         self._unread_bytes = 0
         self._paused = False
@@ -226,7 +226,9 @@
             # Raised in the waiting task, as if that task had called the callback.
             waiter.set_exception(error)
             return True
-        return self._wants_more and not self._body_ended and self._broken is None
+        return (
+            self._wants_more and not self._body_ended and self._deferred_error is None
+        )
 
     def _read_chunks(self) -> bytes:
         """Return the available bytes of the body.
@@ -235,14 +237,14 @@
         """
         parts: list[bytes] = []
         while not self._body_ended:
-            if self._broken is not None:
+            if self._deferred_error is not None:
                 if parts:
                     break
-                raise self._broken
+                raise self._deferred_error
             try:
                 event = self._poll_event()
             except BrokenConnectionError as error:
-                self._broken = error
+                self._deferred_error = error
                 continue
             if event is h11.NEED_DATA:
                 break
@@ -252,7 +254,7 @@
             if isinstance(event, h11.EndOfMessage):
                 self._body_ended = True
                 continue
-            self._broken = BrokenConnectionError("the answer broke off")
+            self._deferred_error = BrokenConnectionError("the answer broke off")
         return b"".join(parts)
 
     async def skip_response(self) -> None:
--- a/lynxchute/http/link_meter.py
+++ b/lynxchute/http/link_meter.py
@@ -12,10 +12,10 @@
 # Bytes on the wire per byte of payload: packet headers and acknowledgements, for
 # packets of about a kilobyte.
 WIRE_OVERHEAD = 1.08
-# Share of the capacity that incoming traffic is compared with. Bytes never arrive
-# faster than the link carries them, and as it fills up, more of them queue at its far
-# end, where they cannot be observed. With the reduced capacity, a link that is full for
-# a second shows a delay of a third of a second.
+# Incoming traffic is compared with this share of the capacity. Bytes never arrive
+# faster than the link carries them; as the link fills up, more of them queue at its far
+# end, where they cannot be observed. With the reduced capacity, the estimated delay of
+# a link that is full for a second is a third of a second.
 RECEIVING_SHARE = 0.75
 # Maximum of the estimated delay, in seconds: whoever waits longer has given up.
 MAX_DELAY = 1.0
@@ -49,7 +49,7 @@
         self._smoothed_rate = decayed + wire_bytes / AVERAGING_SECONDS
         self._updated_at = now
 
-    def use(self, now: float) -> float:
+    def utilization(self, now: float) -> float:
         return self._rate_at(now) / self.bytes_per_s
 
     def _rate_at(self, now: float) -> float:
@@ -104,7 +104,10 @@
     def use(self) -> float:
         """Return the utilization of the busier direction; 1.0 is the full capacity."""
         now = self._clock()
-        return max(self._sending.use(now), self._receiving.use(now) * RECEIVING_SHARE)
+        return max(
+            self._sending.utilization(now),
+            self._receiving.utilization(now) * RECEIVING_SHARE,
+        )
 
     def delay(self) -> float:
         """Return the seconds that a packet and its response wait for the link."""
--- a/lynxchute/http/responder.py
+++ b/lynxchute/http/responder.py
@@ -89,7 +89,7 @@
 
         Raises
         ------
-        CallerLeft
+        CallerDisconnected
             If the caller has disconnected.
         """
         self._write(self._encode_body(data))
@@ -116,7 +116,7 @@
 
         Raises
         ------
-        CallerLeft
+        CallerDisconnected
             If the caller has disconnected.
         """
         return self._write(self._encode_body(data))
--- a/lynxchute/http/server.py
+++ b/lynxchute/http/server.py
@@ -128,8 +128,9 @@
             return
         loop = asyncio.get_running_loop()
         loop.remove_reader(self._listener)
-        # asyncio attaches an accepted connection to the server one iteration later.
-        # That fails after the server is closed, and the connection would be dropped.
+        # asyncio attaches an accepted connection to the server one iteration of the
+        # event loop later. If the server were closed before that, attaching would fail
+        # and the connection would be dropped.
         await asyncio.sleep(0)
         accepted = []
         while True:
--- a/lynxchute/platform/dialect.py
+++ b/lynxchute/platform/dialect.py
@@ -71,20 +71,22 @@
             dropped = dropped | {names.LAST_EVENT.lower()}
         headers = call.request.headers.end_to_end(dropped)
         left_ms = max(int(parameters.time_left * 1000), 1)
-        added = [
+        router_headers = [
             (names.DEADLINE, str(left_ms)),
             (names.EXPECTED_UPSTREAM, parameters.upstream.id),
         ]
         if parameters.account:
-            added.append((names.ACCOUNT, parameters.account))
+            router_headers.append((names.ACCOUNT, parameters.account))
         if call.generation is not None:
-            added.append((names.PRIORITY, str(min(parameters.priority, MAX_PRIORITY))))
+            router_headers.append(
+                (names.PRIORITY, str(min(parameters.priority, MAX_PRIORITY)))
+            )
         if parameters.fetch_from is not None:
-            added.append((names.FETCH_CACHE, parameters.fetch_from.address))
+            router_headers.append((names.FETCH_CACHE, parameters.fetch_from.address))
         if parameters.last_event_id:
-            added.append((names.LAST_EVENT, parameters.last_event_id))
+            router_headers.append((names.LAST_EVENT, parameters.last_event_id))
         headers.extend(
-            (name.encode(), value.encode("latin-1")) for name, value in added
+            (name.encode(), value.encode("latin-1")) for name, value in router_headers
         )
         return headers
 
--- a/lynxchute/platform/engines.py
+++ b/lynxchute/platform/engines.py
@@ -23,7 +23,7 @@
 from lynxchute.upstreams.http_engines import HttpEngineClient, no_answer
 from lynxchute.upstreams.upstream import Upstream
 
-# An upstream answers this path at once, even under full load.
+# Upstreams answer `REPORT_PATH` immediately, even under full load.
 PROBE_TIMEOUTS = Timeouts(connect=0.15, first_byte=0.25, between_bytes=0.25)
 
 
@@ -43,15 +43,15 @@
         except ExchangeError as error:
             raise no_answer(upstream, error) from error
         statement = STATEMENT_HEADERS.decode(response.status, response.headers)
-        return attrs.evolve(_probe_of(body, response.headers), statement=statement)
+        return attrs.evolve(_decode_probe(body, response.headers), statement=statement)
 
     def _listed(self, answer: Any) -> list[PromptPart]:
         # An entry is [empty string, prompt part id, tokens, model].
         return [PromptPart(str(i[1]), int(i[2])) for i in answer["held"]]
 
 
-def _probe_of(report: bytes, headers: Headers) -> Probe:
-    """Decode a load report; without a valid body, only the headers count."""
+def _decode_probe(report: bytes, headers: Headers) -> Probe:
+    """Decode a load report; if its body is invalid, use only the headers."""
     cold_ms = _cold_ms(headers)
     try:
         value = RowValue.decode(report)
--- a/lynxchute/platform/names.py
+++ b/lynxchute/platform/names.py
@@ -51,12 +51,12 @@
 ROWS_READ = "/lynxchute/rows-get"
 ROWS_FEED = "/lynxchute/rows-feed"
 
-# The operator writes the first table and upstreams the one below. The key names the
-# row with the newest configuration.
+# Table that the operator writes, and the key of its row with the newest configuration.
 OPERATOR_TABLE = "op"
 CONFIGURATION_KEY = "config"
 # Row keys for evacuations: this prefix, then the name of the data centre.
 EVACUATION_PREFIX = "evacuate/"
+# Table that upstreams write.
 UPSTREAM_TABLE = "servers"
 # Field of upstream rows and load reports: start time in Unix milliseconds.
 START_TIME_FIELD = "born"
--- a/lynxchute/platform/settings.py
+++ b/lynxchute/platform/settings.py
@@ -26,8 +26,8 @@
 # host:port at which other routers reach this one if a proxy is between them.
 PEERS_VARIABLE = "LYNXCHUTE_PEERS_REACHED_AT"
 
-# Algorithms for admission to cold upstreams and for sharing upstream rate limits, by
-# name; they are switched to compare algorithms in simulated days.
+# Variables that select the algorithms for admission to cold upstreams and for sharing
+# upstream rate limits, by name; they are set to compare algorithms in simulated days.
 COLD_VARIABLE = "LYNXCHUTE_COLD_ADMISSION"
 RATE_VARIABLE = "LYNXCHUTE_RATE_SHARING"
 
--- a/lynxchute/platform/store.py
+++ b/lynxchute/platform/store.py
@@ -26,7 +26,8 @@
     Write,
 )
 
-# Seconds. The store normally answers in 4 ms, and in 240 ms if sixty times slower.
+# Seconds. The store normally answers in 4 ms; a store that is sixty times slower takes
+# 240 ms.
 ANSWER_TIMEOUT = 1.0
 CONNECT_TIMEOUT = 0.5
 # Maximum rows per response; the store enforces the same limit.
@@ -73,7 +74,7 @@
         raise OutcomeUnknown(f"the store answered {status}")
 
     async def scan(self, table: str, *, part: str = "") -> Snapshot:
-        """Read all rows of a table, or of one part of it, in pages."""
+        """Read all rows of a table, or of one of its partitions, in pages."""
         rows: list[Row] = []
         version: int | None = None
         start_key = ""
--- a/lynxchute/platform/upstreams.py
+++ b/lynxchute/platform/upstreams.py
@@ -25,8 +25,8 @@
     address = Address.parse(value.text("address"))
     if not address.port:
         raise ValueError("nobody listens at port 0")
-    # The router uses neither field, but every valid upstream row has both; the lookups
-    # raise if one is missing.
+    # Every valid upstream row has these two fields. The router does not use them; the
+    # lookups raise if one is missing or has the wrong type.
     value.text("version")
     value.count("sequence")
     return Upstream(
--- a/lynxchute/store/counted.py
+++ b/lynxchute/store/counted.py
@@ -37,7 +37,7 @@
         Counter of calls by method and result.
     seconds
         Histogram of the duration of writes and scans, in seconds. Calls to `changes`
-        are left out: they are long polls.
+        are not included, since they are long polls.
     """
 
     def __init__(self, store: Store, calls: Counter, seconds: Histogram) -> None:
@@ -68,11 +68,11 @@
         self._store.close()
 
     async def _timed(self, call: str, answer: Awaitable[ResultT]) -> ResultT:
-        started = steady_seconds()
+        started_at = steady_seconds()
         try:
             return await self._counted(call, answer)
         finally:
-            self._seconds.observe(steady_seconds() - started)
+            self._seconds.observe(steady_seconds() - started_at)
 
     async def _counted(self, call: str, answer: Awaitable[ResultT]) -> ResultT:
         outcome = "cancelled"
--- a/lynxchute/store/feed.py
+++ b/lynxchute/store/feed.py
@@ -13,11 +13,11 @@
 from lynxchute.store.rows import Changes, Row
 from lynxchute.store.store import HistoryLost, Store, StoreUnavailable
 
-# After an outage of more than this many seconds the table is listed instead of
-# replaying the history: a listing holds each row once, the history holds all its
-# values. Sixty configurations of 60 KB take six seconds over a link of 5 Mbit/s, the
-# newest one a tenth of that. After a shorter outage few changes were missed, and a
-# listing would fill such a link.
+# After an outage of more than this many seconds, the table is listed instead of
+# replaying the history: a listing contains only the newest value of each row, the
+# history contains all values. Over a link of 5 Mbit/s, sixty configurations of 60 KB
+# take six seconds, and the newest one alone takes a tenth of a second. After a shorter
+# outage few changes were missed, and a listing would fill such a link.
 MISSED_SECONDS = 3.0
 
 
@@ -77,7 +77,7 @@
     recovered_at
         When the store last began to answer again; 0 if it never stopped.
     confirmed_at
-        Send time of the last request for changes that had none, or of the last
+        Send time of the last request that returned no changes, or of the last
         listing. The replica includes all changes up to then.
     listed_at
         Send time of the last listing of the whole table.
@@ -286,12 +286,12 @@
         self.last_answer_at = now
         if self.unavailable_since is None:
             return
-        silent = round(now - self.unavailable_since, 3)
+        outage_seconds = round(now - self.unavailable_since, 3)
         self.unavailable_since = None
         self.recovered_at = now
         logging.info(
             "the store answers again",
-            extra={"fields": {"table": self.table, "silent_s": silent}},
+            extra={"fields": {"table": self.table, "silent_s": outage_seconds}},
         )
 
     def _record_failure(self, error: Exception) -> None:
--- a/lynxchute/store/store.py
+++ b/lynxchute/store/store.py
@@ -9,7 +9,7 @@
 
 
 class StoreUnavailable(Exception):
-    """Raised when the store did nothing: it was unreachable or refused the call."""
+    """Raised when a call had no effect: the store was unreachable or overloaded."""
 
 
 class OutcomeUnknown(Exception):
@@ -27,7 +27,10 @@
 
 
 class HistoryLost(Exception):
-    """Raised when the store no longer has all changes after a version; list again."""
+    """Raised when the store no longer has all changes after a version.
+
+    The table must be listed again.
+    """
 
 
 class StoreRefused(Exception):
@@ -65,7 +68,7 @@
         Raises
         ------
         StoreUnavailable
-            When the store gave no answer.
+            When the store gave no usable answer.
         """
 
     @abstractmethod
@@ -83,7 +86,7 @@
         Raises
         ------
         StoreUnavailable
-            When the store gave no answer.
+            When the store gave no usable answer.
         HistoryLost
             When the store no longer has all changes after that version.
         """
--- a/lynxchute/telemetry/log.py
+++ b/lynxchute/telemetry/log.py
@@ -16,7 +16,7 @@
 # About two seconds of log lines of the busiest VM; more would use too much memory of a
 # small VM.
 MAX_QUEUED_BYTES = 1_000_000
-# Capacity of a pipe, in bytes.
+# Maximum bytes per write: the default capacity of a pipe.
 WRITE_BYTES = 65536
 # Attribute of a log record that holds the structured fields.
 FIELDS_ATTRIBUTE = "fields"
@@ -151,7 +151,7 @@
 
 @attrs.define(eq=False)
 class _Sink:
-    """The output for lines without a record; unset until `log_to_stdout` is called."""
+    """Output for lines without a log record; unset until `log_to_stdout` is called."""
 
     writer: LogWriter | None = None
     formatter: JsonFormatter | None = None
--- a/lynxchute/telemetry/metrics.py
+++ b/lynxchute/telemetry/metrics.py
@@ -39,7 +39,7 @@
     hedges
         Calls that were slow at their first upstream, by outcome of the hedge.
     slowness
-        Response time of the slowest plain upstream relative to the usual one, by
+        Response time of the slowest plain upstream, relative to the typical one, by
         service.
     evacuated, cold_upstreams
         Evacuated data centres, and upstreams that are not warmed up.
