--- a/lynxchute/_structure.py
+++ b/lynxchute/_structure.py
@@ -105,7 +105,7 @@
         return self._build(node, cls, "")
 
     def report(self, path: str, problem: str, advice: str) -> None:
-        """Add a finding at a path, or at its nearest located parent."""
+        """Add a finding at a path, or at its nearest parent with a known location."""
         location = path
         while location not in self._marks_by_path and location:
             location = location[: max(location.rfind("."), location.rfind("["), 0)]
@@ -261,8 +261,8 @@
     file
         File name that the findings show.
     check
-        Validates the built value across its fields: called with the value and
-        the function that reports a finding, if the document has none so far.
+        Validates the built value across its fields. It is called with the value and
+        a function that reports a finding, unless the document already has findings.
 
     Returns
     -------
--- a/lynxchute/demo.py
+++ b/lynxchute/demo.py
@@ -40,8 +40,9 @@
 # which all routers must know that; each later crash violates a guarantee.
 CRASHES_TO_QUARANTINE = 3
 QUARANTINE_SECONDS = 1.0
-# After the evacuation ends, engines are cold and can serve COLD_PER_SECOND requests a
-# second: in any second all routers together may send one at most 2 x 1.5 + 5 = 8.
+# After the evacuation ends, its engines are cold and can serve COLD_PER_SECOND requests
+# a second each. In any second, all routers together may send a cold engine at most
+# 2 x 1.5 + 5 = 8 requests.
 COLD_SECONDS = 3.0
 COLD_PER_SECOND = 2.0
 MAX_COLD_RATE = 8
@@ -65,7 +66,7 @@
     for upstream in deployment.upstreams:
         ran.update(record["request_id"] for record in upstream.records())
     answered = [item for item in sent if item.outcome == "answered"]
-    others = [item for item in sent if item.outcome != "answered"]
+    unanswered = [item for item in sent if item.outcome != "answered"]
     not_run_but_ran = 0
     for item in sent:
         for attempt in item.attempts:
@@ -74,12 +75,18 @@
     return {
         "requests": len(sent),
         "answered": len(answered),
-        "refused": len(others),
-        "false_refusals": sum(item.false_refusal for item in others)
-        + sum(item.outcome == "lost" for item in others),
-        "overspend_tokens": sum(max(n - paid[a], 0) for a, n in served.items()),
-        "uncounted_tokens": sum(max(n - counted[a], 0) for a, n in served.items()),
-        "counted_beyond_use": sum(max(counted[a] - n, 0) for a, n in served.items()),
+        "refused": len(unanswered),
+        "false_refusals": sum(item.false_refusal for item in unanswered)
+        + sum(item.outcome == "lost" for item in unanswered),
+        "overspend_tokens": sum(
+            max(tokens - paid[account], 0) for account, tokens in served.items()
+        ),
+        "uncounted_tokens": sum(
+            max(tokens - counted[account], 0) for account, tokens in served.items()
+        ),
+        "counted_beyond_use": sum(
+            max(counted[account] - tokens, 0) for account, tokens in served.items()
+        ),
         "wrong_or_partial_answers": sum(not item.is_correct for item in answered),
         "run_twice": sum(count > 1 for count in calls_run.values()),
         "not_run_but_ran": not_run_but_ran,
@@ -101,7 +108,7 @@
 )
 
 
-def _amagumo() -> Shape:
+def _make_shape() -> Shape:
     """Return the shape of the deployment "amagumo"."""
     budgets = {f"crew-{index}": 60_000 for index in range(1, 8)}
     budgets.update({"road-1": 400_000, "road-2": 400_000, "coop": 30_000})
@@ -185,8 +192,8 @@
 def _cold_rate_excess(deployment: Deployment) -> int:
     """Return the requests beyond `MAX_COLD_RATE` in a cold engine's busiest second."""
     engines = deployment.engines_by_name.values()
-    most = max(engine.arrival_log.peak_cold_rate() for engine in engines)
-    return max(most - MAX_COLD_RATE, 0)
+    peak = max(engine.arrival_log.peak_cold_rate() for engine in engines)
+    return max(peak - MAX_COLD_RATE, 0)
 
 
 async def _send_crash_requests(deployment: Deployment) -> int:
@@ -201,9 +208,9 @@
     for engine in engines:
         engine.crash_texts.add(CRASH_TEXT)
     vms = sorted(deployment.routers_by_vm)
-    quarantined_at, crashes_allowed, last = float("inf"), 0, 0
+    quarantined_at, crashes_allowed, last_status = float("inf"), 0, 0
     for number in range(CRASH_REQUESTS):
-        last = await _send_crash_request(deployment, vms[number % len(vms)])
+        last_status = await _send_crash_request(deployment, vms[number % len(vms)])
         crashes = sum(engine.restarts for engine in engines)
         if time.monotonic() < quarantined_at + QUARANTINE_SECONDS:
             crashes_allowed = crashes
@@ -212,7 +219,8 @@
         await asyncio.sleep(CRASH_PAUSE_SECONDS)
     crashes = sum(engine.restarts for engine in engines)
     _print_step(
-        f"  it crashed {crashes} engines; the last of {CRASH_REQUESTS} answers: {last}"
+        f"  it crashed {crashes} engines; "
+        f"the last of {CRASH_REQUESTS} answers: {last_status}"
     )
     return crashes - crashes_allowed
 
@@ -263,7 +271,7 @@
 
 
 async def _run(rate: float) -> int:
-    deployment = Deployment(_amagumo())
+    deployment = Deployment(_make_shape())
     _print_step("starting three data centres with eight routers on stand-ins")
     await deployment.start()
     callers = Callers(deployment, random.Random(SEED))
--- a/lynxchute/edge/configurations.py
+++ b/lynxchute/edge/configurations.py
@@ -21,11 +21,11 @@
 LONG_POLL_SHARE = 0.45
 # A request may be refused without another query if the last confirmation is at most
 # this old, as a fraction of the bound. So unknown callers cause at most two short
-# queries per bound, however many they are.
+# queries per bound, however many requests they send.
 CONFIRMATION_AGE_SHARE = 0.5
-# Minimum seconds between two full lists of the table: one list is 60 KB or more, 0.1 s
-# of a link of 5 Mbit/s. With four lists per bound, lists arrived too late, and 86
-# routers refused 1,700 requests in one minute and asked for a retry.
+# Minimum seconds between two listings of the whole table. A listing has 60 KB or more
+# and takes 0.1 s on a link of 5 Mbit/s. With four listings per bound, they arrived too
+# late: 86 routers refused 1,700 requests in one minute and told callers to retry.
 MIN_LIST_INTERVAL_SECONDS = 60.0
 # Seconds that a request waits for a confirmation: 100 times the store's usual response
 # time, and twice its response time through another router.
@@ -122,7 +122,8 @@
         """Apply an evacuation order for a data centre, or its revocation.
 
         The rows of one batch are handled without yielding to the event loop, so no
-        request is admitted by a new configuration before the orders of its batch.
+        request is admitted by a new configuration before the evacuation orders of the
+        same batch apply.
         """
         data_centre = row.id.key.removeprefix(self._evacuation_prefix)
         if row.deleted:
@@ -175,7 +176,7 @@
 
 
 def _is_readable(value: bytes) -> bool:
-    """Return whether an order's row can be decoded; the order counts either way."""
+    """Return whether an order's row can be decoded; it takes effect either way."""
     try:
         RowValue.decode(value)
     except RowValueError:
--- a/lynxchute/edge/entrance.py
+++ b/lynxchute/edge/entrance.py
@@ -16,9 +16,9 @@
     """Pause accepting connections while the VM is full, and resume afterwards.
 
     Load balancers send a caller's connections to one VM and detect only after two
-    seconds that it is not ready. Requests refused until then have already used its link
-    and delay those that it serves. A connection that is not accepted uses no bandwidth,
-    and the caller tries another VM immediately.
+    seconds that it is not ready. Requests refused until then have already used the
+    VM's link, and delay the requests that the VM serves. A connection that is not
+    accepted uses no bandwidth, and the caller tries another VM immediately.
 
     Parameters
     ----------
--- a/lynxchute/edge/own_load.py
+++ b/lynxchute/edge/own_load.py
@@ -60,7 +60,7 @@
             loop.sleep_observers.append(self.processor.record_sleep)
 
     def check_head(self, head: RequestHead, current: Configuration | None) -> None:
-        """Refuse a request by its head if overload refuses all accounts' requests.
+        """Refuse a request by its head while overload affects all client accounts.
 
         Raises
         ------
@@ -75,12 +75,15 @@
             return
         service = current.services_by_name.get(route.targets[0].service)
         is_plain_call = service is None or service.engine is None
-        full = self.load.shed_reason_for_all(
+        full_resource = self.load.shed_reason_for_all(
             route.latency_objective, is_plain_call=is_plain_call
         )
-        if full:
+        if full_resource:
             self.metrics.refusals.inc(Reason.OVERLOADED.value)
-            reason = f"This router's {full} is full. Send the request to another one."
+            reason = (
+                f"This router's {full_resource} is full. "
+                "Send the request to another one."
+            )
             raise BadRequest(503, reason, retry_after=RETRY_AFTER_OVERLOAD)
 
 
@@ -102,8 +105,8 @@
         meter = LinkMeter(settings.link_mbps)
         return LoadControl(meter, RouterLoad(meter, steady_seconds), metrics)
     processor = ProcessorMeter(steady_seconds)
-    own = OwnDelayMeter(settings.link_mbps, processor, steady_seconds)
-    link = CallbackLoadSource("link", own.use, own.link_delay)
+    own_delay = OwnDelayMeter(settings.link_mbps, processor, steady_seconds)
+    link = CallbackLoadSource("link", own_delay.use, own_delay.link_delay)
     memory = CallbackLoadSource(
         "memory",
         lambda: utilization(
@@ -117,5 +120,5 @@
     )
     shares = LocalShares(lambda: guard.sustainable_share())
     guard = OverloadGuard(resources, steady_seconds, random.Random(), shares)
-    load = GuardedLoad(guard, own, steady_seconds, metrics)
-    return LoadControl(own, load, metrics, processor)
+    load = GuardedLoad(guard, own_delay, steady_seconds, metrics)
+    return LoadControl(own_delay, load, metrics, processor)
--- a/lynxchute/edge/plain_calls.py
+++ b/lynxchute/edge/plain_calls.py
@@ -68,11 +68,11 @@
             return
         times = ServiceTimes(TwoTimescaleSpeeds())
         self.times = times
-        self._expected_finish = ExpectedCompletion(
+        self._expected_completion = ExpectedCompletion(
             settings.data_centre, gate, permits, times.speeds, rng, clock
         )
         if features.learned_speeds:
-            self.placement = self._expected_finish
+            self.placement = self._expected_completion
         directory.listeners.append(self._prune_removed)
         directory.restart_listeners.append(self._discard_restarted)
 
@@ -87,16 +87,16 @@
             self._directory,
             self.times,
             retries,
-            self._expected_finish.state_of,
+            self._expected_completion.state_of,
             metrics,
             self._clock,
         )
 
     def slowness(self, entry: UpstreamEntry, now: float) -> float:
-        """Return the current service time of an upstream over its typical one."""
+        """Return the ratio of an upstream's current service time to its typical one."""
         if self.times is None:
             return 1.0
-        return self._expected_finish.state_of(entry, now).slowness_now
+        return self._expected_completion.state_of(entry, now).slowness_now
 
     def slowest_by_service(self, now: float) -> dict[str, float]:
         """Return the maximum slowness among the upstreams of each service."""
--- a/lynxchute/edge/upstream_rules.py
+++ b/lynxchute/edge/upstream_rules.py
@@ -69,17 +69,17 @@
     ) -> None:
         self.evacuations = Evacuations()
         admission = ADMISSIONS_BY_NAME[settings().cold_admission]()
-        watch = RankWatch(self.rank)
+        rank_watch = RankWatch(self.rank)
         sharing = SHARINGS_BY_NAME[settings().rate_sharing]()
         self.rates = RateLimits(
             sharing,
-            watch.held_rank,
+            rank_watch.held_rank,
             self._turn_position,
             store_ms,
             seconds_since_members,
         )
         self.gate = SendGate(self.evacuations, self.cold_limits, self.rates)
-        self.cold = ColdPlacementLimiter(admission, watch, self.cold_limits)
+        self.cold = ColdPlacementLimiter(admission, rank_watch, self.cold_limits)
         self._settings = settings
         self._configuration = configuration
         self._directory = directory
--- a/lynxchute/edge/upstreams.py
+++ b/lynxchute/edge/upstreams.py
@@ -96,12 +96,12 @@
         upstream = result.ok
         entry = self._directory.entries_by_id.get(upstream.id)
         was_leaving = entry is not None and entry.upstream.is_leaving
-        # The first list holds upstreams that already ran; a row in a later batch
+        # The first listing has upstreams that already ran; a row in a later batch
         # belongs to an upstream that has started since.
         is_start = self.feed.synced.is_set()
         is_change = self._directory.put(upstream, now, is_start=is_start)
-        # The upstreams of the first list are logged in one summary line: a line each
-        # for 3,000 of them took 0.2 s of processor time at the start.
+        # The upstreams of the first listing are logged in one summary line: one line
+        # for each of 3,000 upstreams took 0.2 s of processor time at the start.
         is_logged = is_start or upstream.is_leaving
         if is_logged and (entry is None or upstream.is_leaving != was_leaving):
             log_event(
--- a/lynxchute/explain/command.py
+++ b/lynxchute/explain/command.py
@@ -21,10 +21,10 @@
 EXIT_DONE = 0
 EXIT_NOT_FOUND = 1
 EXIT_INVALID = 2
-# Maximum rows of a table, sorted by lost and late requests. Large fleets have hundreds
-# of VMs.
+# Maximum rows of a table, which begins with the most lost and late requests. Large
+# fleets have hundreds of VMs.
 MAX_ROWS = 15
-# Fields left out of the values on a printed line: shown elsewhere or not needed.
+# Fields not printed among the details of a log line: shown elsewhere or not needed.
 HIDDEN_FIELDS = frozenset({"time", "level", "event", "vm", "request_id"})
 
 
--- a/lynxchute/explain/log_lines.py
+++ b/lynxchute/explain/log_lines.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-# Invalid lines that are reported one by one; further ones are only counted.
+# Maximum invalid lines reported one by one; further ones are only counted.
 MAX_FINDINGS = 20
 
 
@@ -30,7 +30,7 @@
 
     @property
     def request_id(self) -> str:
-        """Return the id of the request, or an empty string without one."""
+        """Return the id of the request, or an empty string if the line has none."""
         return str(self.fields.get("request_id", ""))
 
 
@@ -44,7 +44,7 @@
     ----------
     findings
         Positions of invalid lines; at most `MAX_FINDINGS`.
-    strange
+    invalid_count
         Number of all invalid lines.
     """
 
--- a/lynxchute/explain/losses.py
+++ b/lynxchute/explain/losses.py
@@ -9,8 +9,8 @@
 from lynxchute.explain.log_lines import LogLine
 
 ON_TIME = "on time"
-# Failed searches for tokens kept until their request ends. A large fleet has about this
-# many requests open at once.
+# Maximum requests whose failed search for budget tokens is remembered until they end.
+# A large fleet has about this many requests open at once.
 MAX_FAILED_SEARCHES = 50_000
 
 
@@ -20,7 +20,7 @@
 
     Attributes
     ----------
-    moment
+    interval_start
         Start of the time interval in which the request began, in seconds.
     """
 
@@ -38,9 +38,9 @@
     step
         Length of a time interval, in seconds.
     requests
-        Number of ended requests by route.
+        Number of all requests by route, refused ones included.
     counts
-        Number of lost requests by route, cause and time interval.
+        Number of requests that were not on time, by route, cause and time interval.
     """
 
     step: float = 4.0
@@ -49,7 +49,7 @@
     _failed_searches: OrderedDict[str, LogLine] = attrs.Factory(OrderedDict)
 
     def add_line(self, line: LogLine) -> None:
-        """Count the request that a line ends, or keep a failed token search."""
+        """Count the request whose end a line logs, or keep a failed token search."""
         if line.event == "no tokens for a request":
             self._failed_searches[line.request_id] = line
             if len(self._failed_searches) > MAX_FAILED_SEARCHES:
@@ -70,14 +70,14 @@
         self.counts[Loss(route, cause, interval_start)] += 1
 
     def by_cause(self) -> Counter[tuple[str, str]]:
-        """Return the number of lost requests by route and cause."""
+        """Return the number of requests not on time, by route and cause."""
         totals: Counter[tuple[str, str]] = Counter()
         for loss, count in self.counts.items():
             totals[loss.route, loss.cause] += count
         return totals
 
     def by_interval(self) -> dict[int, Counter[str]]:
-        """Return the number of lost requests by time interval and cause."""
+        """Return the number of requests not on time, by time interval and cause."""
         totals: dict[int, Counter[str]] = {}
         for loss, count in self.counts.items():
             totals.setdefault(loss.interval_start, Counter())[loss.cause] += count
@@ -91,7 +91,7 @@
     ----------
     line
         Log line at the end of the request.
-    search
+    failed_search
         Log line of the failed search for budget tokens, if there was one.
     """
     outcome = str(line.fields.get("outcome", ""))
--- a/lynxchute/explain/payers.py
+++ b/lynxchute/explain/payers.py
@@ -23,7 +23,7 @@
     Attributes
     ----------
     requests
-        Number of all ended requests.
+        Number of all requests, refused ones included.
     late
         Number of requests served late.
     lost_by_cause
@@ -73,7 +73,7 @@
     _data_centre_by_vm: dict[str, str] = attrs.Factory(dict)
 
     def add_line(self, line: LogLine) -> None:
-        """Count the request that a line ends, or record its VM's data centre."""
+        """Count the request whose end a line logs, or record a VM's data centre."""
         fields = line.fields
         if line.event == "started":
             vm = str(fields.get("vm", ""))
--- a/lynxchute/fleet/members.py
+++ b/lynxchute/fleet/members.py
@@ -208,7 +208,7 @@
         return backoff.failures == 1
 
     def homes(self, account: str) -> list[str]:
-        """Return the VMs here in the order in which they serve as an account's home.
+        """Return the VMs of this data centre in the order in which they become a home.
 
         The first one is the account's home in this data centre; the others are its
         fallbacks, in order. Draining and unreachable routers are left out.
--- a/lynxchute/fleet/messages.py
+++ b/lynxchute/fleet/messages.py
@@ -198,7 +198,7 @@
 
 @attrs.frozen
 class FinalUseReply:
-    """The final token use of a stopped process; None if it was not reported here."""
+    """The final token use of a stopped process; None if this router has no report."""
 
     used_by_account: dict[str, int] | None
 
@@ -270,7 +270,7 @@
     parts
         Ids and token counts of the prompt's parts.
     router
-        Identifies the run of the asking router's process.
+        The incarnation of the asking router, which identifies its process.
     expected_output_tokens
         The caller's estimate of the output tokens; None when it gives none.
     first_event_ms, pause_ms
--- a/lynxchute/fleet/registry.py
+++ b/lynxchute/fleet/registry.py
@@ -61,7 +61,8 @@
     secret
         The shared secret in the fleet's messages; empty until read from the store.
     members_known
-        Set once the routers that had registered by then are known.
+        Set once the registered routers are known; at a first start, only after the
+        time in which all VMs of the fleet start.
     listeners
         Called after each batch of changed rows.
     peers
--- a/lynxchute/fleet/relayed_store.py
+++ b/lynxchute/fleet/relayed_store.py
@@ -37,8 +37,8 @@
 
 ResultT = TypeVar("ResultT")
 
-# Routers tried in turn as relays. When the store refuses some routers or some are cut
-# off, one of a few still reaches it; when the store is down, none does.
+# Maximum routers tried as relays for one call. If the store refuses some routers or
+# some are cut off, one of these few still reaches it; if it is down, none does.
 MAX_RELAYS_TRIED = 3
 # Seconds until relays are tried again after none of them reached the store.
 RELAYS_RETRY_SECONDS = 0.5
@@ -48,16 +48,17 @@
 DIRECT_RETRY_SECONDS = 0.5
 # Seconds between requests for changes through a relay, which does not long-poll.
 RELAYED_POLL_SECONDS = 0.25
-# Timeout in seconds for a relayed call. It is shorter than the other router's timeout,
-# so that a hanging store is not mistaken for an unreachable relay.
+# Timeout in seconds of a relay's own call to the store. It is shorter than the asking
+# router's timeout for the relay, so that a hanging store is not mistaken for an
+# unreachable relay.
 RELAYED_CALL_TIMEOUT = 0.4
 
 
 class RelayedStore(Store):
     """Call the store directly, or through another router that still reaches it.
 
-    Relays neither cache nor make up answers: each answer comes from the store, with
-    its versions and its time.
+    Relays neither cache results nor create their own: each result comes from the
+    store, with the store's versions and time.
 
     Parameters
     ----------
--- a/lynxchute/fleet/store_messages.py
+++ b/lynxchute/fleet/store_messages.py
@@ -85,7 +85,7 @@
     rows
         The rows read, or the current rows after a conflict.
     version
-        The version of the rows written, or up to which rows were read.
+        The version of the rows written, or the version up to which rows were read.
     told_ms
         The store's time that it last reported to the relaying router, in milliseconds
         on its clock; 0 if unknown.
--- a/lynxchute/operators/collections.py
+++ b/lynxchute/operators/collections.py
@@ -138,7 +138,7 @@
     async def _read_grants(self) -> _GrantSnapshot:
         totals = await self._store.scan(TOTALS_TABLE)
         holders = {}
-        for part in await self._holder_parts():
+        for part in await self._holder_partitions():
             for row in (await self._store.scan(HOLDERS_TABLE, part=part)).rows:
                 holders[row.id.key] = HolderRow.decode(row.value)
         return _GrantSnapshot(
@@ -147,21 +147,23 @@
             self._store.clock.earliest_ms(steady_seconds()),
         )
 
-    async def _holder_parts(self) -> list[str]:
-        """Return the table parts in which routers may store holder rows."""
+    async def _holder_partitions(self) -> list[str]:
+        """Return the partitions of the holders table in which routers may have rows."""
         return ["", *[row["vm"] for row in await self._vms()]]
 
     async def _accounts(self) -> list[Row]:
         configuration = await self._read_configuration()
         if configuration is None:
             return []
-        keys = [account.name for account in configuration.accounts_by_key.values()]
+        key_owners = [
+            account.name for account in configuration.accounts_by_key.values()
+        ]
         rows = []
         for account in configuration.accounts_by_name.values():
             rows.append(
                 {
                     "account": account.name,
-                    "keys": keys.count(account.name),
+                    "keys": key_owners.count(account.name),
                     "weight": account.weight,
                 }
             )
--- a/lynxchute/operators/history.py
+++ b/lynxchute/operators/history.py
@@ -135,7 +135,7 @@
         self._store = store
 
     async def initialize(self, document: FleetDocument) -> bool:
-        """Write the first version if the store has none, and return True.
+        """Write the first version if the store has none; always return True.
 
         Raises
         ------
--- a/lynxchute/operators/language.py
+++ b/lynxchute/operators/language.py
@@ -48,7 +48,7 @@
         Position of the error, counted from 1.
     expected
         Keywords and token types that are valid at that position.
-    nearest
+    suggestion
         The valid word closest to the one found; empty if none is similar.
     """
 
--- a/lynxchute/operators/statements.py
+++ b/lynxchute/operators/statements.py
@@ -89,7 +89,7 @@
 
 @attrs.frozen
 class SetWeight:
-    """Set the weight of a client account when capacity is shared under contention."""
+    """Set the weight by which a client account shares capacity under contention."""
 
     account: str
     weight: int
--- a/lynxchute/reachability.py
+++ b/lynxchute/reachability.py
@@ -15,7 +15,7 @@
 
 @attrs.frozen
 class MissedReply:
-    """Time in seconds of a missing reply, and whether an upstream owed it."""
+    """Time in seconds of a missing reply, and whether it was due from an upstream."""
 
     at: float
     is_upstream: bool
@@ -112,4 +112,4 @@
         missed = state.missed_by_name.values()
         # Routers can hang or lose power together while upstreams still work, so at
         # least one upstream must have failed to reply.
-        return len(missed) >= MIN_SILENT and any(s.is_upstream for s in missed)
+        return len(missed) >= MIN_SILENT and any(reply.is_upstream for reply in missed)
