--- a/tests/backpressure_machine.py
+++ b/tests/backpressure_machine.py
@@ -1,8 +1,8 @@
 """Stateful fuzzing of routers that send to a throttled upstream.
 
 Each router makes the real decisions with its own view of which routers are registered,
-and its reading of the store's clock is a little behind. Views lag, one router at a time
-is isolated and learns nothing, then all of them are. Processes restart with empty
+and its reading of the store's clock is a little behind. Views lag, and one router at a
+time, or all of them, are isolated and learn nothing. Processes restart with empty
 memory, the upstream changes its limit, and its answers overtake one another.
 """
 
@@ -59,9 +59,9 @@
     Attributes
     ----------
     made_at, at
-        When the upstream generates it, and when it arrives.
+        Times at which the upstream generates it and the router receives it.
     statement
-        What it declares; None before it is generated.
+        Backpressure that the answer declares; None before it is generated.
     """
 
     made_at: float
--- a/tests/cold_machine.py
+++ b/tests/cold_machine.py
@@ -197,7 +197,7 @@
 
     @rule()
     def deliver_late_reports_to_all(self):
-        """Deliver an outdated report to all routers, and let each place at once."""
+        """Deliver an outdated report to all routers; each then places requests."""
         for number in self.routers:
             self.deliver_late_report(number, 0.1)
         self.advance(0.2)
@@ -229,7 +229,7 @@
         self.advance(TAKE_OVER_SECONDS + 0.1)
 
     def send_due(self):
-        """Send what is due, as far as the senders' gates permit it."""
+        """Send the placed requests that are due, if the senders' gates permit it."""
         due = [send for send in self.waiting if send.at <= self.now]
         self.waiting = [send for send in self.waiting if send.at > self.now]
         for send in due:
@@ -237,8 +237,8 @@
                 continue
             entry = self.routers[send.sender].entry
             if send.sender not in self.informed:
-                # It has learned by now that the upstream is cold, maybe after it asked
-                # for a placement.
+                # The sender has learned by now that the upstream is cold, maybe after
+                # it requested the placement.
                 self.informed.add(send.sender)
                 entry.extend_cold(self.cold_until - self.now, self.now)
             permit = send.asked_at + PERMIT_SECONDS if send.is_counted else 0.0
--- a/tests/ledger_fleet.py
+++ b/tests/ledger_fleet.py
@@ -7,7 +7,8 @@
 from lynxchute.store import Committed, Conflict, Row
 
 ACCOUNTS = ("a", "b")
-# Routers with both policies share budgets while the feature is being rolled out.
+# Other routers have DemandPolicy: routers with both policies share budgets while the
+# feature is being rolled out.
 POLICIES_BY_VM = {"y": DemandLinePolicy(), "z": DemandLinePolicy()}
 # The original method, before any mutant patches it.
 LINE_AT = LimitLine.at
@@ -54,7 +55,7 @@
 
 
 class LedgerFleet:
-    """Routers driven by the fuzzing; `check` compares them with the actual use."""
+    """Routers under fuzzing; `check` compares their ledgers with the actual use."""
 
     def __init__(self, vms=("x", "y", "z"), prepaid=None):
         self.store = InMemoryStore()
@@ -117,7 +118,7 @@
         return problem
 
     def settle(self, number, used):
-        """Settle a request; the process that reserved may have ended since."""
+        """Settle a request, whose reserving process may have ended since."""
         if not self.open:
             return
         request_id = list(self.open)[number % len(self.open)]
@@ -212,7 +213,7 @@
                 raise OverspendError(f"granted: {router.vm} {account} {own} in {by_vm}")
 
     def _check_row(self, router):
-        """A process that starts now must count at least what was used."""
+        """Check that a process that starts now counts at least the actual use."""
         row = self.store.get(holder_id(router.vm))
         if row is None or not router.ledger.is_open:
             return
--- a/tests/ledger_machine.py
+++ b/tests/ledger_machine.py
@@ -7,7 +7,8 @@
 
 NUMBERS = st.integers(0, 40)
 TOKENS = st.integers(1, 200)
-# Bounds the loop for a broken ledger; more than any budget here allows.
+# Ends the loop of reservations if a broken ledger never refuses; more reservations than
+# any budget here allows.
 MAX_RESERVED = 40
 REPLIES = (
     "taken",
@@ -132,7 +133,7 @@
     def lend_for_reserve_and_reserve_all(
         self, lender, holder, account, wanted, times, reply
     ):
-        """One router borrows for its reserve; both spend all that they can."""
+        """Lend tokens to a router's reserve; both routers spend all that they can."""
         lending, holding = self.router(lender), self.router(holder)
         for _ in range(times):
             self.fleet.lend(
@@ -149,7 +150,7 @@
         fate=st.sampled_from(("lost", "taken", "twice")),
     )
     def lend_for_reserve_and_transfer(self, lender, account, wanted, retained, fate):
-        """One router passes its reserve on to a third; all spend all that they can."""
+        """Transfer a borrowed reserve to a third router; all spend all they can."""
         first, holder, taker = (self.router(lender + n) for n in range(3))
         self.fleet.now_ms += 400
         self.fleet.write(first, "answered")
--- a/tests/ledger_mutants.py
+++ b/tests/ledger_mutants.py
@@ -1,4 +1,4 @@
-"""Mutants: each breaks one decision on grants, limit lines or loans."""
+"""Mutants that each break one decision about grants, limit lines or loans."""
 
 from unittest import mock
 
--- a/tests/link_play.py
+++ b/tests/link_play.py
@@ -46,7 +46,7 @@
     """One request of the account."""
 
     at: float
-    tries: int = 0
+    attempts: int = 0
     last_vm: int = -1
     outcome: str = "unserved"
     answered_at: float = 0.0
@@ -108,8 +108,8 @@
             )
 
     def _send(self, request):
-        request.tries += 1
-        if self._idle and request.tries == 1:
+        request.attempts += 1
+        if self._idle and request.attempts == 1:
             index = self._idle.pop(self._random.randrange(len(self._idle)))
         else:
             index = self._pick_vm(request)
@@ -126,7 +126,7 @@
         ready = [n for n, vm in enumerate(self.vms) if vm.is_in_rotation]
         if len(ready) < len(self.vms) / 2:
             ready = list(range(len(self.vms)))
-        if request.tries > 1:
+        if request.attempts > 1:
             others = [n for n in ready if n != request.last_vm]
             return self._random.choice(others or ready)
         return ready[0]
@@ -150,7 +150,7 @@
 
     def _fail(self, request, index, outcome):
         request.outcome, request.last_vm = outcome, index
-        if request.tries < 2:
+        if request.attempts < 2:
             self._schedule(self.now + 0.05, lambda: self._send(request))
 
     def _check_health(self):
--- a/tests/load_play.py
+++ b/tests/load_play.py
@@ -2,9 +2,9 @@
 
 The VMs use the real guards and meters. Each iteration of an event loop runs all ready
 events; a request consists of several events and a wait for its engine. Connections of
-an account go to the first ready VM in its order. The balancer checks VMs every second
-and removes one after two misses. Open connections stay open, and a refused caller
-retries once at another VM.
+an account go to the first ready VM in the account's order. The balancer checks VMs
+every second and removes one after two failed checks. Open connections stay open, and a
+refused caller retries once at another VM.
 """
 
 import heapq
@@ -159,7 +159,7 @@
         self.at(0.0, self._check_health)
         self.at(0.0, self._poll_load)
         for account in self._orders:
-            self.at(0.0, lambda a=account: self._arrive(a, seconds, rates[a]))
+            self.at(0.0, lambda a=account: self._handle_arrival(a, seconds, rates[a]))
         while self._events:
             self.now, _, event = heapq.heappop(self._events)
             if self.now > seconds + 5.0:
@@ -176,14 +176,16 @@
             requests = [r for r in requests if r.account == account]
         return sum(r.outcome == outcome for r in requests) / len(requests)
 
-    def _arrive(self, account, seconds, rate_at):
+    def _handle_arrival(self, account, seconds, rate_at):
         kind = CALL if self._random.random() < 0.25 else STREAM
         request = SimulatedRequest(account, kind, self.now)
         self.requests.append(request)
         self._attempt(request)
         gap = self._random.expovariate(rate_at(self.now))
         if self.now + gap < seconds:
-            self.at(self.now + gap, lambda: self._arrive(account, seconds, rate_at))
+            self.at(
+                self.now + gap, lambda: self._handle_arrival(account, seconds, rate_at)
+            )
 
     def _attempt(self, request):
         request.attempts += 1
@@ -191,19 +193,19 @@
         if idle and request.attempts == 1:
             number = idle.pop(self._random.randrange(len(idle)))
             self.vms[number].schedule(
-                EVENT_SECONDS, lambda: self._received(request, number)
+                EVENT_SECONDS, lambda: self._handle_received(request, number)
             )
             return
-        number = self._balance(request)
+        number = self._pick_vm(request)
         if self.is_guarded and self.vms[number].guard.closes_new_connection():
             self.vms[number].schedule(
-                CLOSE_SECONDS, lambda: self._closed(request, number)
+                CLOSE_SECONDS, lambda: self._handle_closed(request, number)
             )
             return
         cost = CONNECT_SECONDS + EVENT_SECONDS
-        self.vms[number].schedule(cost, lambda: self._received(request, number))
+        self.vms[number].schedule(cost, lambda: self._handle_received(request, number))
 
-    def _balance(self, request):
+    def _pick_vm(self, request):
         order = self._orders[request.account]
         ready = [n for n in order if self.vms[n].is_in_rotation]
         if len(ready) < len(self.vms) / 2:
@@ -211,13 +213,13 @@
         others = [n for n in ready if n != request.last_vm]
         return (others or ready)[0]
 
-    def _received(self, request, number):
+    def _handle_received(self, request, number):
         vm = self.vms[number]
         guard, kind = vm.guard, request.kind
         if self.is_guarded and guard.shed_reason(
             kind.objective, request.account, is_plain_call=kind.is_plain_call
         ):
-            vm.schedule(REFUSAL_SECONDS, lambda: self._refused(request, number))
+            vm.schedule(REFUSAL_SECONDS, lambda: self._handle_refused(request, number))
             return
         guard.record_request(request.account)
         ends = self.is_guarded and guard.closes_after_response(request.account)
@@ -249,12 +251,12 @@
         elif not ends:
             self._idle[request.account].append(number)
 
-    def _closed(self, request, number):
+    def _handle_closed(self, request, number):
         request.outcome, request.last_vm = "closed", number
         if request.attempts < 2:
             self._attempt(request)
 
-    def _refused(self, request, number):
+    def _handle_refused(self, request, number):
         request.outcome, request.last_vm = "refused", number
         if request.attempts < 2:
             self.at(self.now + RETRY_SECONDS, lambda: self._attempt(request))
--- a/tests/press.py
+++ b/tests/press.py
@@ -6,7 +6,7 @@
 
 
 async def press(deployment, ask, *, seconds, pause=0.05):
-    """Call every router repeatedly, with a pause between; return all statuses."""
+    """Call every router repeatedly, pausing between calls; return all statuses."""
 
     async def call_router(vm):
         caller = PlatformCaller(deployment, vm)
--- a/tests/soak/deadly.py
+++ b/tests/soak/deadly.py
@@ -11,16 +11,18 @@
 SEND_INTERVAL = (0.1, 1.2)
 RESTART_DELAY = (0.2, 1.5)
 KINDS = ("stream", "once", "unsafe")
-# Crashes after which the request must be quarantined, seconds until all routers must
-# know of the quarantine, and crashes that are tolerated after that.
+# After CRASHES_BEFORE_QUARANTINE crashes the request must be quarantined, and within
+# PROPAGATION_SECONDS all routers must know of the quarantine. MAX_LATE_CRASHES more are
+# tolerated after that.
 CRASHES_BEFORE_QUARANTINE = 3
 PROPAGATION_SECONDS = 3.0
 MAX_LATE_CRASHES = 3
-# Crashes tolerated through routers that started less than PROPAGATION_SECONDS before.
-# If all routers are killed before one could write the quarantine to the store, it is
-# lost: in seeds 9702 and 9714 each late send was at a router that had started 0.06 to
-# 2.9 s before, after all had been killed while the store was unavailable. Without any
-# quarantine 17 to 45 upstreams crash.
+# Number of late crashes that are tolerated if the router that sent the request had
+# started less than PROPAGATION_SECONDS before. The quarantine is lost if all routers
+# are killed before one of them could write it to the store: in seeds 9702 and 9714, all
+# had been killed while the store was unavailable, and each late send was by a router
+# that had started 0.06 to 2.9 s before. Without any quarantine 17 to 45 upstreams
+# crash.
 MAX_LATE_CRASHES_AFTER_START = 9
 QUARANTINE_REASON = b"ends-upstreams"
 
--- a/tests/soak/evacuator.py
+++ b/tests/soak/evacuator.py
@@ -19,10 +19,10 @@
 EVACUATION_DURATION = (1.2, 4.0)
 EVACUATION_INTERVAL = (0.05, 3.0)
 # Seconds within which connected routers must apply an evacuation. The documented limit
-# is 5 s; the target is 1 s while the store answers, and detecting a connection that
-# went silent takes 3 s.
+# is 5 s. The target is 1 s while the store answers; detecting a connection that went
+# silent takes 3 s.
 PROPAGATION_SECONDS = 1.0
-# Seconds after a disturbance in which a router may still be disconnected.
+# Seconds after a disturbance within which a router may still be disconnected.
 RECONNECT_SECONDS = 4.0
 
 
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -20,12 +20,13 @@
 # Seconds after which a draining upstream must get no new requests. The documented
 # limit is 2 s.
 DRAIN_SECONDS = 3.0
-# Seconds after that for which the upstream is watched before it stops.
+# Seconds after DRAIN_SECONDS in which new requests count as violations. The upstream
+# stops at their end.
 DRAINED_CHECK_SECONDS = 1.0
 STOP_TIMEOUT = 8.0
 TOP_UP_TOKENS = 5_000
 HOLD_DIRECTIONS = ((Direction.TO_TARGET,), (Direction.FROM_TARGET,), tuple(Direction))
-# Crashes are left out: DeadlyCaller sends requests that crash upstreams.
+# Crashes are left out since DeadlyCaller sends requests that crash upstreams.
 UPSTREAM_FAULTS = tuple(
     fault for fault in Fault if fault not in (Fault.UNSIGNED, Fault.CRASH)
 )
@@ -33,14 +34,14 @@
 
 @attrs.frozen
 class FaultPlan:
-    """How long faults are injected in a run, and of which group.
+    """Which faults are injected in a run, and for how long.
 
     Attributes
     ----------
     seconds
         Seconds during which faults begin.
     planned_only
-        Whether only planned work is done, which the seed decides.
+        Whether only planned work is injected; the seed decides this.
     """
 
     seconds: float
@@ -97,8 +98,8 @@
     async def _stop_router(self):
         """Stop a router with SIGTERM and start it again."""
         if self._plan.planned_only and self._busy_vms:
-            # The other routers must be up to take over the callers, which the platform
-            # ensures.
+            # The platform stops a router only while the others are up to take over its
+            # callers.
             return
         router = self._pick_idle_router()
         if router is None:
@@ -188,7 +189,7 @@
         for router in routers:
             await router.process.start()
         # Does not wait for readiness, since the store may be unavailable now. The
-        # check of recovery at the end of the run covers it.
+        # recovery check at the end of the run verifies readiness.
         self._busy_vms -= vms
 
     async def _pause_router(self):
@@ -315,7 +316,7 @@
         await asyncio.sleep(self._rng.uniform(*RESTART_DELAY))
         new = await self._fleet.add_upstream(standin.service, standin.data_centre)
         if self._rng.random() < 0.5:
-            # Another upstream, of any service, gets the address.
+            # Another upstream, of any service, is now reached at the old address.
             old.link.target = f"127.0.0.1:{self._pick_upstream().standin.port}"
         await asyncio.sleep(self._rng.uniform(*FAULT_DURATION))
         await self._fleet.store.drop(UPSTREAM_TABLE, standin.id)
--- a/tests/soak/fleet.py
+++ b/tests/soak/fleet.py
@@ -16,7 +16,8 @@
 # Engines are cold after a start and after an evacuation. They are configured to bear
 # 6.6 requests per second while cold; the fleet may send one at most 14 in any second.
 COLD_SECONDS, COLD_REQUEST_RATE, MAX_COLD_REQUESTS = 1.5, 6.6, 14
-# Number of latest configuration versions that keep a route of their own.
+# Each configuration version adds a route that identifies it; the routes of this many
+# latest versions are kept.
 MAX_VERSION_ROUTES = 50
 ROUTER_MODULES = ("lynxchute.platform", "tests.suspendable_router")
 
--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -11,7 +11,7 @@
 # Seconds after the caller's deadline by which the final answer must have arrived;
 # generous, since the machine may be busy.
 MAX_LATE_SECONDS = 2.0
-# A request that ends after this share of its time is taken to have ended by its own
+# A request that ends after this share of its deadline is assumed to have ended by the
 # deadline and not by planned work. The documented guarantee excludes these as well.
 DEADLINE_SHARE = 0.9
 # Maximum number of violations of each guarantee that are reported in detail.
@@ -123,7 +123,7 @@
         )
 
     def _check_runs(self, runs):
-        """Check that no request ran twice, or ran after an answer that denies it."""
+        """Check that no request ran twice, or ran although its answer says not run."""
         for record in self._records:
             own_runs = runs.get(record.request_id, ())
             if record.kind not in IDEMPOTENT_KINDS and len(own_runs) > 1:
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -22,7 +22,8 @@
 # Every 4th seed has planned work only, which must not interrupt any request.
 PLANNED_ONLY_INTERVAL = 4
 PROBE_INTERVAL = 0.3
-# Seconds after the last fault within which each router must serve everything again.
+# Seconds after the last fault within which each router must serve every kind of request
+# again.
 RECOVERY_TIMEOUT = 12.0
 # Minimum number of probe rounds before a router counts as not recovered: on a busy
 # machine a single round can take most of RECOVERY_TIMEOUT.
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -17,10 +17,10 @@
 
     def __init__(self, lost):
         self.lost = lost
-        self.taken = []
+        self.recorded = []
 
     async def ask(self, vm, message):
-        self.taken.append((vm, message.gift_id, message.tokens))
+        self.recorded.append((vm, message.gift_id, message.tokens))
         if self.lost:
             self.lost -= 1
             raise PeerUnreachable(vm)
@@ -35,21 +35,22 @@
         return 0
 
 
-class GiftTest(AsyncTestCase):
+class TransferTest(AsyncTestCase):
     def rebalancer(self, lost):
         self.ledger = Ledger("a-1", "run", DemandPolicy(), parts=1)
         self.members = Members(Member("a-1", "a", "run", "x:1"))
         account = next(
             name
             for name in (f"account-{random.Random(n).random()}" for n in range(99))
-            if Members.preference_order(self.both(), name, ["a-1", "a-2"])[0] == "a-2"
+            if Members.preference_order(self.both_members(), name, ["a-1", "a-2"])[0]
+            == "a-2"
         )
         self.members.put(Member("a-2", "a", "run-2", "x:2"))
         self.peers = LossyPeers(lost)
         self.account = account
         return Rebalancer(FakeLedgerSync(self.ledger), None, self.members, self.peers)
 
-    def both(self):
+    def both_members(self):
         members = Members(Member("a-1", "a", "run", "x:1"))
         members.put(Member("a-2", "a", "run-2", "x:2"))
         return members
@@ -59,24 +60,24 @@
             for transfer in list(rebalancer._transfers):
                 await rebalancer._send_transfer(transfer)
 
-    def test_a_gift_is_retried_until_the_same_process_confirms_it(self):
+    def test_a_transfer_is_retried_until_the_same_process_confirms_it(self):
         async def scenario():
             rebalancer = self.rebalancer(lost=2)
             rebalancer._transfers.append(PendingTransfer("g1", self.account, 70))
             await self.send(rebalancer, 4)
-            self.assertEqual([("a-2", "g1", 70)] * 3, self.peers.taken)
+            self.assertEqual([("a-2", "g1", 70)] * 3, self.peers.recorded)
             self.assertEqual([], rebalancer._transfers)
 
         self.run_async(scenario())
 
-    def test_a_gift_that_an_ended_process_may_have_is_not_sent_elsewhere(self):
+    def test_a_transfer_that_an_ended_process_may_have_is_not_sent_elsewhere(self):
         async def scenario():
             rebalancer = self.rebalancer(lost=1)
             rebalancer._transfers.append(PendingTransfer("g1", self.account, 70))
             await self.send(rebalancer, 1)
             self.members.put(Member("a-2", "a", "run-3", "x:2"))
             await self.send(rebalancer, 2)
-            self.assertEqual(1, len(self.peers.taken))
+            self.assertEqual(1, len(self.peers.recorded))
             self.assertEqual([], rebalancer._transfers)
             self.assertEqual({}, self.ledger.shares_by_account)
 
@@ -92,16 +93,16 @@
             await rebalancer.transfer_borrowed()
             # The first reply is lost, so the same router is sent it again.
             await rebalancer.transfer_borrowed()
-            self.assertEqual([70, 70], [tokens for _, _, tokens in self.peers.taken])
+            self.assertEqual([70, 70], [tokens for _, _, tokens in self.peers.recorded])
             self.assertEqual(0, share.borrowed - share.used)
             # Tokens that an open request did not use are sent later.
             share.reserved = 0
             await rebalancer.transfer_borrowed()
-            self.assertEqual(30, self.peers.taken[-1][2])
+            self.assertEqual(30, self.peers.recorded[-1][2])
 
         self.run_async(scenario())
 
-    def test_a_gift_without_another_home_is_spent_here(self):
+    def test_a_transfer_without_another_home_is_spent_here(self):
         async def scenario():
             rebalancer = self.rebalancer(lost=0)
             self.members.remove("a-2")
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -1,4 +1,4 @@
-"""Ledgers against a naive model, grant policies, and budget schemes of the bench."""
+"""Ledgers compared with a naive model, grant policies, and the bench's schemes."""
 
 import attrs
 import hypothesis.strategies as st
@@ -180,22 +180,24 @@
 
     def test_local_reserves_are_never_overspent_and_lose_few_tokens(self):
         for scene in ("no_faults", "cut_and_death", "all_die"):
-            escrow, kept = (
+            escrow, local_reserves = (
                 self.play(Escrow, scene),
                 self.play(LocalReserveEscrow, scene),
             )
-            self.assertEqual(0, kept.overspend)
-            self.assertLessEqual(kept.lost, 1.15 * escrow.lost)
-            self.assertLessEqual(kept.store_calls, 1.2 * escrow.store_calls)
+            self.assertEqual(0, local_reserves.overspend)
+            self.assertLessEqual(local_reserves.lost, 1.15 * escrow.lost)
+            self.assertLessEqual(local_reserves.store_calls, 1.2 * escrow.store_calls)
 
     def test_a_hot_account_is_served_while_all_routers_are_partitioned(self):
         (deployment, _) = budget_scene.deployments()
         trace = budget_scene.make_trace(deployment, self.SECONDS, 1, hot=True)
         faults = budget_scene.scenes(deployment, self.SECONDS)["hot_apart"]
         escrow = play(Escrow(deployment), trace, faults)
-        kept = play(LocalReserveEscrow(deployment), trace, faults)
-        self.assertEqual(0, kept.overspend)
-        self.assertLess(kept.partition_refusals, 0.9 * escrow.partition_refusals)
+        local_reserves = play(LocalReserveEscrow(deployment), trace, faults)
+        self.assertEqual(0, local_reserves.overspend)
+        self.assertLess(
+            local_reserves.partition_refusals, 0.9 * escrow.partition_refusals
+        )
 
     def test_a_cached_total_overspends(self):
         self.assertGreater(self.play(Cached, "no_faults").overspend, 0)
--- a/tests/test_cold_upstreams.py
+++ b/tests/test_cold_upstreams.py
@@ -2,8 +2,8 @@
 
 Guards against routers that ignore the limit of an upstream after its start. Routers
 that could not reach one another, had just started, or had placed requests before they
-learned of the start each sent everything they had. An upstream that has just started is
-idle, so that it attracts requests.
+learned of the start each sent all their requests. An upstream that has just started is
+idle and therefore preferred.
 """
 
 import asyncio
@@ -89,8 +89,10 @@
 class ColdAdmissionTest(testtools.TestCase):
     def test_only_first_ranks_admit_and_not_at_once(self):
         admissions = FirstRegistered(), SharesByRank(), WarmOnly()
-        just = [admission.share(LIMITS, HeldRank(0, 0.0)) for admission in admissions]
-        self.assertEqual([0, 0, 0], just)
+        initial_shares = [
+            admission.share(LIMITS, HeldRank(0, 0.0)) for admission in admissions
+        ]
+        self.assertEqual([0, 0, 0], initial_shares)
         long = TAKE_OVER_SECONDS
         for rank, expected in ((0, [7, 1, 0]), (6, [0, 1, 0]), (7, [0, 0, 0])):
             shares = [
@@ -117,7 +119,7 @@
         self.assertEqual(LIMITS.max_per_second, placed)
         other = UpstreamEntry(attrs.evolve(ENGINE, id="other"))
         self.assertEqual([other], cold.admissible_entries([entry, other], 5.0))
-        # If no other has room, sending to it is better than a refusal.
+        # Without an admissible alternative, sending to it is better than a refusal.
         self.assertEqual([entry], cold.admissible_entries([entry], 5.0))
 
 
@@ -135,23 +137,23 @@
 class EvacuationScenarioTest(testtools.TestCase):
     """A data centre that is evacuated, and one that comes back cold under a burst.
 
-    The value is a share of what callers would get if all answers were on time. In three
-    runs of 60 s with different seeds it was 0.966 with the rank-0 router admitting
-    requests, 0.953 with shares by rank, 0.938 with nothing sent to cold engines, and
-    0.968 if no router knows that they are cold; the busiest second of a cold engine had
-    7, 1, 0 and 13 requests.
+    The value of the answers is compared with their value if all were on time. In three
+    runs of 60 s with different seeds the ratio was 0.966 with the rank-0 router
+    admitting requests, 0.953 with shares by rank, 0.938 with nothing sent to cold
+    engines, and 0.968 if no router knows that they are cold. The busiest second of a
+    cold engine had 7, 1, 0 and 13 requests.
     """
 
     def value(self, played):
-        got = owed = 0.0
+        obtained = possible = 0.0
         for request in played.requests:
             kind = request.arrival.kind
-            owed += kind.value
+            possible += kind.value
             if request.outcome is Outcome.ON_TIME:
-                got += kind.value
+                obtained += kind.value
             elif request.outcome in (Outcome.LATE_FIRST, Outcome.LATE_PAUSE):
-                got += kind.late_value
-        return got / owed
+                obtained += kind.late_value
+        return obtained / possible
 
     def test_callers_lose_little_and_no_cold_engine_is_overloaded(self):
         scenario = read_scenario("snow-dispatch-shifted").ok
@@ -273,8 +275,9 @@
     def test_an_engine_that_grows_cold_in_an_outage_of_the_store_is_noticed(self):
         """An engine restarts cold while the store answers no router.
 
-        Its entry says so, but no router can read it. In three of 50 seeds of the soak
-        test, an engine that can handle 14 requests a second got 19 to 59 in one second.
+        Its entry reports that it is cold, but no router can read the entry. In three of
+        50 seeds of the soak test, an engine that can handle 14 requests a second got 19
+        to 59 in one second.
         """
 
         async def scenario(deployment):
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -261,10 +261,10 @@
     def test_stale_row_does_not_restore_a_removed_upstream(self):
         async def scenario(deployment):
             router = deployment.routers["a-1"]
-            gone = deployment.apps[0]
-            row = router.upstreams.feed.rows_by_key[gone.id]
-            await deployment.store.drop("servers", gone.id)
-            entry = router.directory.entries_by_id[gone.id]
+            removed_upstream = deployment.apps[0]
+            row = router.upstreams.feed.rows_by_key[removed_upstream.id]
+            await deployment.store.drop("servers", removed_upstream.id)
+            entry = router.directory.entries_by_id[removed_upstream.id]
             await until(lambda: not entry.takes_work)
             router.upstreams.feed.apply_rows((Row(row.id, row.value, row.version),))
             self.assertFalse(entry.takes_work)
@@ -309,8 +309,8 @@
         for number in (2, 3, 4):
             vm = f"a-{number}"
             members.put(Member(vm, "a", f"r{number}", "x:1", strength=0.3))
-        firsts = {members.homes(f"account {n}")[0] for n in range(40)}
-        self.assertEqual({"a-1", "a-2", "a-3", "a-4"}, firsts)
+        first_homes = {members.homes(f"account {n}")[0] for n in range(40)}
+        self.assertEqual({"a-1", "a-2", "a-3", "a-4"}, first_homes)
 
     def test_restarted_router_is_reachable_immediately(self):
         members = Members(self.member("a-1"))
--- a/tests/test_evacuations.py
+++ b/tests/test_evacuations.py
@@ -209,7 +209,8 @@
             self.assertEqual((503, "not_run"), (status, problem["run"]))
             self.assertEqual("urn:lynxchute:problem:evacuated", problem["type"])
             self.assertGreater(float(headers["retry-after"]), 0)
-            # Shorter than the wait for an upstream, a fifth of the objective.
+            # The router does not wait for an upstream, which would take a fifth of the
+            # latency objective of 0.4 s.
             self.assertLess(took, 0.08)
 
         self.with_platform(scenario)
@@ -270,10 +271,14 @@
             for vm in deployment.routers:
                 scheduler = deployment.routers[vm].relay._sender._generations
                 sources = scheduler.placing._fetch_sources("pool", "key")
-                inside = [e.id for e in deployment.engines if e.data_centre == "a"]
-                self.assertEqual(set(), set(sources) & set(inside))
+                evacuated_engines = [
+                    e.id for e in deployment.engines if e.data_centre == "a"
+                ]
+                self.assertEqual(set(), set(sources) & set(evacuated_engines))
                 if scheduler._scheduling_vm("pool") == vm:
-                    self.assertTrue(set(inside) <= set(scheduler.board.engines_by_id))
+                    self.assertTrue(
+                        set(evacuated_engines) <= set(scheduler.board.engines_by_id)
+                    )
             self.assertEqual(4, len(router.directory.entries_by_id))
 
         self.with_platform(scenario)
@@ -304,13 +309,15 @@
             caller = Caller(deployment, "kyu-a-1")
             for _ in range(4):
                 self.assertEqual(200, (await caller.ask(question()))[0])
-            inside = [
+            evacuated_engines = [
                 engine
                 for name, engine in deployment.engines_by_name.items()
                 if name.startswith("kyu-a")
             ]
             self.assertEqual(4, len(engine_runs(deployment)))
-            self.assertEqual([], [run for e in inside for run in e.records()])
+            self.assertEqual(
+                [], [run for e in evacuated_engines for run in e.records()]
+            )
             answer = await run_statement("take back data centre kyu-a")
             self.assertEqual("done", answer["state"])
             await until(lambda: not self.is_evacuated_everywhere(deployment, "kyu-a"))
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -156,33 +156,33 @@
 
 
 class OutcomeTalliesTest(testtools.TestCase):
-    def payers(self, *lines):
-        payers = OutcomeTallies()
+    def tallies(self, *lines):
+        tallies = OutcomeTallies()
         for line in read(*lines):
-            payers.add_line(line)
-        return payers
+            tallies.add_line(line)
+        return tallies
 
     def test_counts_each_request_once_per_dimension(self):
-        payers = self.payers(
+        tallies = self.tallies(
             request_ended(account="kanda"),
             request_ended(account="kanda", first_byte=1.2),
             request_ended(account="nara", vm="b-1", outcome="left"),
             request_refused(account="kanda", route="ask"),
             router_started("a-1", "a"),
         )
-        kanda = payers.by_account["kanda"]
+        kanda = tallies.by_account["kanda"]
         self.assertEqual((3, 1, 1), (kanda.requests, kanda.late, kanda.lost))
         self.assertEqual({"refused: overloaded": 1}, kanda.lost_by_cause)
-        self.assertEqual(4, payers.by_route["ask"].requests)
-        by_data_centre = payers.by_data_centre()
+        self.assertEqual(4, tallies.by_route["ask"].requests)
+        by_data_centre = tallies.by_data_centre()
         self.assertEqual(3, by_data_centre["a"].requests)
         self.assertEqual(1, by_data_centre[UNKNOWN].lost)
 
     def test_counts_probes_separately(self):
         lines = [request_refused(reason) for reason in sorted(PROBE_REASONS)]
-        payers = self.payers(*lines, request_refused())
-        self.assertEqual(len(PROBE_REASONS), payers.probes)
-        self.assertEqual(1, payers.by_vm["a-1"].requests)
+        tallies = self.tallies(*lines, request_refused())
+        self.assertEqual(len(PROBE_REASONS), tallies.probes)
+        self.assertEqual(1, tallies.by_vm["a-1"].requests)
 
 
 class CommandTest(testtools.TestCase):
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -64,7 +64,8 @@
             await deployment.start_router("kyu-a-1")
             await deployment.wait_until_ready()
             after = counted_by_account(deployment)[ACCOUNT]
-            # The grant line may exceed actual use, but never be below it.
+            # The restarted router counts the use that its limit line allowed, which may
+            # exceed the actual use but never be below it.
             self.assertGreaterEqual(after, used)
             self.assertLess(after, 10_000)
             self.assertLessEqual(sum(granted_tokens(deployment).values()), 100_000)
--- a/tests/test_features.py
+++ b/tests/test_features.py
@@ -29,13 +29,13 @@
             self.assertEqual(Features(), features(contracts).ok.features)
 
     def test_pool_and_pressure_contracts_enable_their_features(self):
-        pooled = features(["base", "pool"]).ok.features
-        self.assertTrue(pooled.processor_guard and pooled.fair_shares)
-        self.assertFalse(pooled.memory_guard)
+        pool_features = features(["base", "pool"]).ok.features
+        self.assertTrue(pool_features.processor_guard and pool_features.fair_shares)
+        self.assertFalse(pool_features.memory_guard)
         # Loses tokens if all routers crash, so it must be enabled explicitly.
-        self.assertFalse(pooled.demand_lines)
-        pressed = features(["pressure"]).ok.features
-        self.assertEqual(Features(memory_guard=True), pressed)
+        self.assertFalse(pool_features.demand_lines)
+        pressure_features = features(["pressure"]).ok.features
+        self.assertEqual(Features(memory_guard=True), pressure_features)
 
     def test_environment_overrides_contracts(self):
         named = features(["pool"], **{FEATURES_VARIABLE: "hedging,fair_shares"})
--- a/tests/test_gather.py
+++ b/tests/test_gather.py
@@ -13,7 +13,8 @@
 
 ACCOUNT = "kanda"
 HOLDERS = 20
-# What each holder has, and how long it takes to write their return to the store.
+# Tokens that each router holds, and the seconds that it takes to write their return to
+# the store.
 TOKENS_PER_HOLDER = 1_500
 WRITE_SECONDS = 0.12
 
@@ -57,7 +58,7 @@
 
 
 class GatherTest(AsyncTestCase):
-    """The situation: a nearly spent budget after all routers have lost power."""
+    """A budget is nearly spent, after all routers have lost power."""
 
     def setUp(self):
         super().setUp()
@@ -79,7 +80,8 @@
 
     def gather(self, peers, tokens):
         async def scenario():
-            # As after the first write, so that borrowed tokens can be reserved.
+            # Simulates the state after the first write, in which borrowed tokens can
+            # be reserved.
             self.ledger.is_open = True
             started = time.monotonic()
             until = started + GATHER_SECONDS
--- a/tests/test_hedging.py
+++ b/tests/test_hedging.py
@@ -361,7 +361,7 @@
 class Race:
     """One race whose sends end with given outcomes, in a given order."""
 
-    ENDS = ("good", "failed", "declined", "lost", "too late")
+    OUTCOMES = ("good", "failed", "declined", "lost", "too late")
 
     def __init__(self):
         self.exchange = FakeExchange()
@@ -384,15 +384,15 @@
         exchange.sent_at = self.clock()
         exchange.run_status = RunStatus.UNKNOWN
         try:
-            end = await self.open[name]
+            outcome = await self.open[name]
         finally:
             del self.open[name]
-        if end in ("declined", "lost"):
+        if outcome in ("declined", "lost"):
             return None
-        if end == "too late":
+        if outcome == "too late":
             # Raised before the other send left.
             raise Refusal(Reason.TOO_LATE, "late", run=RunStatus.NOT_RUN)
-        status = 200 if end == "good" else 500
+        status = 200 if outcome == "good" else 500
         answer = FakeAnswer(choice.entry, FakeResponse(status))
         self.answers.append(answer)
         return answer
@@ -410,17 +410,17 @@
         await asyncio.sleep(0)
 
 
-async def run_scenario(ends, order, together, leaves):
+async def run_scenario(outcomes, order, together, is_cancelled):
     """Run one race; return it, its answer or None, and its error or None."""
     race = Race()
     task = race.start()
     while len(race.open) < 2:
         await asyncio.sleep(0.0005)
-    if leaves:
+    if is_cancelled:
         task.cancel()
     for name in order:
         if name in race.open:
-            race.open[name].set_result(ends[name])
+            race.open[name].set_result(outcomes[name])
         if not together:
             await run_loop()
     await run_loop()
@@ -430,22 +430,22 @@
     except Refusal as refusal:
         error = refusal
     except asyncio.CancelledError:
-        error = leaves
+        error = is_cancelled
     await run_loop()
     return race, answer, error
 
 
-def check(case, race, answer, error, ends, leaves):
+def check(case, race, answer, error, outcomes, is_cancelled):
     case.assertEqual({}, race.open)
     kept = [] if answer is None else [answer]
     unread = [given for given in race.answers if given not in kept]
     case.assertEqual(unread, race.dropped)
     case.assertLessEqual(race.exchange.sends, 2)
-    if leaves:
+    if is_cancelled:
         case.assertTrue(error)
         return
     statuses = [given.response.status for given in race.answers]
-    if "good" in ends.values():
+    if "good" in outcomes.values():
         case.assertEqual(200, answer.response.status)
     elif statuses:
         case.assertEqual(500, answer.response.status)
@@ -456,17 +456,19 @@
 
 
 def all_races():
-    pairs = itertools.product(Race.ENDS, Race.ENDS)
-    for (a, b), order, together, leaves in itertools.product(
+    pairs = itertools.product(Race.OUTCOMES, Race.OUTCOMES)
+    for (a, b), order, together, is_cancelled in itertools.product(
         pairs, ("ab", "ba"), (False, True), (False, True)
     ):
-        yield {"a": a, "b": b}, order, together, leaves
+        yield {"a": a, "b": b}, order, together, is_cancelled
 
 
-async def race_all(case):
-    for ends, order, together, leaves in all_races():
-        race, answer, error = await run_scenario(ends, order, together, leaves)
-        check(case, race, answer, error, ends, leaves)
+async def check_all_races(case):
+    for outcomes, order, together, is_cancelled in all_races():
+        race, answer, error = await run_scenario(
+            outcomes, order, together, is_cancelled
+        )
+        check(case, race, answer, error, outcomes, is_cancelled)
 
 
 def mutant_keep_losers():
@@ -511,13 +513,13 @@
 
 class RaceTest(AsyncTestCase):
     def test_one_answer_is_returned_and_all_others_are_dropped(self):
-        self.run_async(race_all(self))
+        self.run_async(check_all_races(self))
 
     def test_each_mutant_is_detected(self):
         for mutant in MUTANTS:
             with mutant():
                 try:
-                    self.run_async(race_all(self))
+                    self.run_async(check_all_races(self))
                 except AssertionError:
                     continue
             self.fail(f"{mutant.__name__} was not detected")
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -208,10 +208,10 @@
 
     def test_disconnect_of_the_caller_cancels_its_handler(self):
         async def work():
-            async def forever(request, respond):
+            async def wait_forever(request, respond):
                 await asyncio.Event().wait()
 
-            async with EchoServer(forever) as server:
+            async with EchoServer(wait_forever) as server:
                 request = b"GET / HTTP/1.1\r\nHost: a\r\n\r\n"
                 _, _, writer = await server.send_raw(request, read=False)
                 await until(lambda: server.requests)
@@ -224,13 +224,13 @@
         async def work():
             ended = []
 
-            async def stays(request, respond):
+            async def survive_disconnect(request, respond):
                 respond.survives_disconnect = True
                 await asyncio.sleep(0.1)
                 ended.append(request.target)
                 await respond.send_whole(200, b"", "text/plain")
 
-            async with EchoServer(stays) as server:
+            async with EchoServer(survive_disconnect) as server:
                 request = b"GET /stays HTTP/1.1\r\nHost: a\r\n\r\n"
                 _, _, writer = await server.send_raw(request, read=False)
                 await until(lambda: server.requests)
@@ -242,11 +242,11 @@
 
     def test_incomplete_response_is_detected_by_the_client(self):
         async def work():
-            async def breaks(request, respond):
+            async def send_incomplete(request, respond):
                 await respond.start(200, [("Transfer-Encoding", "chunked")])
                 await respond.send(b"half")
 
-            async with EchoServer(breaks) as server:
+            async with EchoServer(send_incomplete) as server:
                 client = HttpClient(f"127.0.0.1:{server.server.port}")
                 response = await client.request("GET", "/")
                 with self.assertRaises(ExchangeError):
@@ -628,14 +628,14 @@
         async def work():
             ended = []
 
-            async def never():
+            async def never_complete():
                 try:
                     await asyncio.Event().wait()
                 finally:
                     ended.append(True)
 
             with testtools.ExpectedException(TimeoutError):
-                await lag_tolerant_wait(never(), 0.02, print)
+                await lag_tolerant_wait(never_complete(), 0.02, print)
             await asyncio.sleep(0)
             self.assertEqual([True], ended)
 
--- a/tests/test_ingress.py
+++ b/tests/test_ingress.py
@@ -15,7 +15,8 @@
 from tests.support import AsyncTestCase
 
 EXAMPLES = 600
-# Statuses of invalid requests, of valid ones, and of an interim response.
+# Statuses that a fuzzed request may get: those of invalid and of valid requests, and of
+# an interim response (100).
 STATUSES = frozenset(
     {100, 200, 400, 401, 402, 404, 408, 411, 413, 414, 431, 501, 503, 505}
 )
@@ -71,8 +72,8 @@
         "X-Long: " + "v" * 9_000,
     )
 )
-# Headers before the random ones: none, those of a valid request, or of a valid
-# generation.
+# Each fuzzed request has one of the BASES as its first headers: none, the headers of a
+# valid plain request, or those of a valid generation.
 VALID_HEADERS = (f"Host: {HOST}", "X-Request-Id: fuzz", f"X-Credential: {KEY}")
 PROMPT_HEADERS = (
     "X-Model: m",
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -85,8 +85,10 @@
         self.assertLessEqual(policy.burst(seen), headroom)
 
     def test_a_home_is_granted_its_minimum_at_once(self):
-        stake = DemandPolicy().grant(view(granted=0, used=0, demand=0.0, free=3000))
-        self.assertEqual(850, stake)
+        initial_grant = DemandPolicy().grant(
+            view(granted=0, used=0, demand=0.0, free=3000)
+        )
+        self.assertEqual(850, initial_grant)
 
     def test_a_router_that_is_not_a_home_returns_unneeded_tokens(self):
         idle = view(is_home=False, demand=0.0, largest=0.0)
@@ -168,11 +170,11 @@
         clock = StoreClock()
         true_offset = 5_000.0
         now = 100.0
-        for pause, travel in asked:
+        for pause, round_trip in asked:
             now += pause
-            told = int((now + travel / 2) * 1000 + true_offset)
-            clock.observe(told_ms=told, now=now + travel, asked_at=now)
-            now += travel
+            reported_ms = int((now + round_trip / 2) * 1000 + true_offset)
+            clock.observe(told_ms=reported_ms, now=now + round_trip, asked_at=now)
+            now += round_trip
             self.assertLessEqual(clock.earliest_ms(now), now * 1000 + true_offset)
         if clock.is_known:
             self.assertGreaterEqual(
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -113,7 +113,7 @@
             router = deployment.routers["a-1"]
             caller = PlatformCaller(deployment)
             self.assertEqual(200, (await caller.stream())[0])
-            # As much as half a second of a fast link.
+            # At least half a second's worth of bytes at the default link capacity.
             router.load._meter.record_sent(70_000_000)
             status, headers, body = await caller.stream()
             self.assertEqual(503, status)
--- a/tests/test_memory_guard.py
+++ b/tests/test_memory_guard.py
@@ -134,8 +134,10 @@
         held = {n: h.held_bytes for n, h in buffers.items()}
         self.assertLessEqual(sum(held.values()), BOUNDS.total)
         for name in ACCOUNTS:
-            waits = sum(held[n] for n, h in buffers.items() if h.account == name)
-            self.assertLessEqual(waits, BOUNDS.by_account)
+            account_bytes = sum(
+                held[n] for n, h in buffers.items() if h.account == name
+            )
+            self.assertLessEqual(account_bytes, BOUNDS.by_account)
         total = sum(before.values())
         for number, buffer in buffers.items():
             if not buffer.is_cut or buffer.account == account:
@@ -346,7 +348,7 @@
                 caller.client.close()
                 max_held = max(max_held, guard.held)
                 for reader, _ in slow:
-                    # One kilobyte for each answer of another caller.
+                    # Slow callers read one kilobyte for each answer of another caller.
                     await reader.read(1024)
             self.assertEqual(self.CALLERS - self.SLOW_CALLERS, served)
             self.assertGreater(max_held, 100_000)
--- a/tests/test_neighbourhood.py
+++ b/tests/test_neighbourhood.py
@@ -51,8 +51,8 @@
         before = HashRing(names)
         after = HashRing(names[1:])
         for key in ("a", "b", "c"):
-            gone = set(before.neighbours(key)) - set(after.neighbours(key))
-            self.assertLessEqual(len(gone), 1)
+            removed = set(before.neighbours(key)) - set(after.neighbours(key))
+            self.assertLessEqual(len(removed), 1)
 
     def test_keys_are_spread_over_all_names(self):
         ring = HashRing([f"e{number}" for number in range(MANY)])
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -30,9 +30,9 @@
                 status, _, body = await caller.ask(question(stream=True))
                 self.assertEqual((expected, True), stream_text(body))
             await wait_for_matching_counts(deployment)
-            ran = [run["total_tokens"] for run in engine_runs(deployment)]
-            self.assertEqual(6, len(ran))
-            self.assertEqual(sum(ran), counted_by_account(deployment)[ACCOUNT])
+            token_counts = [run["total_tokens"] for run in engine_runs(deployment)]
+            self.assertEqual(6, len(token_counts))
+            self.assertEqual(sum(token_counts), counted_by_account(deployment)[ACCOUNT])
 
         with_deployment(self, scenario)
 
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -23,13 +23,15 @@
 from lynxchute.upstreams.generation import Generation, PromptPart
 
 LIMIT_MS = 300.0
-AIMS = LatencyObjectives(first_event_ms=1_000.0, pause_ms=LIMIT_MS)
+OBJECTIVES = LatencyObjectives(first_event_ms=1_000.0, pause_ms=LIMIT_MS)
 LONG, SHORT = 16_000, 500
 
 
 def pending_request(run_id, tokens, output=300):
     parts = (PromptPart(f"own.{run_id}", tokens),)
-    return PendingRequest(run_id, Generation("m", tokens, output, parts, output), AIMS)
+    return PendingRequest(
+        run_id, Generation("m", tokens, output, parts, output), OBJECTIVES
+    )
 
 
 def candidates(*ids):
@@ -84,7 +86,7 @@
         self.pause_tracker.add_prompt(0.0, 1, (), now + SETTLE_SECONDS + 10.0)
 
     def test_pause_is_attributed_to_the_largest_prompt(self):
-        # Reading times of one and four times the pause limit.
+        # The engine reads these prompts in one and four times the pause limit.
         self.pause_tracker.add_prompt(0.0, 6_000, ("s",), 0.0)
         self.pause_tracker.add_prompt(0.0, 24_000, ("s",), 0.1)
         before = (
@@ -114,7 +116,7 @@
     def test_prompts_already_read_add_no_pauses(self):
         added = self.pause_tracker.added_pause_share
         self.assertGreater(added(0.0, 18_000), 0.9)
-        # After so many queued tokens, all streams have paused already.
+        # With 40,000 tokens queued before the prompt, all streams pause anyway.
         self.assertLess(added(40_000.0, 18_000), 0.1)
         # Two prompts that are harmless separately are not if read in succession.
         self.assertEqual(0.0, added(0.0, 4_000))
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -6,9 +6,9 @@
 and sent the same path, key and body to another router, where it was new: nothing in the
 fleet remembered that the request had crashed an upstream.
 
-Of 25 crashes that are completely logged, 23 had exactly one run with the head of an
-answer and no event. All of those with a known client account were of one account. Two
-attempts alone, each sent twice, were open during four of the crashes.
+Of 25 crashes that are completely logged, 23 had exactly one run that had received the
+head of an answer and no event. All of those with a known client account were of one
+account. Two attempts alone, each sent twice, were open during four of the crashes.
 """
 
 import asyncio
@@ -31,8 +31,8 @@
 DEADLY = b"a prompt that no engine survives"
 # Seconds from the crash of an upstream until its next process accepts work.
 RESTART_SECONDS = 0.3
-# Crashes after which the request must be quarantined, and attempts that may still reach
-# an upstream after that.
+# Number of crashes after which the request must be quarantined, and number of attempts
+# that may still reach an upstream after that.
 CRASHES_TO_QUARANTINE = 3
 MAX_LATE_ATTEMPTS = 3
 # Seconds within which all routers must know the quarantine.
@@ -80,7 +80,7 @@
     )
 
 
-async def repeat(deployment, times, vms=VMS, path="/stream/x"):
+async def send_deadly_repeatedly(deployment, times, vms=VMS, path="/stream/x"):
     """Send the crashing request to each router in turn; return the answers."""
     answers = []
     for number in range(times):
@@ -96,10 +96,10 @@
     def test_a_request_that_ends_upstreams_is_not_sent_for_ever(self):
         async def scenario(deployment):
             while crash_count(deployment) < CRASHES_TO_QUARANTINE:
-                await repeat(deployment, 1)
+                await send_deadly_repeatedly(deployment, 1)
             await asyncio.sleep(PROPAGATION_SECONDS)
             before = crash_count(deployment)
-            answers = await repeat(deployment, 9)
+            answers = await send_deadly_repeatedly(deployment, 9)
             return crash_count(deployment) - before, answers
 
         later_crashes, answers = self.run_scenario(scenario)
@@ -122,7 +122,7 @@
                 streams.append(ask_until_served(caller, body))
             asking = asyncio.gather(*streams)
             await asyncio.sleep(0.1)
-            await repeat(deployment, 6)
+            await send_deadly_repeatedly(deployment, 6)
             answers = await asking
             repeated = []
             for number, body in enumerate(bodies):
@@ -161,14 +161,14 @@
     def test_a_request_is_quarantined_during_router_restarts(self):
         async def scenario(deployment):
             for _ in range(6):
-                await repeat(deployment, 1, ["a-1"])
+                await send_deadly_repeatedly(deployment, 1, ["a-1"])
                 for vm in ("a-2", "b-1"):
                     await deployment.routers.pop(vm).kill()
                     await deployment.start_router(vm)
                 await until(lambda: deployment.is_settled("a-1"))
                 await asyncio.sleep(PROPAGATION_SECONDS / 2)
             before = crash_count(deployment)
-            await repeat(deployment, 3, VMS)
+            await send_deadly_repeatedly(deployment, 3, VMS)
             return crash_count(deployment) - before, before
 
         later_crashes, before = self.run_scenario(scenario)
@@ -202,9 +202,10 @@
         self.assertEqual((0, [503] * 6), self.run_scenario(scenario))
 
     def test_who_was_told_tells_it_on_where_the_judge_died_before_it_wrote(self):
-        # Soak seed 9734: the store was unavailable when the judge found the request.
-        # All routers knew it, then all but one were killed. The three restarted routers
-        # could not learn it from anyone, and five more attempts reached an engine.
+        # Soak seed 9734: the store was unavailable when the judge quarantined the
+        # request. All routers knew of it, then all but one were killed. The three
+        # restarted routers could not learn of it from any source, and five more
+        # attempts reached an engine.
         async def scenario(deployment):
             for vm in VMS:
                 deployment.faults(vm).outage = Outage.SILENT
@@ -229,9 +230,10 @@
         self.assertEqual((0, [503] * 3), self.run_scenario(scenario))
 
     def test_another_router_writes_what_a_judge_that_is_gone_had_found(self):
-        # Soak seed 9702: the judge died before its write succeeded and was down for
-        # seven seconds. The others knew the request and could reach the store, but
-        # waited for the judge to write; then they died too, and the entry was lost.
+        # Soak seed 9702: the judge was killed before its write succeeded and was down
+        # for seven seconds. The others knew of the quarantine and could reach the
+        # store, but left the write to the judge; then they were killed too, and the
+        # entry was lost.
         async def scenario(deployment):
             for vm in VMS:
                 deployment.faults(vm).outage = Outage.SILENT
@@ -250,7 +252,7 @@
 
     def test_another_router_takes_over_from_a_dead_judge(self):
         async def scenario(deployment):
-            await repeat(deployment, 1, ["b-1"])
+            await send_deadly_repeatedly(deployment, 1, ["b-1"])
             await asyncio.sleep(PROPAGATION_SECONDS / 2)
             judge = deployment.routers["a-1"].members.owner_of_key(JUDGE_KEY)
             await deployment.routers.pop(judge).kill()
@@ -301,12 +303,12 @@
 
     async def run_calls(self, deployment, path):
         while not all(has_quarantine(deployment, vm) for vm in VMS):
-            await repeat(deployment, 1, VMS, path)
+            await send_deadly_repeatedly(deployment, 1, VMS, path)
             self.assertLessEqual(
                 crash_count(deployment), CRASHES_TO_QUARANTINE + MAX_LATE_ATTEMPTS
             )
         before = crash_count(deployment)
-        answers = await repeat(deployment, 7, VMS, path)
+        answers = await send_deadly_repeatedly(deployment, 7, VMS, path)
         return crash_count(deployment) - before, [status for status, _, _ in answers]
 
     def test_unanswered_sends_are_withdrawn(self):
@@ -438,7 +440,7 @@
 
 
 class UnreachablePeers:
-    """Reach all routers but one, and record the attempts to reach that one."""
+    """Peers of which one is unreachable; the attempts to reach it are recorded."""
 
     def __init__(self, peers, unreachable, asked):
         self.peers, self.unreachable, self.asked = peers, unreachable, asked
@@ -466,10 +468,12 @@
     return used
 
 
-async def crash_until_known(deployment, vms, least=CRASHES_TO_QUARANTINE, known_at=()):
-    """Send the request until these routers, or those of ``known_at``, know it."""
-    while crash_count(deployment) < least:
-        await repeat(deployment, 1, vms)
+async def crash_until_known(
+    deployment, vms, min_crashes=CRASHES_TO_QUARANTINE, known_at=()
+):
+    """Send the request until the routers, or those of ``known_at``, quarantine it."""
+    while crash_count(deployment) < min_crashes:
+        await send_deadly_repeatedly(deployment, 1, vms)
     await until(lambda: all(has_quarantine(deployment, vm) for vm in known_at or vms))
 
 
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -1,4 +1,4 @@
-"""Data centres that become unreachable at once, and what is probed then."""
+"""Data centres that become unreachable, and probes of their other upstreams."""
 
 import asyncio
 
@@ -20,38 +20,40 @@
         super().setUp()
         self.reach = Reachability("a")
 
-    def silent(self, *names, now=10.0, place="b"):
+    def record_timeouts(self, *names, now=10.0, data_centre="b"):
         for name in names:
-            self.reach.record_timeout(place, name, now, is_upstream=name[0] == "u")
+            self.reach.record_timeout(
+                data_centre, name, now, is_upstream=name[0] == "u"
+            )
 
     def test_one_silent_upstream_does_not_cut_a_data_centre(self):
-        self.silent("u1", "u1")
+        self.record_timeouts("u1", "u1")
         self.assertFalse(self.reach.is_unreachable("b"))
 
     def test_silent_routers_alone_do_not_cut_a_data_centre(self):
-        self.silent("r1", "r2", "r3")
+        self.record_timeouts("r1", "r2", "r3")
         self.assertFalse(self.reach.is_unreachable("b"))
-        self.silent("u1")
+        self.record_timeouts("u1")
         self.assertTrue(self.reach.is_unreachable("b"))
 
     def test_any_answer_resets_the_evidence(self):
-        self.silent("u1")
+        self.record_timeouts("u1")
         self.reach.record_response("b")
-        self.silent("u2")
+        self.record_timeouts("u2")
         self.assertFalse(self.reach.is_unreachable("b"))
 
     def test_evidence_expires_but_a_cut_lasts_until_an_answer(self):
-        self.silent("u1", now=10.0)
-        self.silent("u2", now=10.1 + TIMEOUT_WINDOW_SECONDS)
+        self.record_timeouts("u1", now=10.0)
+        self.record_timeouts("u2", now=10.1 + TIMEOUT_WINDOW_SECONDS)
         self.assertFalse(self.reach.is_unreachable("b"))
-        self.silent("u1", now=10.2 + TIMEOUT_WINDOW_SECONDS)
-        self.silent("u1", now=60.0)
+        self.record_timeouts("u1", now=10.2 + TIMEOUT_WINDOW_SECONDS)
+        self.record_timeouts("u1", now=60.0)
         self.assertTrue(self.reach.is_unreachable("b"))
         self.reach.record_response("b")
         self.assertFalse(self.reach.is_unreachable("b"))
 
     def test_the_own_data_centre_is_never_cut(self):
-        self.silent("u1", "u2", place="a")
+        self.record_timeouts("u1", "u2", data_centre="a")
         self.assertFalse(self.reach.is_unreachable("a"))
 
     def test_routers_of_a_cut_data_centre_are_not_asked(self):
@@ -60,7 +62,7 @@
             members.put(Member(vm, vm[0], "1", "x:1"))
         members.record_failure("b-1", 10.0)
         self.assertEqual(["b-2", "c-1"], members.remote_homes("account"))
-        self.silent("u1")
+        self.record_timeouts("u1")
         self.assertEqual(["c-1"], members.remote_homes("account"))
         members.record_success("b-1")
         self.assertEqual(2, len(members.remote_homes("account")))
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -289,7 +289,7 @@
             router = deployment.routers["a-1"]
             for port in deployment.store_ports.values():
                 deployment.store.faults_by_port[port].outage = Outage.SILENT
-            # Even with recent news, the last confirmation is too old to reject a
+            # Even with recent changes, the last confirmation is too old to reject a
             # caller.
             router.configurations.feed.confirmed_at = float("-inf")
             router.configurations.unconfirmed_seconds = lambda: 0.0
@@ -396,7 +396,7 @@
     def test_a_broken_stream_goes_on_at_another_engine_without_a_gap(self):
         async def scenario(deployment):
             for kind in (Fault.CUT, Fault.RESET, Fault.LOSE, Fault.GARBLE):
-                # The engine that is asked first has the fault.
+                # The engine that gets the request first has the fault.
                 faults_for_all = [kind]
                 for engine in deployment.engines:
                     engine.runs.clear()
--- a/tests/test_relayed_fuzz.py
+++ b/tests/test_relayed_fuzz.py
@@ -111,7 +111,7 @@
 
 
 class FaultyPeers(DirectPeers):
-    """The links from one router to the others, each with a state of its own."""
+    """The links from one router to the others, each of which can fail separately."""
 
     def __init__(self, own, stores_by_vm, links):
         super().__init__(stores_by_vm)
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -88,7 +88,8 @@
         self.assertFalse(self.entry.takes_work)
         self.assertFalse(self.entry.health.is_paused(10.0))
         self.assertEqual((0, 2), (self.aborted, self.entry.open_requests))
-        # The report was late after all, so the newer start time counts again.
+        # The newer start time counts again, since the entry with the older one was
+        # outdated.
         self.assertTrue(self.directory.put(started(1000)))
         self.assertTrue(self.entry.takes_work)
 
--- a/tests/test_router_load.py
+++ b/tests/test_router_load.py
@@ -1,4 +1,4 @@
-"""Overload of a VM: what it measures, and what it sheds to other VMs."""
+"""Overload of a VM: load measurement and shedding of load to other VMs."""
 
 import asyncio
 import math
@@ -98,8 +98,8 @@
         for began, ended, asked in sleeps:
             meter.record_sleep(began, ended, asked)
         load = meter.load()
-        for figure in (load.use, load.delay):
-            self.assertGreaterEqual(figure, 0.0)
+        for value in (load.use, load.delay):
+            self.assertGreaterEqual(value, 0.0)
 
 
 class LocalSharesTest(testtools.TestCase):
@@ -258,7 +258,7 @@
         self.processor.now = Load(1.0, 0.2)
         self.assertEqual("processor", self.guard.shed_reason_for_all(0.2))
         self.assertEqual("processor", self.guard.shed_reason(0.2, "small"))
-        # A brief request waits for fewer events.
+        # A plain call consists of fewer events, so that it waits less.
         self.assertEqual("", self.guard.shed_reason_for_all(0.2, is_plain_call=True))
         self.assertEqual("", self.guard.shed_reason(2.0, "small"))
 
@@ -362,11 +362,11 @@
             router = deployment.routers["a-1"]
             reported = []
             sender = router.relay._sender
-            note = sender._generations.record_first_event
+            original_record = sender._generations.record_first_event
 
             def spy(run_id, upstream_id, *, took_ms):
                 reported.append(took_ms)
-                note(run_id, upstream_id, took_ms=took_ms)
+                original_record(run_id, upstream_id, took_ms=took_ms)
 
             sender._generations.record_first_event = spy
             caller = PlatformCaller(deployment)
@@ -525,8 +525,8 @@
             await until(
                 lambda: not router.load.shed_reason_for_all(0.4, is_plain_call=False)
             )
-            stranger = PlatformCaller(deployment)
-            answer = await stranger.stream(deadline_ms=8000)
+            new_caller = PlatformCaller(deployment)
+            answer = await new_caller.stream(deadline_ms=8000)
             self.assertEqual(200, answer[0], answer)
 
         features = Features(processor_guard=True)
@@ -539,10 +539,10 @@
             await until(lambda: router.load.loads()["processor"].delay > most)
             load = router_state(router)["load"]["processor"]
             self.assertGreater(load["use"], PROCESSOR_LIMITS.min_use)
-            stranger = PlatformCaller(deployment)
+            new_caller = PlatformCaller(deployment)
             arrived = sum(len(app.arrivals) for app in deployment.apps)
             with self.assertRaises(ExchangeError):
-                await stranger.send("GET", "/safe/x")
+                await new_caller.send("GET", "/safe/x")
             self.assertEqual(arrived, sum(len(a.arrivals) for a in deployment.apps))
             self.assertGreater(
                 sum(router.metrics.connections_closed.values_by_labels.values()), 0
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -196,9 +196,9 @@
         board = play(Board, config)["all"]
         others = [play(policy, config)["all"] for policy in SIMPLE]
         self.assertGreaterEqual(board.on_time, max(o.on_time for o in others))
-        # The tolerance is one and a half steps of an engine.
-        least = min(other.first_event_ms_p95 for other in others)
-        self.assertLessEqual(board.first_event_ms_p95, least + 9.0)
+        # The tolerance of 9 ms is the time of one and a half steps of an engine.
+        min_first_event_ms = min(other.first_event_ms_p95 for other in others)
+        self.assertLessEqual(board.first_event_ms_p95, min_first_event_ms + 9.0)
 
     def test_fewer_long_pauses_than_with_a_fixed_cost(self):
         # Over three traces, 13.7% of the requests paused too long with a fixed cost per
@@ -218,7 +218,7 @@
             self.assertLess(paused[Board], most)
             self.assertLess(paused[Board], 0.9 * paused[WeightedBoard])
             self.assertGreater(value[Board]["all"], value[WeightedBoard]["all"])
-            # No kind of request gets worse in favour of the others.
+            # The gain is not at the expense of one kind of request.
             for kind, of_board in value[Board].items():
                 self.assertGreater(of_board, value[WeightedBoard][kind] - 0.03, kind)
 
@@ -239,13 +239,13 @@
         # again while the expected lateness counted without a limit. With the limit, the
         # value is above 0.8 and fewer than 1,900 tokens are read again.
         config = attrs.evolve(scenario("snow-dispatch"), load=1.6)
-        value, again = 0.0, 0.0
+        value, reread_tokens = 0.0, 0.0
         for seed in range(3):
             found = play(Board, config, seed)["all"]
             value += found.value / 3
-            again += found.read_again_per_request / 3
+            reread_tokens += found.read_again_per_request / 3
         self.assertGreater(value, 0.8)
-        self.assertLess(again, 1_900)
+        self.assertLess(reread_tokens, 1_900)
 
     def test_slow_and_failed_engines_are_avoided(self):
         text = "[{at: 5, seconds: 10, engines: [0], slower: 6.0}, "
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -126,7 +126,7 @@
             raise PeerUnreachable(vm)
         self.messages.append((vm, message))
 
-    def news(self):
+    def updates(self):
         found = []
         for _, message in self.messages:
             if isinstance(message, RunUpdateRequest):
@@ -188,12 +188,12 @@
             choice = await self.choose(scheduler)
             self.assertEqual("e1", choice.entry.upstream.id)
             self.members.record_success(self.other)
-            await until(self.peers.news)
+            await until(self.peers.updates)
             await scheduler.stop()
 
         self.run_async(scenario())
-        (news,) = self.peers.news()
-        self.assertEqual(("r1", RunStage.UNPLACED), (news.run_id, news.stage))
+        (update,) = self.peers.updates()
+        self.assertEqual(("r1", RunStage.UNPLACED), (update.run_id, update.stage))
         self.assertEqual(self.other, self.peers.messages[0][0])
 
     def test_undelivered_news_is_sent_again(self):
@@ -205,11 +205,11 @@
             self.members.record_success(self.other)
             await until(lambda: self.peers.undelivered)
             self.peers.is_up = True
-            await until(self.peers.news)
+            await until(self.peers.updates)
             await scheduler.stop()
 
         self.run_async(scenario())
-        self.assertEqual([RunStage.UNPLACED], [n.stage for n in self.peers.news()])
+        self.assertEqual([RunStage.UNPLACED], [n.stage for n in self.peers.updates()])
 
     def test_engines_excluded_by_the_query_are_not_chosen(self):
         async def scenario():
@@ -236,8 +236,8 @@
             await scheduler._handle_place_request(request)
             engine = scheduler.board.engines_by_id["e1"]
             self.assertEqual({"r1"}, set(engine.runs_by_id))
-            news = RunUpdate("r1", "", RunStage.UNPLACED)
-            await scheduler._handle_run_news(RunUpdateRequest((news,)))
+            update = RunUpdate("r1", "", RunStage.UNPLACED)
+            await scheduler._handle_run_news(RunUpdateRequest((update,)))
             self.assertEqual({}, engine.runs_by_id)
             await scheduler._handle_place_request(request)
             # The router that sent the request is not a member.
@@ -247,10 +247,10 @@
         self.run_async(scenario())
 
 
-class RunNewsTest(SchedulerTestCase):
-    """News of runs that the scheduling router receives."""
+class RunUpdateTest(SchedulerTestCase):
+    """Updates about runs that the scheduling router receives."""
 
-    def placed(self):
+    def scheduler_with_run(self):
         scheduler = self.scheduler()
         request = PlacementRequest(
             "r1",
@@ -267,21 +267,25 @@
         run_loop(scheduler._handle_place_request(request))
         return scheduler, scheduler.board.engines_by_id["e1"]
 
-    def tell(self, scheduler, *news):
-        run_loop(scheduler._handle_run_news(RunUpdateRequest(news)))
+    def deliver_updates(self, scheduler, *updates):
+        run_loop(scheduler._handle_run_news(RunUpdateRequest(updates)))
 
     def test_reported_latency_is_used_instead_of_news_arrival_time(self):
-        scheduler, engine = self.placed()
+        scheduler, engine = self.scheduler_with_run()
         before = engine.prefill_speed.tokens_per_ms
         self.now += 5.0
-        self.tell(scheduler, RunUpdate("r1", "e1", RunStage.BEGUN, took_ms=90.0))
+        self.deliver_updates(
+            scheduler, RunUpdate("r1", "e1", RunStage.BEGUN, took_ms=90.0)
+        )
         self.assertGreater(engine.prefill_speed.tokens_per_ms, before)
 
     def test_paused_stream_has_no_weight(self):
-        scheduler, engine = self.placed()
-        self.tell(scheduler, RunUpdate("r1", "e1", RunStage.BEGUN, took_ms=90.0))
+        scheduler, engine = self.scheduler_with_run()
+        self.deliver_updates(
+            scheduler, RunUpdate("r1", "e1", RunStage.BEGUN, took_ms=90.0)
+        )
         self.assertEqual([300.0], list(engine.weight_by_limit()))
-        self.tell(scheduler, RunUpdate("r1", "e1", RunStage.PAUSED))
+        self.deliver_updates(scheduler, RunUpdate("r1", "e1", RunStage.PAUSED))
         self.assertEqual({}, engine.weight_by_limit())
 
 
--- a/tests/test_spending.py
+++ b/tests/test_spending.py
@@ -55,7 +55,7 @@
 
 
 def cut_off_all(deployment, outage=Outage.BUSY):
-    """Cut all routers off from the store; one still connected would help the others."""
+    """Cut all routers off from the store, since one could relay for the others."""
     for vm in deployment.routers:
         deployment.faults(vm).outage = outage
 
@@ -90,20 +90,20 @@
 
     def test_the_whole_budget_can_be_spent_and_no_more(self):
         async def scenario(deployment):
-            taken = 0
+            reserved_tokens = 0
             refused = None
             for number in range(40):
                 router = list(deployment.routers.values())[number % 3]
                 try:
                     reservation = await reserve(router, 50_000, f"r{number}")
-                    taken += 50_000
+                    reserved_tokens += 50_000
                     reservation.settle(50_000)
                     for other in deployment.routers.values():
                         await settled(other.ledger_sync.ledger)
                 except BudgetExhausted as error:
                     refused = error
                     break
-            self.assertEqual(1_000_000, taken)
+            self.assertEqual(1_000_000, reserved_tokens)
             self.assertIsNotNone(refused)
             await deployment.configure(version=2, prepaid=1_100_000)
             router = deployment.routers["a-1"]
@@ -137,21 +137,21 @@
     def test_in_an_outage_a_request_waits_for_the_limit_line_to_grow(self):
         async def scenario(deployment):
             router = deployment.routers["a-1"]
-            keeper, ledger = router.ledger_sync, router.ledger_sync.ledger
+            ledger_sync, ledger = router.ledger_sync, router.ledger_sync.ledger
             own_share = ledger.share(ACCOUNT)
             await until(lambda: own_share.terms.granted > 300_000)
             cut_off_all(deployment)
-            await until(lambda: not keeper.store_answers)
-            now_ms = keeper.now_ms()
-            soon = own_share.available(now_ms + 250)
-            self.assertGreater(soon, own_share.available(now_ms))
+            await until(lambda: not ledger_sync.store_answers)
+            now_ms = ledger_sync.now_ms()
+            available_soon = own_share.available(now_ms + 250)
+            self.assertGreater(available_soon, own_share.available(now_ms))
             started = steady_seconds()
-            await reserve(router, soon, "soon")
+            await reserve(router, available_soon, "soon")
             self.assertLess(steady_seconds() - started, 0.5)
             # A request that the limit line will not cover in time is refused at once.
             started = steady_seconds()
             with self.assertRaises(BudgetUnreachable):
-                await reserve(router, own_share.terms.granted - soon, "late")
+                await reserve(router, own_share.terms.granted - available_soon, "late")
             self.assertLess(steady_seconds() - started, 0.2)
 
         self.with_platform(scenario, routers=("a-1",))
@@ -181,17 +181,17 @@
             await until(lambda: lender.ledger_sync.ledger.unused(ACCOUNT) > 300_000)
             own_share = home.ledger_sync.ledger.share(ACCOUNT)
             own_share.settled = own_share.terms.granted
-            # As after spending it: no limit line is below the use.
+            # As after actual spending, the limit line must not be below the use.
             home.ledger_sync.request_write()
             await until(lambda: own_share.terms.line.base >= own_share.settled)
             cut_off_all(deployment, Outage.SILENT)
             # No router knows yet that the store is unreachable, so the lender tries
             # to return tokens there each time it is asked.
-            keeper = lender.ledger_sync
-            asks = [keeper.release(ACCOUNT, 60_000, 60_000) for _ in range(5)]
-            self.assertEqual([0] * 5, await asyncio.gather(*asks))
-            self.assertEqual(0, keeper.ledger.share(ACCOUNT).releasing)
-            # After the limit line's slow phase.
+            ledger_sync = lender.ledger_sync
+            releases = [ledger_sync.release(ACCOUNT, 60_000, 60_000) for _ in range(5)]
+            self.assertEqual([0] * 5, await asyncio.gather(*releases))
+            self.assertEqual(0, ledger_sync.ledger.share(ACCOUNT).releasing)
+            # Waits for the end of the limit line's slow phase.
             await asyncio.sleep(4.0)
             await reserve(home, 30_000, "r1")
             self.assertGreaterEqual(own_share.borrowed, 30_000)
@@ -208,8 +208,8 @@
             home.ledger_sync.request_write()
             await until(lambda: own_share.terms.line.base >= own_share.settled)
             cut_off_all(deployment)
-            (far,) = [r for vm, r in deployment.routers.items() if vm[0] == "b"]
-            await far.peer_server.server.kill()
+            (remote,) = [r for vm, r in deployment.routers.items() if vm[0] == "b"]
+            await remote.peer_server.server.kill()
             caller = PlatformCaller(deployment, home.settings.vm)
             asked = {"tokens": (30_000, 60), "deadline_ms": 12_000}
             status, headers, _ = await caller.stream(**asked)
@@ -384,7 +384,7 @@
             self.assertFalse(await home.ledger_sync.close(now + 0.3))
             await home.final_use_exchange.announce()
             await home.kill()
-            # By then, the limit line allows the whole grant.
+            # After this time, the limit line allows the whole grant.
             await asyncio.sleep(5.0)
             cut_off_all(deployment, Outage.NONE)
             restarted = await deployment.start_router(vm)
@@ -419,18 +419,18 @@
             for vm in ROUTERS:
                 faults = deployment.faults(vm)
                 faults.lost_share, faults.late_share = 0.3, 0.2
-            taken = 0
+            reserved_tokens = 0
             number = 0
-            while taken < 900_000 and number < MAX_TRIES:
+            while reserved_tokens < 900_000 and number < MAX_TRIES:
                 number += 1
                 router = list(deployment.routers.values())[number % 3]
                 try:
                     await reserve(router, 20_000, f"r{number}")
-                    taken += 20_000
+                    reserved_tokens += 20_000
                 except (BudgetExhausted, BudgetUnreachable):
                     await asyncio.sleep(0.05)
-            self.assertLessEqual(taken, 1_000_000)
-            self.assertGreaterEqual(taken, 900_000)
+            self.assertLessEqual(reserved_tokens, 1_000_000)
+            self.assertGreaterEqual(reserved_tokens, 900_000)
             home = home_of(deployment, "a").settings.vm
             lines = json.loads(deployment.store.value(HOLDERS_TABLE, home, home))
             self.assertIn(ACCOUNT, lines["shares"])
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -73,7 +73,7 @@
 
 
 class LinePolicyTest(testtools.TestCase):
-    """The situation: an account with many times its usual load, at a slow router."""
+    """An account has many times its usual load, at a router with slow writes."""
 
     def test_the_limit_line_of_a_busy_account_covers_a_slow_write(self):
         busy = share_view(demand=15_000.0)
--- a/tests/test_stated_backoff.py
+++ b/tests/test_stated_backoff.py
@@ -4,7 +4,7 @@
 like any other refusal: the upstream was skipped for 0.05 s, doubled with each refusal
 in a row, so that routers retried within tenths of a second. With a backoff of three
 seconds, an engine got three requests from one router between half a second after its
-refusal and the end of the backoff, where two are the most. Callers whose requests were
+refusal and the end of the backoff, where two are permitted. Callers whose requests were
 first sent to such an engine got late answers.
 
 If all upstreams of a service were skipped, the one whose pause ended first got the
@@ -50,7 +50,10 @@
 
 
 class BackoffFuzzTest(testtools.TestCase):
-    """Backoff and leaving in answers, probe answers and entries, across restarts."""
+    """Backoff and announced shutdown, learned from answers, probes and entries.
+
+    The upstream also restarts.
+    """
 
     def test_nothing_is_sent_during_backoff_or_to_leaving_upstreams(self):
         run(300, 40, machine=WordsMachine)
@@ -158,7 +161,7 @@
             before = len(declining.arrivals)
             statuses = await press(deployment, ask, seconds=4.0)
             self.assertEqual({200}, set(statuses))
-            # At least a quarter of its half of the requests.
+            # Its share is half of the requests; it gets at least a quarter of that.
             self.assertGreater(len(declining.arrivals) - before, len(statuses) / 8)
 
         self.with_platform(scenario, routers=("a-1",))
--- a/tests/test_stated_by_own.py
+++ b/tests/test_stated_by_own.py
@@ -6,8 +6,8 @@
 from tests.support import AsyncTestCase, Caller, question, until, with_deployment
 
 LIMIT = 0.5
-# Most requests of all routers together within four seconds (1.5 x 0.5 x 4 s + 5), from
-# three seconds after the upstream first declares its limit.
+# From three seconds after the upstream first declares its limit, all routers together
+# send at most this many requests within four seconds: 1.5 x 0.5/s x 4 s + 5.
 MAX_IN_SPAN, SPAN_SECONDS, GRACE_SECONDS = 8, 4.0, 3.0
 
 
@@ -51,7 +51,7 @@
             before = len(leaving.arrival_log.times)
             self.assertEqual({200}, set(await send_requests(deployment, 1.0)))
             self.assertEqual(before, len(leaving.arrival_log.times))
-            # Its next process has the same name and does not report its start time.
+            # The upstream's next process has the same name and reports no start time.
             leaving.announces_leaving = False
             entries = [
                 router.directory.entries_by_id[leaving.name]
--- a/tests/test_stated_leaving.py
+++ b/tests/test_stated_leaving.py
@@ -4,7 +4,7 @@
 store, and ignore what its answers declare. While the store was unavailable, the entry
 of a leaving engine read as ready for eleven seconds more. Five of eight routers sent it
 11 more requests; two of these arrived 2.9 and 4.4 s after its answer had been
-forwarded, where 2 s are the most. They were served, but their streams would have been
+forwarded, where 2 s are permitted. They were served, but their streams would have been
 cut if the engine had ended in time.
 
 With an entry that stays ready, an engine got half of all requests three seconds after
@@ -106,7 +106,8 @@
         async def scenario(deployment):
             leaving = upstreams_of(deployment)[0]
             leaving.announces_leaving = True
-            # Every router has forwarded one of its answers by the end of this load.
+            # By the end of this load, every router has forwarded one of the upstream's
+            # answers.
             await press(deployment, ask, seconds=1.0)
             await asyncio.sleep(DRAIN_SECONDS)
             before = len(leaving.arrivals)
--- a/tests/test_stated_limits.py
+++ b/tests/test_stated_limits.py
@@ -1,14 +1,15 @@
 """Upstreams that declare a rate limit for all routers together.
 
-Guards against routers that ignore the limit, or keep it each by itself. Two engines
-declared 1.1 and 1 requests a second in all their answers, but neither the router that
-forwarded an answer nor the one that places requests read its head. Within four seconds
-each engine got 12 requests and more from routers that had received the limit, where 12
-and 11 are the most, and its arrivals did not change when it declared the limit.
+Guards against routers that ignore the limit, or that each apply it on their own. Two
+engines declared 1.1 and 1 requests a second in all their answers, but neither the
+router that forwarded an answer nor the one that places requests read its head. Within
+four seconds each engine got 12 requests and more from routers that had received the
+limit, where 12 and 11 are permitted, and its arrivals did not change when it declared
+the limit.
 
 Four routers sent 89 requests in four seconds to an upstream with a limit of 1 a second.
-If each router keeps the limit by itself, the fuzzing below finds 14 where 11 are the
-most.
+If each router applies the limit on its own, the fuzzing below finds 14 requests where
+11 are permitted.
 """
 
 import asyncio
@@ -244,9 +245,11 @@
             self.assertLessEqual(
                 self.busiest_span(limited, limited_since), max_in_span(limit)
             )
-            # It receives requests at half of its limit at least.
-            came = len(limited.arrival_log.since(limited_since + GRACE_SECONDS))
-            self.assertGreaterEqual(came, 6.0 * limit / 2)
+            # It still receives requests at no less than half of its limit.
+            arrival_count = len(
+                limited.arrival_log.since(limited_since + GRACE_SECONDS)
+            )
+            self.assertGreaterEqual(arrival_count, 6.0 * limit / 2)
 
         self.with_routers(scenario)
 
--- a/tests/test_suspicion.py
+++ b/tests/test_suspicion.py
@@ -56,7 +56,7 @@
     def quarantined(self):
         return set(self.attribution.quarantined_by_content)
 
-    def blamed(self, content):
+    def suspected_crashes(self, content):
         suspect = self.attribution.suspects_by_content.get(content)
         return len(suspect.ended) if suspect else 0
 
@@ -78,11 +78,12 @@
         for _ in range(3):
             self.scenario.crash(q=BEGUN, waiting=UNANSWERED, answering=ANSWERING)
         self.assertEqual({"q"}, self.scenario.quarantined)
-        self.assertEqual(0, self.scenario.blamed("waiting"))
-        self.assertEqual(0, self.scenario.blamed("answering"))
+        self.assertEqual(0, self.scenario.suspected_crashes("waiting"))
+        self.assertEqual(0, self.scenario.suspected_crashes("answering"))
 
     def test_a_run_beside_the_cause_in_each_crash_is_not_quarantined(self):
-        # Both had begun each time, so only a crash with one of them tells them apart.
+        # Both had begun before each crash, so only a crash with one of them open tells
+        # them apart.
         for _ in range(AMBIGUOUS_CRASHES_TO_QUARANTINE + 1):
             self.scenario.crash(q=BEGUN, beside=BEGUN)
         self.assertEqual(set(), self.scenario.quarantined)
@@ -93,8 +94,8 @@
         # Plain services send no head before the answer, so all open runs look alike.
         self.scenario.crash(q=UNANSWERED, one=UNANSWERED)
         self.scenario.crash(q=UNANSWERED, two=UNANSWERED, three=UNANSWERED)
-        self.assertEqual(1, self.scenario.blamed("one"))
-        self.assertEqual(0, self.scenario.blamed("two"))
+        self.assertEqual(1, self.scenario.suspected_crashes("one"))
+        self.assertEqual(0, self.scenario.suspected_crashes("two"))
         self.scenario.crash(q=UNANSWERED)
         self.assertEqual({"q"}, self.scenario.quarantined)
 
@@ -114,7 +115,7 @@
         for _ in range(3):
             self.scenario.crash(q=BEGUN)
         self.assertEqual([], self.scenario.crash(q=BEGUN, beside=BEGUN))
-        self.assertEqual(0, self.scenario.blamed("beside"))
+        self.assertEqual(0, self.scenario.suspected_crashes("beside"))
 
     def test_copies_open_in_one_crash_count_once(self):
         for _ in range(4):
@@ -122,7 +123,7 @@
                 BrokenRun("q", "e", BEGUN), self.scenario.now_ms
             )
         self.scenario.attribution.judge(self.scenario.now_ms + REPORT_WINDOW_MS)
-        self.assertEqual(1, self.scenario.blamed("q"))
+        self.assertEqual(1, self.scenario.suspected_crashes("q"))
 
     def test_concurrent_crashes_under_copies_of_one_request_add_up(self):
         for number in range(6):
@@ -140,7 +141,7 @@
                 self.scenario.now_ms += REPORT_WINDOW_MS
             self.scenario.attribution.judge(self.scenario.now_ms)
             if number < 2:
-                self.assertEqual(number + 1, self.scenario.blamed("q"))
+                self.assertEqual(number + 1, self.scenario.suspected_crashes("q"))
             self.scenario.now_ms += SAME_CRASH_MS
         self.assertEqual({"q"}, self.scenario.quarantined)
 
@@ -152,21 +153,21 @@
             BrokenRun("q", "e", BEGUN), now_ms + REPORT_WINDOW_MS - 1
         )
         attribution.judge(now_ms + REPORT_WINDOW_MS)
-        self.assertEqual(1, self.scenario.blamed("q"))
-        self.assertEqual(0, self.scenario.blamed("waiting"))
+        self.assertEqual(1, self.scenario.suspected_crashes("q"))
+        self.assertEqual(0, self.scenario.suspected_crashes("waiting"))
 
     def test_a_late_report_counts(self):
         self.scenario.crash(waiting=UNANSWERED)
         late = self.scenario.now_ms + LATE_REPORT_MS // 2
         self.scenario.attribution.record_run(BrokenRun("q", "e0", BEGUN), late)
-        self.assertEqual(1, self.scenario.blamed("q"))
+        self.assertEqual(1, self.scenario.suspected_crashes("q"))
 
     def test_a_served_request_is_cleared(self):
         for _ in range(2):
             self.scenario.crash(q=BEGUN)
         self.assertTrue(self.scenario.attribution.clear("q"))
         self.scenario.crash(q=BEGUN)
-        self.assertEqual(1, self.scenario.blamed("q"))
+        self.assertEqual(1, self.scenario.suspected_crashes("q"))
         self.assertFalse(self.scenario.attribution.clear("stranger"))
 
     def test_old_crashes_do_not_count(self):
@@ -237,7 +238,7 @@
             for _ in range(2):
                 scenario.crash(q=BEGUN)
         self.scenario.attribution.merge_record(other.attribution.record())
-        self.assertEqual(4, self.scenario.blamed("q"))
+        self.assertEqual(4, self.scenario.suspected_crashes("q"))
 
     def test_requests_released_in_the_store_are_released(self):
         for _ in range(3):
@@ -269,7 +270,7 @@
         scenario = CrashScenario()
         for number, open_runs in enumerate(crashes):
             scenario.crash(**open_runs)
-            # It is served after every second crash.
+            # Request "a" is served after every second crash.
             if number % 2:
                 scenario.attribution.clear("a")
         self.assertNotIn("a", scenario.quarantined)
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -66,16 +66,16 @@
         VMs without an entry answer.
     """
 
-    def __init__(self, fleet, members, fault_by_vm, asked):
+    def __init__(self, fleet, members, fault_by_vm, queries):
         self.fleet = fleet
         self.members = members
         self.fault_by_vm = fault_by_vm
-        self.asked = asked
+        self.queries = queries
 
     async def ask(self, vm, message):
         fault = self.fault_by_vm.get(vm)
         if isinstance(message, PlacementRequest):
-            self.asked.append((vm, message.run_id))
+            self.queries.append((vm, message.run_id))
         if fault == "killed":
             self.members.record_failure(vm, 0.0)
             raise PeerUnreachable(vm)
@@ -104,7 +104,7 @@
         self.now = 100.0
         self.fleet = {}
         self.fault_by_vm = {}
-        self.asked = []
+        self.queries = []
         self.members_by_vm = {}
         self.metrics_by_vm = {}
         for vm in VMS:
@@ -113,7 +113,7 @@
             scheduler.refresh()
         first = self.fleet["a-1"]._scheduling_vm("pool")
         self.order = [first, *[vm for vm in VMS if vm != first]]
-        self.first, self.asker = self.fleet[first], self.fleet[self.order[1]]
+        self.first, self.requester = self.fleet[first], self.fleet[self.order[1]]
 
     def scheduler(self, vm):
         members = Members(member(vm))
@@ -130,7 +130,7 @@
         limits = ColdLimits()
         return Scheduler(
             members,
-            FleetPeers(self.fleet, members, self.fault_by_vm, self.asked),
+            FleetPeers(self.fleet, members, self.fault_by_vm, self.queries),
             directory,
             lambda service: None,
             None,
@@ -146,19 +146,19 @@
     async def choose(self, scheduler, run_id, **more):
         """Query once; return the choice, or the exception raised instead."""
         entries = list(scheduler._directory.entries_by_id.values())
-        aims = LatencyObjectives(claim=claim(**more))
+        objectives = LatencyObjectives(claim=claim(**more))
         try:
-            return await scheduler.choose(run_id, generation(), entries, aims)
+            return await scheduler.choose(run_id, generation(), entries, objectives)
         except (AdmissionPending, AdmissionRefused) as outcome:
             return outcome
 
     async def fill(self):
         for number in range(self.ENGINES * self.SLOTS):
-            choice = await self.choose(self.asker, f"full{number}")
+            choice = await self.choose(self.requester, f"full{number}")
             self.assertIsNotNone(choice.entry)
 
     async def free(self, run_id="full0", upstream="e0"):
-        self.asker.record_end(run_id, upstream, failed=False)
+        self.requester.record_end(run_id, upstream, failed=False)
         await until(
             lambda: run_id not in self.first.board.engines_by_id[upstream].runs_by_id
         )
@@ -184,14 +184,18 @@
     def test_request_waits_at_full_engines_and_is_placed_in_order(self):
         async def scenario():
             await self.fill()
-            self.assertIsInstance(await self.choose(self.asker, "r1"), AdmissionPending)
-            later = await self.choose(self.asker, "r2")
+            self.assertIsInstance(
+                await self.choose(self.requester, "r1"), AdmissionPending
+            )
+            later = await self.choose(self.requester, "r2")
             self.assertEqual(1, later.ahead)
             await self.free()
-            # A new request and the second one do not get the slot before the first one.
+            # Neither a new request nor the second in the queue overtakes the first one.
             self.assertIsInstance(await self.choose(self.first, "r3"), AdmissionPending)
-            self.assertIsInstance(await self.choose(self.asker, "r2"), AdmissionPending)
-            choice = await self.choose(self.asker, "r1")
+            self.assertIsInstance(
+                await self.choose(self.requester, "r2"), AdmissionPending
+            )
+            choice = await self.choose(self.requester, "r1")
             self.assertEqual("e0", choice.entry.upstream.id)
             self.assertEqual(2, self.waiting())
             self.assertEqual(2, len(self.first.board.engines_by_id["e0"].runs_by_id))
@@ -204,9 +208,9 @@
     def test_cancelled_request_leaves_the_queue(self):
         async def scenario():
             await self.fill()
-            await self.choose(self.asker, "r1")
+            await self.choose(self.requester, "r1")
             self.assertEqual(1, self.waiting())
-            self.asker.record_end("r1", "", failed=False)
+            self.requester.record_end("r1", "", failed=False)
             await until(lambda: not self.waiting())
 
         self.run_fleet(scenario)
@@ -214,9 +218,9 @@
     def test_ticket_without_polls_is_discarded(self):
         async def scenario():
             await self.fill()
-            await self.choose(self.asker, "r1")
+            await self.choose(self.requester, "r1")
             self.now += MAX_POLL_SECONDS + GRACE_SECONDS + 0.01
-            outcome = await self.choose(self.asker, "r2")
+            outcome = await self.choose(self.requester, "r2")
             self.assertEqual((0, 1), (outcome.ahead, self.waiting()))
 
         self.run_fleet(scenario)
@@ -224,7 +228,7 @@
     def test_tickets_of_removed_routers_are_discarded(self):
         async def scenario():
             await self.fill()
-            await self.choose(self.asker, "r1")
+            await self.choose(self.requester, "r1")
             self.members_by_vm[self.order[0]].remove(self.order[1])
             self.first.refresh()
             self.assertEqual(0, self.waiting())
@@ -234,20 +238,22 @@
     def test_engine_without_free_memory_is_full(self):
         async def scenario():
             big = generation(tokens=399_000)
-            entries = list(self.asker._directory.entries_by_id.values())
-            aims = LatencyObjectives(claim=claim())
-            choice = await self.asker.choose("big", big, entries, aims)
+            entries = list(self.requester._directory.entries_by_id.values())
+            objectives = LatencyObjectives(claim=claim())
+            choice = await self.requester.choose("big", big, entries, objectives)
             self.assertIsNotNone(choice.entry)
-            self.assertIsInstance(await self.choose(self.asker, "r1"), AdmissionPending)
+            self.assertIsInstance(
+                await self.choose(self.requester, "r1"), AdmissionPending
+            )
 
         self.run_fleet(scenario)
 
     def test_request_larger_than_an_engine_gets_an_idle_one(self):
         async def scenario():
             big = generation(tokens=900_000)
-            entries = list(self.asker._directory.entries_by_id.values())
-            aims = LatencyObjectives(claim=claim())
-            choice = await self.asker.choose("big", big, entries, aims)
+            entries = list(self.requester._directory.entries_by_id.values())
+            objectives = LatencyObjectives(claim=claim())
+            choice = await self.requester.choose("big", big, entries, objectives)
             self.assertIsNotNone(choice.entry)
 
         self.run_fleet(scenario)
@@ -258,14 +264,14 @@
         async def scenario():
             await self.fill()
             for number in range(10):
-                await self.choose(self.asker, f"r{number}")
+                await self.choose(self.requester, f"r{number}")
             refused = await self.choose(
-                self.asker, "short", account="b", content="c", left=0.5
+                self.requester, "short", account="b", content="c", left=0.5
             )
             self.assertIsInstance(refused, AdmissionRefused)
             self.assertLess(0.0, refused.retry_after)
             self.now += refused.retry_after
-            back = await self.choose(self.asker, "back", account="b", content="c")
+            back = await self.choose(self.requester, "back", account="b", content="c")
             self.assertEqual(0, back.ahead)
 
         self.run_fleet(scenario)
@@ -274,15 +280,15 @@
         async def scenario():
             await self.fill()
             for number in range(10):
-                await self.choose(self.asker, f"r{number}")
+                await self.choose(self.requester, f"r{number}")
             for number in range(40):
                 await self.choose(
-                    self.asker, f"s{number}", account="b", content="c", left=0.3
+                    self.requester, f"s{number}", account="b", content="c", left=0.3
                 )
             shares = self.first.placing.admission_queue.shares
             self.assertGreater(shares.use_ratio("b", self.now), 1.5)
-            patient = await self.choose(self.asker, "p", account="b", content="d")
-            newest = await self.choose(self.asker, "n", account="small")
+            patient = await self.choose(self.requester, "p", account="b", content="d")
+            newest = await self.choose(self.requester, "n", account="small")
             self.assertLess(newest.ahead, patient.ahead + 1)
 
         self.run_fleet(scenario)
@@ -290,11 +296,11 @@
     def test_polls_are_not_charged(self):
         async def scenario():
             await self.fill()
-            await self.choose(self.asker, "r1", account="b")
+            await self.choose(self.requester, "r1", account="b")
             shares = self.first.placing.admission_queue.shares
             before = shares.use_ratio("b", self.now)
             for _ in range(20):
-                await self.choose(self.asker, "r1", account="b")
+                await self.choose(self.requester, "r1", account="b")
             self.assertEqual(before, shares.use_ratio("b", self.now))
 
         self.run_fleet(scenario)
@@ -304,11 +310,11 @@
     def test_number_of_account_labels_is_limited(self):
         async def scenario():
             await self.fill()
-            await self.choose(self.asker, "first")
+            await self.choose(self.requester, "first")
             for number in range(3 * MAX_LABELLED_ACCOUNTS):
                 account = f"acct-{number}"
                 refused = await self.choose(
-                    self.asker, f"r{number}", account=account, left=0.0
+                    self.requester, f"r{number}", account=account, left=0.0
                 )
                 self.assertIsInstance(refused, AdmissionRefused)
             text, _ = self.metrics_by_vm[self.order[0]].exposition()
@@ -334,7 +340,9 @@
     def test_invalid_claims_are_rejected_without_side_effects(self):
         async def scenario():
             await self.fill()
-            self.assertIsInstance(await self.choose(self.asker, "r1"), AdmissionPending)
+            self.assertIsInstance(
+                await self.choose(self.requester, "r1"), AdmissionPending
+            )
             good = claim()
             bad = [
                 attrs.evolve(good, left=value)
@@ -356,7 +364,7 @@
             duplicate = await self.ask(good, other, "r1")
             self.assertEqual(PlacementReply(""), duplicate)
             self.assertEqual(1, self.waiting())
-            self.assertEqual(0, (await self.choose(self.asker, "r1")).ahead)
+            self.assertEqual(0, (await self.choose(self.requester, "r1")).ahead)
 
         self.run_fleet(scenario)
 
@@ -364,7 +372,7 @@
         async def scenario():
             self.members_by_vm[self.order[0]].remove(self.order[1])
             self.first.refresh()
-            choice = await self.choose(self.asker, "r1")
+            choice = await self.choose(self.requester, "r1")
             self.assertEqual(self.order[1], choice.placed_by)
 
         self.run_fleet(scenario)
@@ -385,14 +393,14 @@
             names = [s._members.own.vm for s in (second, third)]
             ranked_vms = second._members.preference_order("schedule pool", names)
             successor = self.fleet[ranked_vms[0]]
-            asker = self.fleet[ranked_vms[1]]
+            requester = self.fleet[ranked_vms[1]]
             for run_id in runs:
                 self.assertIsInstance(
-                    await self.choose(asker, run_id), AdmissionPending
+                    await self.choose(requester, run_id), AdmissionPending
                 )
             entries = list(successor._directory.entries_by_id.values())
             for number in range(self.SLOTS):
-                request = asker._placement_client.build_request(
+                request = requester._placement_client.build_request(
                     f"other{number}",
                     "pool",
                     generation(),
@@ -401,12 +409,12 @@
                 )
                 successor.placing.place(request, entries)
             self.fault_by_vm[self.order[0]] = fault
-            self.asked.clear()
+            self.queries.clear()
             # Later requests poll first.
             for waited, run_id in ((0.1, "r2"), (0.2, "r1"), (0.3, "r0")):
-                outcome = await self.choose(asker, run_id, waited=waited)
+                outcome = await self.choose(requester, run_id, waited=waited)
                 self.assertIsInstance(outcome, AdmissionPending, run_id)
-            self.assertIn((ranked_vms[0], "r0"), self.asked)
+            self.assertIn((ranked_vms[0], "r0"), self.queries)
             tickets = successor.placing.admission_queue._queue_by_service["pool"].queue
             order = sorted(runs, key=lambda r: tickets.position_of(r, self.now + 1.0))
             self.assertEqual(runs, order)
@@ -414,7 +422,7 @@
             successor.board.record_end("e0", "other0", self.now)
             self.now += 0.1
             for run_id in reversed(runs):
-                result = await self.choose(asker, run_id)
+                result = await self.choose(requester, run_id)
                 is_placed = not isinstance(result, AdmissionPending)
                 self.assertEqual(run_id == "r0", is_placed, run_id)
             placed = [s for s in self.fleet.values() if self.runs(s, "r0")]
@@ -441,9 +449,9 @@
     def test_new_request_queries_one_router_and_is_then_placed_locally(self):
         async def scenario():
             self.fault_by_vm[self.order[0]] = "slow"
-            choice = await self.choose(self.asker, "r1")
+            choice = await self.choose(self.requester, "r1")
             self.assertEqual(self.order[1], choice.placed_by)
-            self.assertEqual([(self.order[0], "r1")], self.asked)
+            self.assertEqual([(self.order[0], "r1")], self.queries)
 
         self.run_fleet(scenario)
 
@@ -452,10 +460,10 @@
             for vm in VMS:
                 self.fault_by_vm[vm] = "frozen"
             for number in range(3):
-                choice = await self.choose(self.asker, f"r{number}")
+                choice = await self.choose(self.requester, f"r{number}")
                 # The load from other routers is unknown.
                 self.assertEqual(0.0, choice.expected_seconds)
-            self.assertEqual(2, len(self.asked))
+            self.assertEqual(2, len(self.queries))
 
         self.run_fleet(scenario)
 
@@ -466,19 +474,19 @@
 
     def setUp(self):
         super().setUp()
-        self.entries = list(self.asker._directory.entries_by_id.values())
+        self.entries = list(self.requester._directory.entries_by_id.values())
 
     def test_uncoordinated_router_fills_only_its_share(self):
         async def scenario():
             for vm in VMS:
                 self.fault_by_vm[vm] = "killed"
-            self.asker._random = random.Random(1)
+            self.requester._random = random.Random(1)
             most = max_local_requests(self.SLOTS)
             for number in range(self.ENGINES * most):
-                choice = await self.choose(self.asker, f"r{number}")
+                choice = await self.choose(self.requester, f"r{number}")
                 choice.entry.open_requests += 1
             self.assertEqual({most}, {e.open_requests for e in self.entries})
-            refused = await self.choose(self.asker, "more")
+            refused = await self.choose(self.requester, "more")
             self.assertIsInstance(refused, AdmissionRefused)
 
         self.run_fleet(scenario)
--- a/tests/test_uneven.py
+++ b/tests/test_uneven.py
@@ -207,8 +207,8 @@
         self.features = Features(**features)
 
 
-class Fleet:
-    """One router's view of three upstreams with six slots, one of them near."""
+class RouterView:
+    """One router's view of three upstreams of six slots each, one of which is near."""
 
     def __init__(self, **features):
         self.clock, self.directory = Clock(), Directory()
@@ -231,7 +231,7 @@
     def entry(self, name):
         return self.directory.entries_by_id[name]
 
-    def chosen(self, count=300):
+    def choice_counts(self, count=300):
         entries = list(self.directory.entries_by_id.values())
         found = dict.fromkeys("abc", 0)
         for _ in range(count):
@@ -254,77 +254,77 @@
 
 class ExpectedFinishTest(testtools.TestCase):
     def test_without_learned_speeds_open_requests_decide(self):
-        self.assertIsInstance(Fleet(hedging=True).calls.placement, LeastOpen)
-        self.assertIsNone(Fleet(fair_shares=True).calls.times)
-        self.assertIsInstance(Fleet().calls.placement, ExpectedCompletion)
+        self.assertIsInstance(RouterView(hedging=True).calls.placement, LeastOpen)
+        self.assertIsNone(RouterView(fair_shares=True).calls.times)
+        self.assertIsInstance(RouterView().calls.placement, ExpectedCompletion)
 
     def test_the_near_upstream_gets_most_and_each_gets_some(self):
-        found = Fleet().chosen()
+        found = RouterView().choice_counts()
         self.assertGreater(found["a"], 150)
         self.assertGreater(min(found.values()), 3)
 
     def test_an_upstream_with_an_overdue_call_is_avoided(self):
-        fleet = Fleet()
-        fleet.serve("a")
-        send = fleet.open("a", sent_ago=0.1)
-        self.assertLess(fleet.chosen()["a"], 60)
-        fleet.entry("a").open_sends.discard(send)
-        self.assertGreater(fleet.chosen()["a"], 120)
+        view = RouterView()
+        view.serve("a")
+        send = view.open("a", sent_ago=0.1)
+        self.assertLess(view.choice_counts()["a"], 60)
+        view.entry("a").open_sends.discard(send)
+        self.assertGreater(view.choice_counts()["a"], 120)
 
     def test_work_returns_after_a_slow_period(self):
-        fleet = Fleet()
+        view = RouterView()
         for name in "abc":
-            fleet.serve(name)
-        fleet.serve("a", ratio=2.5, count=4)
-        self.assertLess(fleet.chosen()["a"], 30)
-        fleet.clock.now += 0.6
-        self.assertGreater(fleet.chosen()["a"], 90)
-        fleet.clock.now += 0.6
-        self.assertGreater(fleet.chosen()["a"], 150)
+            view.serve(name)
+        view.serve("a", ratio=2.5, count=4)
+        self.assertLess(view.choice_counts()["a"], 30)
+        view.clock.now += 0.6
+        self.assertGreater(view.choice_counts()["a"], 90)
+        view.clock.now += 0.6
+        self.assertGreater(view.choice_counts()["a"], 150)
 
     def test_work_is_divided_by_lasting_speeds(self):
-        fleet = Fleet()
+        view = RouterView()
         for _ in range(10):
-            fleet.serve("a", 1.7, count=1)
-            fleet.serve("b", 1.0, count=1)
-            fleet.serve("c", 0.7, count=1)
-        found = fleet.chosen()
+            view.serve("a", 1.7, count=1)
+            view.serve("b", 1.0, count=1)
+            view.serve("c", 0.7, count=1)
+        found = view.choice_counts()
         self.assertGreater(found["c"], found["b"])
         self.assertGreater(found["b"], found["a"])
 
     def test_the_speed_of_a_restarted_upstream_is_discarded(self):
-        fleet = Fleet()
+        view = RouterView()
         for _ in range(10):
-            fleet.serve("b", 1.0, count=2)
-            fleet.serve("a", 0.3, count=1)
-        self.assertLess(fleet.calls.slowness(fleet.entry("a"), fleet.clock.now), 1.01)
-        self.assertGreater(fleet.chosen()["a"], 250)
-        entry = fleet.entry("a")
-        fleet.directory.record_start(entry, 2, fleet.clock.now)
-        self.assertFalse(fleet.calls.times.has_samples("a"))
+            view.serve("b", 1.0, count=2)
+            view.serve("a", 0.3, count=1)
+        self.assertLess(view.calls.slowness(view.entry("a"), view.clock.now), 1.01)
+        self.assertGreater(view.choice_counts()["a"], 250)
+        entry = view.entry("a")
+        view.directory.record_start(entry, 2, view.clock.now)
+        self.assertFalse(view.calls.times.has_samples("a"))
         for _ in range(4):
-            fleet.entry("a").health.record(SendOutcome.UNREACHED, fleet.clock.now)
-        self.assertLess(fleet.chosen()["a"], 60)
+            view.entry("a").health.record(SendOutcome.UNREACHED, view.clock.now)
+        self.assertLess(view.choice_counts()["a"], 60)
 
     def test_an_upstream_that_declined_for_seconds_recovers(self):
-        fleet = Fleet()
-        before = fleet.chosen()["a"]
+        view = RouterView()
+        before = view.choice_counts()["a"]
         for number in range(50):
-            fleet.entry("a").health.record(
-                SendOutcome.DECLINED, fleet.clock.now + number * 0.1
+            view.entry("a").health.record(
+                SendOutcome.DECLINED, view.clock.now + number * 0.1
             )
-        fleet.clock.now += 5.0
-        self.assertGreater(fleet.chosen()["a"], 0.8 * before)
+        view.clock.now += 5.0
+        self.assertGreater(view.choice_counts()["a"], 0.8 * before)
 
     def test_routers_with_equal_state_spread_their_calls(self):
         found = dict.fromkeys("abc", 0)
         for seed in range(60):
-            fleet = Fleet()
-            fleet.calls.placement._rng = random.Random(seed)
+            view = RouterView()
+            view.calls.placement._rng = random.Random(seed)
             for _ in range(6):
                 for name in "abc":
-                    fleet.serve(name, 2.5 if name == "a" else 1.0, count=1)
-            for name, count in fleet.chosen(count=5).items():
+                    view.serve(name, 2.5 if name == "a" else 1.0, count=1)
+            for name, count in view.choice_counts(count=5).items():
                 found[name] += count
         self.assertGreater(min(found["b"], found["c"]), 90)
         self.assertLess(found["a"], 60)
@@ -370,8 +370,10 @@
                 self.run_alone(name, speed)
             expected, took = self.run_alone(name, speed)
             self.assertTrue(abs(expected - took) < 0.15 * took, (name, expected, took))
-            told = self.state(name).seconds_per_token * speed
-            self.assertTrue(abs(told - TOKEN_SECONDS) < 0.12 * TOKEN_SECONDS, told)
+            reported = self.state(name).seconds_per_token * speed
+            self.assertTrue(
+                abs(reported - TOKEN_SECONDS) < 0.12 * TOKEN_SECONDS, reported
+            )
 
     def test_a_slow_period_decays_and_a_lasting_speed_does_not(self):
         for _ in range(30):
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -108,9 +108,11 @@
 class ExchangeTest(AsyncTestCase):
     def test_only_an_unsent_request_is_reported_as_unsent(self):
         async def work():
-            nowhere = HttpClient("127.0.0.1:1", timeouts=Timeouts(connect=0.5))
+            unreachable_client = HttpClient(
+                "127.0.0.1:1", timeouts=Timeouts(connect=0.5)
+            )
             with self.assertRaises(ExchangeError) as caught:
-                await nowhere.get_json("/")
+                await unreachable_client.get_json("/")
             self.assertFalse(caught.exception.sent)
 
             async def silent(request, respond):
@@ -151,12 +153,12 @@
 
     def test_a_stalled_answer_times_out(self):
         async def work():
-            async def stuck(request, respond):
+            async def stall(request, respond):
                 await respond.start(200, [("Transfer-Encoding", "chunked")])
                 await respond.send(b"first")
                 await asyncio.sleep(30)
 
-            server = HttpServer(stuck)
+            server = HttpServer(stall)
             await server.start("127.0.0.1", 0)
             limits = Timeouts(between_bytes=0.05)
             client = HttpClient(f"127.0.0.1:{server.port}", timeouts=limits)
@@ -169,10 +171,12 @@
 
     def test_an_incomplete_request_is_refused_after_a_timeout(self):
         async def work():
-            async def never(request, respond):
-                self.fail("nothing whole was sent")
+            async def unexpected_handler(request, respond):
+                self.fail("the handler was called for an incomplete request")
 
-            server = HttpServer(never, limits=lambda: ServerLimits(body_timeout=0.05))
+            server = HttpServer(
+                unexpected_handler, limits=lambda: ServerLimits(body_timeout=0.05)
+            )
             await server.start("127.0.0.1", 0)
             reader, writer = await asyncio.open_connection("127.0.0.1", server.port)
             writer.write(b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nab")
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -1,4 +1,4 @@
-"""Callers that queue for an engine, from their sockets to the engines and back."""
+"""End-to-end tests of requests that are queued for an engine."""
 
 import asyncio
 from unittest import mock
--- a/tests/tickets_machine.py
+++ b/tests/tickets_machine.py
@@ -1,4 +1,4 @@
-"""State machine test of the ticket queue: requests arrive, disconnect, are served.
+"""Stateful fuzzing of the ticket queue: requests arrive, disconnect and are served.
 
 A simple model beside the queue tracks which requests wait and what accounts have used.
 """
@@ -143,17 +143,17 @@
             self.check_order(ticket)
             self.waiting_by_run.pop(ticket.run_id, None)
 
-    def check_order(self, taken):
+    def check_order(self, admitted):
         """Check that no comparable ticket had arrived long before the admitted one."""
-        if taken.is_timely_retry or self.use_ratio(taken) > 0.9 * SHARE_TOLERANCE:
+        if admitted.is_timely_retry or self.use_ratio(admitted) > 0.9 * SHARE_TOLERANCE:
             return
         for ticket in self.waiting_by_run.values():
-            if ticket.run_id not in self.queue or ticket.rank != taken.rank:
+            if ticket.run_id not in self.queue or ticket.rank != admitted.rank:
                 continue
             if ticket.is_timely_retry or self.use_ratio(ticket) > 0.9 * SHARE_TOLERANCE:
                 continue
             margin = LATE_PENALTY_SECONDS + REORDER_SECONDS
-            waited_before = taken.arrived_at - ticket.arrived_at
+            waited_before = admitted.arrived_at - ticket.arrived_at
             assert waited_before <= margin, "an older ticket was overtaken"
 
     def use_ratio(self, ticket):
@@ -161,7 +161,7 @@
 
     @rule(data=st.data())
     def poll_waiting(self, data):
-        """Check whether a waiting request is still to wait."""
+        """Check whether a waiting request may still be in time."""
         known = sorted(r for r in self.waiting_by_run if r in self.queue)
         if known:
             run_id = data.draw(st.sampled_from(known))
--- a/tests/turns_machine.py
+++ b/tests/turns_machine.py
@@ -1,4 +1,4 @@
-"""State machine of routers that request placements, poll, cancel and restart.
+"""Stateful fuzzing of routers that request placements, poll, cancel and restart.
 
 The scheduling router uses the real `EngineBoard`, `AdmissionQueue` and `EnginePlacer`.
 The machine keeps a model of the requests that are placed, waiting and finished.
@@ -102,9 +102,9 @@
             run_id, SERVICE, "a", (), 100, 10, (), self.incarnation(router), claim=claim
         )
         self.deadline_by_run[run_id] = self.now + left
-        self.ask(run_id)
+        self.query(run_id)
 
-    def ask(self, run_id):
+    def query(self, run_id):
         self.waiting.pop(run_id, None)
         reply = self.placing.decide_for_peer(self.requests[run_id], self.entries)
         if reply.upstream:
@@ -118,7 +118,7 @@
     @precondition(lambda self: self.waiting)
     @rule(data=st.data())
     def poll(self, data):
-        self.ask(data.draw(st.sampled_from(sorted(self.waiting))))
+        self.query(data.draw(st.sampled_from(sorted(self.waiting))))
 
     @precondition(lambda self: self.engine_by_run)
     @rule(data=st.data())
@@ -169,7 +169,7 @@
         """Poll for all waiting requests until none is placed any more."""
         for _ in range(len(self.waiting) + 1):
             for run_id in sorted(self.waiting):
-                self.ask(run_id)
+                self.query(run_id)
             self.now += 0.06
         free = ENGINES * SLOTS - len(self.engine_by_run)
         assert not (free and self.waiting), "free slots are not used"
--- a/tests/words_machine.py
+++ b/tests/words_machine.py
@@ -41,8 +41,8 @@
 
     @rule(
         backoff=st.sampled_from((0.0, 0.0, 0.3, 2.0)),
-        # A leaving upstream receives nothing, so that its backoff has no effect any
-        # more.
+        # Rare, since a leaving upstream receives nothing and its backoff has no further
+        # effect.
         is_leaving=st.sampled_from((False,) * 7 + (True,)),
         asked=st.sampled_from((0.0, 0.5, 3.0)),
     )
@@ -85,7 +85,7 @@
 
     @rule(is_reported_by_entry=st.booleans())
     def restart(self, is_reported_by_entry):
-        """Replace the process behind the upstream's id; it has declared nothing yet."""
+        """Replace the upstream's process with one that has declared nothing yet."""
         self.started_ms += 1
         if is_reported_by_entry:
             self.put_entry(1)
