--- a/lynxchute/overload/claim.py
+++ b/lynxchute/overload/claim.py
@@ -143,5 +143,5 @@
     """
 
     def __init__(self, retry_after: float) -> None:
-        super().__init__("no place becomes free before the deadline")
+        super().__init__("no slot becomes free before the deadline")
         self.retry_after = retry_after
--- a/lynxchute/overload/fair_shares.py
+++ b/lynxchute/overload/fair_shares.py
@@ -16,17 +16,18 @@
 from lynxchute.overload.shares import AccountShares
 from lynxchute.overload.weights import DEFAULT_WEIGHT, usable_weight
 
-# Time constant in seconds by which recorded use decays. Callers wait a few seconds, so
-# an account that has recently overused competes with the callers who wait now, not with
-# later ones.
+# Time constant in seconds with which recorded use decays. Callers wait a few seconds,
+# so an account that has recently overused competes with the callers who wait now, not
+# with later ones.
 DECAY_SECONDS = 4.0
 # Use is retained for this many time constants; 2% of it is left by then.
 RETAINED_TIME_CONSTANTS = 4.0
 # Accounts tracked at once, at some 200 bytes each. The least recently used one is
 # evicted first: an account that rarely asks has little recorded use to lose.
 MAX_ACCOUNTS = 4_096
-# Bound on how far an account's virtual time may run ahead, in multiples of its share:
-# a burst that is over should be forgiven while its callers still wait.
+# Bound on how far an account's virtual time may run ahead of the virtual clock, in
+# multiples of its share: a burst that is over should be forgiven while its callers
+# still wait.
 MAX_LEAD_SHARES = 8.0
 
 
@@ -83,7 +84,7 @@
         """Record the cost of a request; a cost that is not positive is ignored."""
         if not (math.isfinite(cost) and cost > 0.0):
             return
-        usage = self._touch(account, now)
+        usage = self._get_or_add_usage(account, now)
         usage.amount = usage.decayed_amount(now) + cost
         usage.updated_at = now
         self._total = self._decayed_total(now) + cost
@@ -98,15 +99,15 @@
             return 0.0
         if len(self._usage_by_account) == 1:
             return 1.0
-        return self._excess(usage, now)
+        return self._contended_use_ratio(usage, now)
 
     @abstractmethod
     def _record_cost(self, usage: _Usage, cost: float) -> None:
         """Update scheme-specific state after a cost was added to the amount."""
 
     @abstractmethod
-    def _excess(self, usage: _Usage, now: float) -> float:
-        """Return the excess of an account that competes with others."""
+    def _contended_use_ratio(self, usage: _Usage, now: float) -> float:
+        """Return the use ratio of an account while other accounts are active."""
 
     def _use_per_weight(self, now: float) -> float:
         """Return the total use per unit of weight: the fair use at weight 1."""
@@ -118,7 +119,7 @@
         decay = math.exp(-max(now - self._total_updated_at, 0.0) / DECAY_SECONDS)
         return max(self._total, 0.0) * decay
 
-    def _touch(self, account: str, now: float) -> _Usage:
+    def _get_or_add_usage(self, account: str, now: float) -> _Usage:
         """Return the use of an account and mark it as most recently used."""
         self._expire_idle(now)
         weight = usable_weight(self._weight_of(account))
@@ -149,7 +150,7 @@
         self._total = self._decayed_total(now) - usage.decayed_amount(now)
         self._total_updated_at = now
         if not self._usage_by_account:
-            # Only rounding errors are left.
+            # The sums are 0 but for rounding errors.
             self._total = self._total_weight = 0.0
 
 
@@ -159,7 +160,7 @@
     def _record_cost(self, usage: _Usage, cost: float) -> None:
         pass
 
-    def _excess(self, usage: _Usage, now: float) -> float:
+    def _contended_use_ratio(self, usage: _Usage, now: float) -> float:
         fair_use = self._use_per_weight(now) * usage.weight
         return usage.decayed_amount(now) / fair_use if fair_use else 0.0
 
@@ -191,7 +192,7 @@
         )
         self._virtual_clock += cost / self._total_weight
 
-    def _excess(self, usage: _Usage, now: float) -> float:
+    def _contended_use_ratio(self, usage: _Usage, now: float) -> float:
         fair_use = self._use_per_weight(now)
         if not fair_use:
             return 0.0
--- a/lynxchute/overload/guard.py
+++ b/lynxchute/overload/guard.py
@@ -22,8 +22,8 @@
 # startup, is no reason to shed load.
 RECENT_REQUEST_SECONDS = 1.0
 # Factor on the maximum wait for requests of accounts within their share: requests of
-# accounts beyond their share are shed at the unchanged maximum, before the others, and
-# this makes room for the others.
+# accounts beyond their share are already shed at the unchanged maximum, which makes
+# room for the others.
 WITHIN_SHARE_FACTOR = 1.5
 
 
--- a/lynxchute/overload/kinds_served.py
+++ b/lynxchute/overload/kinds_served.py
@@ -9,7 +9,7 @@
 DECAY_SECONDS = 8.0
 # Counts decay in steps of this many seconds.
 STEP_SECONDS = 1.0
-# A rank with fewer recent arrivals than this is not judged.
+# A rank with fewer recent arrivals than this never counts as starved.
 MIN_ARRIVALS = 2.0
 # Counts below this are removed.
 MIN_COUNT = 0.01
--- a/lynxchute/overload/memory_guard.py
+++ b/lynxchute/overload/memory_guard.py
@@ -188,8 +188,8 @@
         self._refresh(self._states_of(account))
         if self._held_by_account.get(account, 0) <= self.bounds.by_account:
             return
-        left = int(self.bounds.by_account * TARGET_SHARE)
-        while self._held_by_account.get(account, 0) > left:
+        target = int(self.bounds.by_account * TARGET_SHARE)
+        while self._held_by_account.get(account, 0) > target:
             self._cut_slowest(account, now)
 
     def _enforce_total_bound(self, now: float) -> None:
@@ -221,9 +221,9 @@
                 found.append(state)
         return found
 
-    def _refresh(self, entries: Iterable[_BufferState]) -> None:
+    def _refresh(self, states: Iterable[_BufferState]) -> None:
         """Update the sizes of buffers, as reads by callers cause no notification."""
-        for state in entries:
+        for state in states:
             size = state.buffer.held_bytes
             if size:
                 self._resize(state, size)
--- a/lynxchute/overload/ticket_queue.py
+++ b/lynxchute/overload/ticket_queue.py
@@ -28,7 +28,7 @@
 # if it had arrived that much later, behind requests that arrive within this time and
 # can still be on time.
 LATE_PENALTY_SECONDS = 1.0
-# An account is beyond its share from this multiple of it on. Demand varies, and no
+# An account counts as beyond its share above this multiple of it. Demand varies, and no
 # account should lose its position by chance.
 SHARE_TOLERANCE = 1.5
 # A rank whose admission rate is below MIN_SERVED_SHARE of the overall rate is starved
--- a/lynxchute/overload/upstream_memory.py
+++ b/lynxchute/overload/upstream_memory.py
@@ -43,7 +43,7 @@
 
 
 class UpstreamMemory:
-    """Decide whether an upstream may be sent a request beside those that it holds.
+    """Decide whether an upstream may be sent one more request while it holds others.
 
     Handles long requests that meet on one upstream, which then crashes with all of
     them. Their callers are better served by another upstream, or a moment later.
--- a/lynxchute/scheduling/alone.py
+++ b/lynxchute/scheduling/alone.py
@@ -15,8 +15,9 @@
 # Engines compared for each request. Two random choices keep several routers from
 # sending everything to the same engine, and still avoid busy engines.
 SAMPLE_SIZE = 2
-# Share of an engine's slots that one router may fill without coordination. Other
-# routers may also fill theirs, but one router alone may receive half of all requests.
+# Share of an engine's slots that one router may fill without coordination. Several
+# routers together can exceed its slots, but one router alone may receive half of all
+# requests.
 LOCAL_SHARE = 0.5
 # Engines whose loads differ by less than this count as equal; their cached prompt parts
 # then decide.
--- a/lynxchute/scheduling/asking.py
+++ b/lynxchute/scheduling/asking.py
@@ -34,8 +34,9 @@
 QUERY_TIMEOUT_SECONDS = 0.1
 # Routers queried for a request that was queued before, until it is placed locally: a
 # queued request finds the next scheduling router within 0.3 s. For a new request only
-# one router is queried: placed locally at once, it may still be answered on time, and
-# the cause of the delay may be this VM's own link.
+# one router is queried. If it does not answer, the request is placed locally at once:
+# the response may then still be on time, and the delay may be caused by this VM's own
+# link.
 MAX_QUERIED_ROUTERS = 2
 # Seconds for which a query from another router is evidence that this router schedules
 # for others.
--- a/lynxchute/scheduling/board.py
+++ b/lynxchute/scheduling/board.py
@@ -27,7 +27,7 @@
 # Cost in milliseconds of an engine in another data centre, for the traffic between data
 # centres.
 REMOTE_COST_MS = 15.0
-# Seconds after its placement until a run is discarded if its end was not reported.
+# Seconds after its placement until a run whose end was not reported is discarded.
 RUN_TIMEOUT_SECONDS = 20.0
 # Cost in milliseconds of an engine without a free slot or without memory for the
 # request, which would have to wait for another request to end, and of an engine that is
--- a/lynxchute/scheduling/crowding.py
+++ b/lynxchute/scheduling/crowding.py
@@ -8,8 +8,8 @@
 from lynxchute.scheduling.engine_state import EngineState
 from lynxchute.scheduling.newcomer import PendingRequest
 
-# Cost in milliseconds for each running request: one more request slows all of them a
-# little.
+# Cost in milliseconds for each running request, since one more request slows all of
+# them a little.
 RUNNING_COST_MS = 2.0
 # Cost in milliseconds for each running stream of a prompt with PAUSE_TOKENS uncached
 # tokens; it is proportional to the tokens, up to twice as many. The stream's events
@@ -133,9 +133,10 @@
         )
 
 
-# Mean probability of a late first event, over recent placements, above which engines
-# count as overloaded. It is estimated when a request is placed. Protecting streams then
-# costs more prompt reading than it saves, and all requests become later.
+# Engines count as overloaded above this mean probability of a late first event, over
+# recent placements; the probability is estimated when a request is placed. Under
+# overload, protecting streams costs more prompt reading than it saves, and all requests
+# become later.
 OVERLOAD_LATE_SHARE = 0.05
 # Weight of the latest placement in the moving average of that share, which covers some
 # seconds of traffic.
--- a/lynxchute/scheduling/engine_state.py
+++ b/lynxchute/scheduling/engine_state.py
@@ -17,8 +17,8 @@
 # The prefill speed is measured only with prompts expected to wait no longer than this
 # behind others, in milliseconds.
 MAX_UNQUEUED_WAIT_MS = 1.0
-# First events with a shorter expected prefill time, in milliseconds, are no samples for
-# the slowness of an engine.
+# Minimum expected prefill time, in milliseconds, for a first event to count as a sample
+# of an engine's slowness.
 MIN_INFORMATIVE_MS = 60.0
 # Maximum milliseconds by which an overdue run extends the backlog. An overdue run may
 # never have been sent, and an engine that has stopped is detected sooner by its
@@ -27,8 +27,8 @@
 # A run overdue by this many milliseconds when a later one begins is no longer counted
 # as waiting.
 OVERTAKEN_MS = 500.0
-# Weight of the latest first event in the slowness of an engine, the ratio of actual to
-# expected prefill time, and the limits of that ratio.
+# The slowness of an engine is the ratio of actual to expected prefill time. These are
+# the weight of the latest first event in it, and its limits.
 SLOWNESS_WEIGHT = 0.25
 MIN_SLOWNESS = 0.5
 MAX_SLOWNESS = 8.0
@@ -242,9 +242,9 @@
         if not waiting:
             return 0.0
         head = waiting[0]
-        prefill_ms = (now - max(head.placed_at, self.last_first_event_at)) * 1000.0
+        elapsed_ms = (now - max(head.placed_at, self.last_first_event_at)) * 1000.0
         backlog = sum(run.prefill_ms for run in waiting)
-        backlog -= min(prefill_ms, head.prefill_ms)
+        backlog -= min(elapsed_ms, head.prefill_ms)
         overdue_ms = min(head.overdue_ms(now), MAX_OVERDUE_MS)
         return backlog * self.slowness_now(now) + overdue_ms
 
--- a/lynxchute/scheduling/pauses.py
+++ b/lynxchute/scheduling/pauses.py
@@ -22,8 +22,8 @@
 # streams. It is small because engines differ by a factor of 1.3 and more, which a few
 # streams reveal.
 PRIOR_STREAMS = 4.0
-# Number of streams after which old samples have decayed to a third; some seconds of
-# traffic.
+# Number of streams after which the weight of old samples has decayed to a third: some
+# seconds of traffic.
 MEMORY_STREAMS = 60.0
 
 
@@ -42,7 +42,8 @@
     Attributes
     ----------
     prior
-        Statistics of all engines of the service; None for those themselves.
+        Statistics of all engines of the service; None if this object is those
+        statistics.
 
     Examples
     --------
--- a/lynxchute/scheduling/placing.py
+++ b/lynxchute/scheduling/placing.py
@@ -151,14 +151,14 @@
             reply = queue.enqueue(request, claim, slots, now)
             if reply.retry_ms or reply.ahead >= self._free_slots(request, entries):
                 return reply
-        found = self._search(request, entries, skips_full=True)
-        if found.is_full:
+        attempt = self._search(request, entries, skips_full=True)
+        if attempt.is_full:
             return queue.enqueue(request, claim, slots, now)
-        if found.reply.upstream:
+        if attempt.reply.upstream:
             queue.record_placement(request, claim, now)
         else:
             queue.discard(request.run_id)
-        return found.reply
+        return attempt.reply
 
     def _free_slots(
         self, request: PlacementRequest, entries: Sequence[UpstreamEntry]
@@ -184,7 +184,7 @@
         key = pending.generation.affinity_key(request.run_id)
         order = ranked(key, by_id)
         in_order = [by_id[upstream_id] for upstream_id in order]
-        place = self.board.place(
+        placement = self.board.place(
             pending,
             self.candidates(in_order, request.data_centre),
             now,
@@ -193,22 +193,22 @@
             skips_full=skips_full,
         )
         is_counted = is_admitted = False
-        if place.upstream_id:
-            entry = by_id[place.upstream_id]
+        if placement.upstream_id:
+            entry = by_id[placement.upstream_id]
             is_counted = self._cold_limiter.record_placement(entry, now)
             # A router's own turn is lost if unused, so fleet-wide permits are kept for
             # routers without one.
-            if place.upstream_id not in request.own_turns:
+            if placement.upstream_id not in request.own_turns:
                 is_admitted = self._gate.rates.admit(entry, now)
         reply = PlacementReply(
-            place.upstream_id,
-            place.fetch_from,
-            place.expected_ms,
+            placement.upstream_id,
+            placement.fetch_from,
+            placement.expected_ms,
             is_counted,
             is_admitted,
             known_backpressure(self._directory, request.service, now),
         )
-        return _PlacementAttempt(reply, place.is_full)
+        return _PlacementAttempt(reply, placement.is_full)
 
     def _within_rate(
         self, request: PlacementRequest, entries: Iterable[UpstreamEntry]
--- a/lynxchute/scheduling/rate_permits.py
+++ b/lynxchute/scheduling/rate_permits.py
@@ -1,4 +1,4 @@
-"""Fleet-wide send permits for plain upstreams that state a rate limit."""
+"""Fleet-wide send permits for plain upstreams that declare a rate limit."""
 
 from __future__ import annotations
 
--- a/lynxchute/scheduling/reading_speed.py
+++ b/lynxchute/scheduling/reading_speed.py
@@ -14,9 +14,9 @@
 # Weight of the latest first event in the estimate. The first samples weigh more, as in
 # a plain mean.
 SAMPLE_WEIGHT = 0.1
-# Shorter prompts, in tokens, are no samples for the speed.
+# Minimum tokens of a prompt for its first event to count as a sample of the speed.
 MIN_SAMPLE_TOKENS = 1_500
-# Number of samples from which the estimate is used for new engines as well.
+# Minimum number of samples for the estimate to be used for new engines as well.
 MIN_SAMPLES = 3
 
 
--- a/lynxchute/scheduling/readings.py
+++ b/lynxchute/scheduling/readings.py
@@ -54,7 +54,7 @@
 
 
 class PauseTracker:
-    """Track the pauses of an engine's streams that share a pause limit.
+    """Track the pauses of an engine's streams that have the same pause limit.
 
     Parameters
     ----------
@@ -82,7 +82,7 @@
         ----------
         queued_tokens
             Tokens still to be read before it. Prompts already read do not count: a
-            stream that has not paused during them will not do so any more.
+            stream that has not paused during them will no longer pause because of them.
         tokens
             Tokens of the prompt to read.
         """
@@ -91,7 +91,7 @@
         return max(after - before, 0.0)
 
     def pause_rate(self, now: float) -> float:
-        """Return the rate of pauses of a stream that are too long, per second."""
+        """Return how many times per second a stream pauses for too long."""
         if now - self._pause_rate_at < RATE_CACHE_SECONDS:
             return self._pause_rate
         weight = 0.0
@@ -132,10 +132,11 @@
     def record_pause(self, stream: str, now: float) -> None:
         """Record that a stream has paused for too long."""
         self._settle(now)
-        concurrent = [r for r in self._unsettled if stream in r.paused_by_stream]
+        concurrent = [p for p in self._unsettled if stream in p.paused_by_stream]
         if not concurrent:
             return
-        # The largest prompt is the most likely cause; the others are no samples.
+        # The largest prompt is the most likely cause. For the other prompts, the stream
+        # counts neither as paused nor as not paused.
         largest = max(concurrent, key=lambda prefill: prefill.tokens)
         for prefill in concurrent:
             if prefill is not largest:
@@ -143,9 +144,11 @@
         largest.paused_by_stream[stream] = True
 
     def _length(self, tokens: float) -> float:
+        """Return the prefill time of tokens as a multiple of the pause limit."""
         return self._speed.prefill_ms(tokens) / self._limit_ms
 
     def _settle(self, now: float) -> None:
+        """Add prefills whose pauses have all been reported to the statistics."""
         while self._unsettled:
             first = self._unsettled[0]
             if now <= first.done_at + SETTLE_SECONDS:
--- a/lynxchute/scheduling/scheduler.py
+++ b/lynxchute/scheduling/scheduler.py
@@ -56,7 +56,7 @@
 
     For each service, rendezvous hashing selects one of the reachable routers as its
     scheduling router, which places the requests of all routers. If it does not answer,
-    this router places requests by its own knowledge.
+    this router places requests by the load that is known to it.
 
     Parameters
     ----------
@@ -229,7 +229,8 @@
             request, has_waited=request.run_id in self._scheduler_by_run
         )
         if reply is not None:
-            # The scheduling router may know of cold engines that this one does not.
+            # A refusal is accepted, as the scheduling router may know of cold engines
+            # that this one does not.
             if reply.is_refused or reply.wait_ms or reply.retry_ms:
                 return vm, reply
             if reply.upstream in [entry.upstream.id for entry in candidates]:
--- a/lynxchute/scheduling/turns.py
+++ b/lynxchute/scheduling/turns.py
@@ -123,7 +123,7 @@
     def enqueue(
         self, request: PlacementRequest, claim: Claim, slots: int, now: float
     ) -> PlacementReply:
-        """Queue a request, or check the place of one that is queued already.
+        """Queue a request, or check the position of one that is queued already.
 
         Parameters
         ----------
--- a/lynxchute/upstreams/backpressure.py
+++ b/lynxchute/upstreams/backpressure.py
@@ -123,9 +123,9 @@
     ) -> bool:
         """Record a limit received from another router; return whether it is newer.
 
-        Routers pass limits on to one another, so that a limit can come back to its
-        sender. Each carries its time on the store's clock, which is the same
-        everywhere, so that no limit is applied twice.
+        Routers pass limits on to one another, so a limit can come back to its sender.
+        Each carries its time on the store's clock, which is the same everywhere, so no
+        limit is applied twice.
         """
         if heard_ms <= self.heard_ms or heard_ms > clock_ms + MAX_CLOCK_LEAD_MS:
             return False
--- a/lynxchute/upstreams/backpressure_watch.py
+++ b/lynxchute/upstreams/backpressure_watch.py
@@ -36,7 +36,7 @@
     engines
         Sends the probes.
     rates
-        Usage of limits; entries of upstreams that are no longer throttled are removed.
+        Usage of rate limits; it is removed for upstreams that are no longer throttled.
     rank_of
         Returns this router's rank among all routers registered for a service; None if
         it is not known.
--- a/lynxchute/upstreams/cold_admission.py
+++ b/lynxchute/upstreams/cold_admission.py
@@ -2,8 +2,8 @@
 
 An upstream is cold while it warms up after a start. It can handle a few requests a
 second during that time and crashes above that. The limit covers all routers together,
-including routers that cannot reach one another, so that a router may only admit
-requests while it is certain that no other router admits them too.
+including routers that cannot reach one another, so a router may admit requests only
+while it is certain that no other router admits them too.
 """
 
 from __future__ import annotations
@@ -20,16 +20,17 @@
 PERMIT_SECONDS = 0.25
 # Span to which the limit applies, in seconds.
 BOUND_SECONDS = 1.0
-# Permits that were granted within this many seconds can be used within one
-# BOUND_SECONDS span.
+# Seconds for which a granted permit counts. A permit can be used until PERMIT_SECONDS
+# after it was granted, so permits granted within this time can all be used within one
+# span of BOUND_SECONDS.
 WINDOW_SECONDS = BOUND_SECONDS + PERMIT_SECONDS
 # A router admits requests only after it has held rank 0 for this many seconds. By then
 # the previous holder knows that it has lost the rank (a membership update takes up to
 # 1.7 s from a store that answers, and 2.7 s over a connection that went silent), and
 # the permits of a holder that died have expired.
 TAKE_OVER_SECONDS = 3.0
-# Two routers can hold rank 0 for longer than that if one has not learned of the other,
-# so each admits half of the limit.
+# Two routers can both hold rank 0 for longer than TAKE_OVER_SECONDS if one has not
+# learned of the other, so each admits half of the limit.
 MAX_RANK_ZERO_ROUTERS = 2
 
 
@@ -58,7 +59,7 @@
         return self.per_second > 0
 
     def is_active(self, cold_until: float, now: float) -> bool:
-        """Return whether the limit applies to an upstream that is cold until then."""
+        """Return whether the limit applies to an upstream that is cold until a time."""
         return self.has_limit and now < cold_until
 
     @property
@@ -103,8 +104,8 @@
 class FirstRegistered(ColdAdmission):
     """Let only the rank-0 router place requests at cold upstreams.
 
-    It is for a whole data centre, or half of the upstreams after a release, that starts
-    cold: the rank-0 router places nearly all requests anyway, so that cold upstreams
+    It suits a cold start of a whole data centre, or of half of the upstreams after a
+    release: the rank-0 router places nearly all requests anyway, so that cold upstreams
     get as much of the load as they can handle at once. No other router takes over while
     the rank-0 router is unreachable, because the warm-up ends soon anyway.
     """
@@ -130,7 +131,7 @@
     def share(self, limits: ColdLimits, held_rank: HeldRank) -> int:
         """Return 1 for the first ranks, 0 for all others.
 
-        There are half as many of the first ranks as the limit allows requests a second.
+        The number of these first ranks is half of the limit in requests a second.
         """
         if held_rank.held_seconds < TAKE_OVER_SECONDS:
             return 0
@@ -170,7 +171,7 @@
         self._held_rank_by_service: dict[str, tuple[int, float]] = {}
 
     def refresh(self, services: Iterable[str], now: float) -> None:
-        """Read the current ranks; a changed rank restarts its time."""
+        """Read the current ranks; `held_seconds` restarts from 0 for a changed rank."""
         held_rank_by_service = {}
         for service in services:
             rank = self._rank_of(service)
@@ -199,7 +200,7 @@
         self._times_by_id.setdefault(upstream_id, deque()).append(now)
 
     def count(self, upstream_id: str, now: float) -> int:
-        """Return how many recorded requests may arrive within one second from now."""
+        """Return how many recorded requests may arrive within a second of a new one."""
         times = self._times_by_id.get(upstream_id)
         if times is None:
             return 0
--- a/lynxchute/upstreams/directory.py
+++ b/lynxchute/upstreams/directory.py
@@ -206,8 +206,9 @@
             replacement = UpstreamEntry(upstream, earlier_starts=starts)
             replacement.extend_cold(self.cold_seconds_of(upstream.service), now)
             self.entries_by_id[upstream.id] = replacement
-            # The previous process has ended. If its VM lost power there is no
-            # connection reset, and each of these sends would wait for its timeout.
+            # The previous process has ended. If its VM lost power, no connection reset
+            # arrives, and each of these sends would wait for its timeout unless
+            # aborted.
             for send in list(entry.open_sends):
                 send.handle.abort()
         else:
--- a/lynxchute/upstreams/entry.py
+++ b/lynxchute/upstreams/entry.py
@@ -27,7 +27,7 @@
 
 @attrs.define(eq=False)
 class OpenSend:
-    """A request at an upstream whose answer is not complete yet.
+    """A request at an upstream whose response is not complete yet.
 
     Attributes
     ----------
@@ -153,7 +153,7 @@
     def extend_cold(self, seconds: float, now: float) -> bool:
         """Record a remaining warm-up time; return whether it extends the known one.
 
-        Reports can be late or arrive out of order, so that none shortens the time.
+        Reports can be late or arrive out of order, so none shortens the time.
         """
         if not seconds or now + seconds <= self.cold_until:
             return False
--- a/lynxchute/upstreams/expected_finish.py
+++ b/lynxchute/upstreams/expected_finish.py
@@ -18,8 +18,8 @@
 from lynxchute.upstreams.speed import SpeedEstimator
 
 # Cost of a round trip to another data centre, in time and transferred bytes, as a share
-# of the typical time of a call. Calls prefer a near upstream until about a third more
-# of its slots are in use than of a far one's.
+# of the typical time of a call. Calls prefer a near upstream until the share of its
+# slots in use exceeds that of a far one by about 0.3.
 FAR_PENALTY = 0.3
 # How steeply an upstream's weight falls with its expected time: one that takes a third
 # longer gets a thirtieth of the weight. An equally good far upstream gets a small
@@ -116,8 +116,8 @@
 
     It suits upstreams that differ in speed or become slow for fractions of a second: a
     caller must not wait for a slow one while another has free slots. Routers decide
-    without coordination, so that each draws upstreams at random by weight; otherwise
-    all of them would choose the same best one.
+    without coordination, so each draws upstreams at random by weight; otherwise all of
+    them would choose the same best one.
 
     Parameters
     ----------
--- a/lynxchute/upstreams/placement.py
+++ b/lynxchute/upstreams/placement.py
@@ -65,7 +65,7 @@
         Parameters
         ----------
         run_id
-            Identifies the run in the records that follow.
+            Identifies the run in later calls that record its progress.
         aims
             Latency objectives of the response.
         """
--- a/lynxchute/upstreams/rate_limits.py
+++ b/lynxchute/upstreams/rate_limits.py
@@ -91,7 +91,7 @@
         self._usage_by_process: dict[str, _Usage] = {}
 
     def is_limited(self, entry: UpstreamEntry, now: float) -> bool:
-        """Return whether an upstream accepts a limited rate only."""
+        """Return whether an upstream accepts only a limited rate."""
         return entry.backpressure.rate(now) is not None
 
     def has_turn(self, entry: UpstreamEntry, now: float) -> bool:
--- a/lynxchute/upstreams/rate_sharing.py
+++ b/lynxchute/upstreams/rate_sharing.py
@@ -1,9 +1,9 @@
 """Divide an upstream's rate limit between the routers.
 
 The limit covers all routers together, including routers that cannot reach one another,
-so that each must bound its sends by local knowledge only. There are two parts: the
-rank-0 router admits requests centrally, on behalf of all routers, and the routers take
-turns on the store's clock, which each of them can compute even while it is isolated.
+so each must bound its sends by local knowledge only. There are two parts: the rank-0
+router admits requests centrally, on behalf of all routers, and the routers take turns
+on the store's clock, which each of them can compute even while it is isolated.
 """
 
 from __future__ import annotations
@@ -19,12 +19,13 @@
 # Share of the limit that the rank-0 router admits while the store confirms its rank.
 CENTRAL_SHARE = 0.75
 # Share that it admits while its rank is unconfirmed because the store does not answer.
-# Another router may also hold rank 0 by then. Both shares and the turns together stay
-# below one and a half times the limit, which an upstream tolerates.
+# Another router may also hold rank 0 by then. A confirmed share, an unconfirmed share
+# and the turns together stay below one and a half times the limit, which an upstream
+# tolerates.
 UNCONFIRMED_SHARE = 0.375
 # Seconds after the store's last membership report for which rank 0 counts as confirmed.
-# They are fewer than the three seconds for which a new rank-0 router admits nothing, so
-# that two routers never admit as confirmed at once.
+# This is less than the three seconds (TAKE_OVER_SECONDS) for which a new rank-0 router
+# admits nothing, so two routers never admit as confirmed at the same time.
 CONFIRMED_SECONDS = 2.3
 # Shortest turn in seconds: the clocks of routers differ by some ms.
 MIN_TURN_SECONDS = 0.25
--- a/lynxchute/upstreams/retry_budget.py
+++ b/lynxchute/upstreams/retry_budget.py
@@ -6,8 +6,8 @@
 
 import attrs
 
-# Part of the allowance that routers use: each sees only its own retries, and a router
-# that restarts does not know those of its last window.
+# Part of the allowance that routers use: each sees only its own retries, and a
+# restarted router does not know those that it sent before in the window.
 MAX_USED_SHARE = 0.8
 
 
@@ -22,8 +22,8 @@
 class RetryBudget:
     """Permit retries for each service within a sliding window.
 
-    Each router may use its part of the fixed number of extra retries and the ratio of
-    its own requests, both times `MAX_USED_SHARE`. So the fleet stays within the limit
+    Each router may use an equal part of the extra retries plus `share` times its own
+    requests, both multiplied by `MAX_USED_SHARE`. So the fleet stays within the limit
     without any communication.
 
     Parameters
--- a/lynxchute/upstreams/service_times.py
+++ b/lynxchute/upstreams/service_times.py
@@ -12,7 +12,8 @@
 
 # Samples kept for each route, and for each upstream.
 MAX_SAMPLES = 64
-# Fewest samples for the median of a route, and for a quantile of an upstream.
+# Minimum number of samples for the median of a route, and for a quantile of an
+# upstream.
 MIN_SAMPLES_FOR_MEDIAN = 5
 MIN_SAMPLES_FOR_QUANTILE = 20
 # Routes with samples; a configuration may have thousands of routes.
--- a/lynxchute/upstreams/silence.py
+++ b/lynxchute/upstreams/silence.py
@@ -16,7 +16,7 @@
 # Seconds between two checks of the upstreams.
 STEP_SECONDS = 0.1
 # An upstream with pending responses that has sent nothing for this many seconds is
-# probed. Reading a long prompt takes as long, so that silence alone is no proof of a
+# probed. Reading a long prompt takes as long, so silence alone does not prove a
 # failure.
 SILENT_SECONDS = 0.35
 # The same once another upstream of the same data centre has just been found silent. It
@@ -94,10 +94,10 @@
     def _probe_unreachable(self, entry: UpstreamEntry, now: float) -> None:
         """Probe a data centre's upstreams in turn until it is reachable again."""
         data_centre = entry.upstream.data_centre
-        asked_at = self._unreachable_probed_at.get(
+        last_probed_at = self._unreachable_probed_at.get(
             data_centre, -UNREACHABLE_PROBE_SECONDS
         )
-        if now - asked_at < UNREACHABLE_PROBE_SECONDS or not entry.takes_work:
+        if now - last_probed_at < UNREACHABLE_PROBE_SECONDS or not entry.takes_work:
             return
         if now - entry.probed_at < REPROBE_SECONDS:
             return
--- a/lynxchute/upstreams/speed.py
+++ b/lynxchute/upstreams/speed.py
@@ -17,7 +17,7 @@
         Parameters
         ----------
         typical_seconds
-            Time of an upstream of typical speed for it.
+            Time that an upstream of typical speed takes for it.
         seconds
             Time that this upstream took, without queueing.
         now
--- a/lynxchute/upstreams/statement_headers.py
+++ b/lynxchute/upstreams/statement_headers.py
@@ -12,10 +12,10 @@
 # RFC 9110, section 10.2.3. The HTTP-date form of that section is not supported.
 RETRY_AFTER = "Retry-After"
 DECIMAL = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?", re.ASCII)
-# Requests a second; no upstream is sent more, whatever it declares.
+# Upper bound on a declared limit, in requests a second; a higher one is reduced to it.
 MAX_LIMIT = 100_000.0
-# Seconds; processes are assumed to be replaced within an hour, so a longer backoff has
-# no use.
+# Upper bound on a backoff, in seconds; processes are assumed to be replaced within an
+# hour, so a longer backoff has no use.
 MAX_BACKOFF = 3600.0
 # Characters of an invalid value that are logged.
 LOGGED_CHARACTERS = 40
