--- a/lynxchute/budgets/ledger.py
+++ b/lynxchute/budgets/ledger.py
@@ -158,9 +158,9 @@
         self._row_version = row.version if row is not None else 0
         if row is None:
             return
-        found = HolderRow.decode(row.value)
-        self.predecessor = found.incarnation
-        for account, terms in found.terms_by_account.items():
+        previous = HolderRow.decode(row.value)
+        self.predecessor = previous.incarnation
+        for account, terms in previous.terms_by_account.items():
             # The previous process may have used all that its limit line allowed.
             used = terms.limit(ended_ms)
             slack = used - terms.limit(terms.line.start_ms)
@@ -208,7 +208,7 @@
             self.unreadable_accounts.discard(row.id.key)
             self.totals_by_account[row.id.key] = KnownTotals(totals, row.version)
 
-    # Spending.
+    # Reservations, loans and transfers.
 
     def available(self, account: str, now_ms: int) -> int:
         """Return the tokens of a budget that can be reserved now."""
@@ -418,7 +418,7 @@
         return max(share.terms.granted + share.borrowed - share.settled, 0)
 
     def lent_reserves(self, account: str, now: float) -> int:
-        """Return the tokens lent to local reserves that may still be unused."""
+        """Return an estimate of the tokens lent to local reserves that are unused."""
         share = self.shares_by_account.get(account)
         return share.lent_reserves.decayed_tokens(now) if share is not None else 0
 
@@ -435,8 +435,8 @@
             if account not in self.prepaid_by_account:
                 continue
             view = self._view(account, share, share.terms.granted, now)
-            plenty = attrs.evolve(view, free=max(view.prepaid, 0))
-            if self._policy.grant(plenty) > share.terms.granted:
+            view_if_all_free = attrs.evolve(view, free=max(view.prepaid, 0))
+            if self._policy.grant(view_if_all_free) > share.terms.granted:
                 return True
         return False
 
@@ -454,7 +454,7 @@
         granted = known.totals.granted if known is not None else 0
         return self.prepaid_by_account.get(account, 0) - granted
 
-    # Writing.
+    # Writes to the store.
 
     def plan(self, *, now_ms: int, now: float, with_grants: bool = True) -> Plan:
         """Plan the next write: new limit lines for all budgets, new grants if due.
@@ -601,11 +601,11 @@
             # earlier write of unknown outcome may still change it.
             self._discard_terms(plan)
             return
-        found = HolderRow.decode(row.value)
-        if found.incarnation == self.incarnation:
+        stored = HolderRow.decode(row.value)
+        if stored.incarnation == self.incarnation:
             # An earlier write of this process whose reply was lost, or another
             # router's change of this row.
-            self._confirm_row(found, row.version)
+            self._confirm_row(stored, row.version)
             self.is_open = True
             return
         if self.is_open:
--- a/lynxchute/budgets/policy.py
+++ b/lynxchute/budgets/policy.py
@@ -125,8 +125,8 @@
             return self._reduced_grant(view, headroom, wanted)
         missing = max(wanted - headroom, minimum - view.granted)
         # Beyond the home's minimum, leave the other data centres their share.
-        fair = max(view.free // view.parts, view.waiting, minimum - view.granted)
-        return view.granted + min(missing, fair, view.free)
+        fair_limit = max(view.free // view.parts, view.waiting, minimum - view.granted)
+        return view.granted + min(missing, fair_limit, view.free)
 
     def burst(self, view: ShareView) -> int:
         """Return the tokens by which the limit line starts above current use."""
--- a/lynxchute/budgets/recent.py
+++ b/lynxchute/budgets/recent.py
@@ -4,8 +4,8 @@
 
 from collections import OrderedDict
 
-# Ended requests and loans kept, so that a message that arrives late or twice has no
-# effect: a few minutes' worth at full load.
+# Number of ids kept (of ended requests, loans or transfers), so that a message that
+# arrives late or twice has no effect: a few minutes' worth at full load.
 MAX_IDS = 20_000
 
 
--- a/lynxchute/budgets/share.py
+++ b/lynxchute/budgets/share.py
@@ -101,9 +101,9 @@
         """Record that the store has tokens back, oldest releases first."""
         while tokens > 0 and self.releases:
             release = self.releases[0]
-            given = min(tokens, release.left)
-            release.left -= given
-            tokens -= given
+            returned = min(tokens, release.left)
+            release.left -= returned
+            tokens -= returned
             if not release.left:
                 self.releases.pop(0)
 
--- a/lynxchute/budgets/standing.py
+++ b/lynxchute/budgets/standing.py
@@ -12,8 +12,8 @@
 # Requests per second below which no reserve is held: two requests that happen to
 # arrive together are no steady demand, and a reserve is lost if the router crashes.
 MIN_REQUEST_RATE = 0.7
-# A lender lends one router at most its spare tokens divided by this, because several
-# routers ask.
+# A lender lends one router at most its spare tokens divided by this number, because
+# several routers ask.
 LENDER_DIVISOR = 8
 # One router's reserve is at most the prepaid budget divided by this.
 PREPAID_DIVISOR = 32
--- a/lynxchute/containment/containment.py
+++ b/lynxchute/containment/containment.py
@@ -34,11 +34,12 @@
 BATCH_SECONDS = 0.05
 # Seconds between checks whether another router has become the judge.
 JUDGE_CHECK_SECONDS = 5.0
-# Maximum number of pending reports, and of retained ones: as many as several upstreams
-# have open runs.
+# Maximum number of reports waiting to be sent, and of those kept for a new judge:
+# enough for the open runs of several crashed upstreams.
 MAX_PENDING = 300
 # Milliseconds for which evidence is retained for the next judge. A judge that dies has
-# received it, but has stored only requests that are blamed for two crashes or more.
+# received the evidence, but has stored only requests that are blamed for two crashes or
+# more.
 EVIDENCE_RETENTION_MS = 60_000
 # Attempts to reach the fleet's judge before this router judges by itself.
 JUDGE_ATTEMPTS = 3
@@ -225,13 +226,13 @@
         self.judge.handle_evidence(evidence)
         return Ack()
 
-    async def _handle_update_message(self, news: QuarantineUpdate) -> Ack:
-        self._handle_update(news)
+    async def _handle_update_message(self, update: QuarantineUpdate) -> Ack:
+        self._handle_update(update)
         return Ack()
 
-    def _handle_update(self, news: QuarantineUpdate) -> None:
-        self.quarantine.clear(news.cleared)
-        new = self.quarantine.add(news.quarantined, self.judge.now_ms())
+    def _handle_update(self, update: QuarantineUpdate) -> None:
+        self.quarantine.clear(update.cleared)
+        new = self.quarantine.add(update.quarantined, self.judge.now_ms())
         self._apply_quarantine(new, source="router")
 
     def _apply_quarantine(self, contents: list[str], *, source: str) -> None:
--- a/lynxchute/containment/judge.py
+++ b/lynxchute/containment/judge.py
@@ -81,7 +81,7 @@
         self._loop = PeriodicTask("quarantine", self._poll, IDLE_SECONDS)
         self._tasks = Tasks()
         self._timer: asyncio.TimerHandle | None = None
-        self._sending: asyncio.Task[None] | None = None
+        self._send_task: asyncio.Task[None] | None = None
         self._members = members
         self._store = store
         self._broadcast = broadcast
@@ -123,18 +123,18 @@
         """Merge the record in the store, unless a newer version was merged before."""
         if version > self._version:
             self._version = version
-            self._merge_record(record)
+            self._apply_record(record)
 
-    def _merge_record(self, record: QuarantineRecord) -> None:
+    def _apply_record(self, record: QuarantineRecord) -> None:
         self.attribution.merge_record(record)
         # Stop sending messages about requests that were released.
         self._broadcast.prune(self.attribution.quarantined_by_content.keys())
 
     async def _poll(self) -> None:
         self._judge_and_persist()
-        if self._sending is None or self._sending.done():
+        if self._send_task is None or self._send_task.done():
             # Runs in the background, as a message to a dead router takes long to fail.
-            self._sending = self._tasks.spawn(self._broadcast.send_pending())
+            self._send_task = self._tasks.spawn(self._broadcast.send_pending())
         interval = self._poll_interval()
         if self._timer is not None:
             self._timer.cancel()
@@ -211,9 +211,9 @@
         self.attribution.has_unsaved_changes = True
         row = outcome.rows_by_id.get(QUARANTINE_ROW_ID)
         self._version = row.version if row is not None else ABSENT
-        found = QuarantineRecord.decode(row.value) if row is not None else None
-        if found is not None and found.is_ok():
-            self._merge_record(found.ok)
+        decoded = QuarantineRecord.decode(row.value) if row is not None else None
+        if decoded is not None and decoded.is_ok():
+            self._apply_record(decoded.ok)
         return False
 
     def _record_written(self, record: QuarantineRecord, version: int) -> None:
--- a/lynxchute/quarantine/evidence.py
+++ b/lynxchute/quarantine/evidence.py
@@ -20,7 +20,7 @@
     process
         Id of the upstream process: the upstream and its start.
     progress
-        How far the upstream had come with the run.
+        How far the run had progressed at the upstream.
     is_start_known
         Whether a restarted process of the upstream gets a different id.
     """
--- a/lynxchute/quarantine/progress.py
+++ b/lynxchute/quarantine/progress.py
@@ -6,7 +6,7 @@
 
 
 class Progress(enum.Enum):
-    """How far an upstream had come with a run when it broke off.
+    """How far a run had progressed at its upstream when it broke off.
 
     Attributes
     ----------
--- a/lynxchute/quarantine/record.py
+++ b/lynxchute/quarantine/record.py
@@ -87,15 +87,19 @@
         try:
             row = RowValue.decode(value)
             quarantined = [
-                _quarantined(RowValue(item)) for item in _items(row, "quarantined")
+                _decode_entry(RowValue(item))
+                for item in _list_of_objects(row, "quarantined")
+            ]
+            suspects = [
+                _decode_suspect(RowValue(item))
+                for item in _list_of_objects(row, "suspects")
             ]
-            suspects = [_suspect(RowValue(item)) for item in _items(row, "suspects")]
         except RowValueError as error:
             return Error(f"the quarantine record is unreadable: {error}")
         return Ok(cls(tuple(quarantined), tuple(suspects)))
 
 
-def _items(row: RowValue, name: str) -> list[dict[str, object]]:
+def _list_of_objects(row: RowValue, name: str) -> list[dict[str, object]]:
     items = row.fields.get(name)
     if not isinstance(items, list):
         raise RowValueError(f"{name!r} is not a list")
@@ -105,7 +109,7 @@
     return items
 
 
-def _quarantined(row: RowValue) -> QuarantineEntry:
+def _decode_entry(row: RowValue) -> QuarantineEntry:
     return QuarantineEntry(
         content=row.text("content"),
         since_ms=row.count("since_ms"),
@@ -114,7 +118,7 @@
     )
 
 
-def _suspect(row: RowValue) -> Suspect:
+def _decode_suspect(row: RowValue) -> Suspect:
     ended = row.fields.get("ended")
     if not isinstance(ended, list) or not all(isinstance(name, str) for name in ended):
         raise RowValueError("'ended' is not a list of strings")
--- a/lynxchute/quarantine/suspicion.py
+++ b/lynxchute/quarantine/suspicion.py
@@ -14,11 +14,12 @@
     Suspect,
 )
 
-# Crashes after which a request is quarantined. One crash may have any cause. Two may be
-# chance: a request may have been open beside the cause and then retried at the same
-# upstream as the cause.
+# Number of crashes after which a request is quarantined. One crash may have any cause.
+# Two may be chance: a request may have been open beside the cause and then retried at
+# the same upstream as the cause.
 CRASHES_TO_QUARANTINE = 3
-# The same if another run may have been the cause of each of the crashes.
+# Number of crashes after which a request is quarantined even if another run may have
+# been the cause of each of them.
 AMBIGUOUS_CRASHES_TO_QUARANTINE = 5
 # Weight of a run that had just begun when the upstream crashed; each earlier crash of a
 # request weighs 1. Of 25 engine crashes caused by a request, 23 had exactly one run
@@ -107,7 +108,7 @@
         """Record a run that broke off when its upstream crashed."""
         process = run.process
         if not run.is_start_known:
-            process = self._crash_name(process, now_ms)
+            process = self._crash_key(process, now_ms)
         crash = self._crash_by_process.get(process)
         if crash is None:
             self._evict_oldest_crash()
@@ -182,7 +183,7 @@
         for content, quarantined in list(self.quarantined_by_content.items()):
             if now_ms >= quarantined.until_ms:
                 del self.quarantined_by_content[content]
-                self._suspect_again(quarantined, now_ms)
+                self._restore_suspect(quarantined, now_ms)
                 expired = True
         for content, suspect in list(self.suspects_by_content.items()):
             if now_ms - suspect.last_ms >= BLAME_EXPIRY_MS:
@@ -206,8 +207,8 @@
             tuple(suspects[-MAX_SUSPECTS_KEPT:]),
         )
 
-    def _crash_name(self, upstream: str, now_ms: int) -> str:
-        """Return a name for one crash of an upstream whose processes share an id."""
+    def _crash_key(self, upstream: str, now_ms: int) -> str:
+        """Return a key for one crash of an upstream whose processes share an id."""
         for name, crash in self._crash_by_process.items():
             is_same_upstream = name.startswith(f"{upstream}{TIME_SEPARATOR}")
             if is_same_upstream and now_ms - crash.at_ms < SAME_CRASH_MS:
@@ -216,9 +217,9 @@
 
     def _judge_crash(self, process: str, crash: _Crash, now_ms: int) -> list[Finding]:
         progress_by_content = crash.progress_by_content
-        known = progress_by_content.keys() & self.quarantined_by_content.keys()
+        quarantined = progress_by_content.keys() & self.quarantined_by_content.keys()
         crash.judged_weight = 0
-        if known or not progress_by_content:
+        if quarantined or not progress_by_content:
             # A copy of a quarantined request was still open, which explains the crash.
             return []
         weights = {
@@ -229,10 +230,10 @@
         blamed = [
             content for content in weights if weights[content] == crash.judged_weight
         ]
-        started = [c for c, p in progress_by_content.items() if p is Progress.BEGUN]
+        begun = [c for c, p in progress_by_content.items() if p is Progress.BEGUN]
         findings = []
         for content in blamed:
-            others = started if content in started else list(progress_by_content)
+            others = begun if content in begun else list(progress_by_content)
             company = len(others) - 1
             self._blame(content, process, now_ms, is_alone=not company)
             findings.append(self._finding(content, process, company))
@@ -259,14 +260,14 @@
             alone=suspect.alone + is_alone,
             last_ms=now_ms,
         )
-        # Most recent last: of the suspects with the fewest crashes, the oldest is
-        # evicted first.
+        # Re-inserted at the end: of the suspects with the fewest crashes, the one that
+        # was blamed longest ago is evicted.
         self.suspects_by_content.pop(content, None)
         self.suspects_by_content[content] = suspect
         self.has_unsaved_changes = self.has_unsaved_changes or _is_persisted(suspect)
         if len(self.suspects_by_content) > MAX_SUSPECTS:
-            fewest = min(self.suspects_by_content.values(), key=lambda s: len(s.ended))
-            del self.suspects_by_content[fewest.content]
+            evicted = min(self.suspects_by_content.values(), key=lambda s: len(s.ended))
+            del self.suspects_by_content[evicted.content]
 
     def _is_proven(self, content: str) -> bool:
         suspect = self.suspects_by_content[content]
@@ -289,7 +290,7 @@
         crashes = len(self.suspects_by_content[content].ended)
         return Finding(Verdict.BLAMED, content, process, company, crashes)
 
-    def _suspect_again(self, quarantined: QuarantineEntry, now_ms: int) -> None:
+    def _restore_suspect(self, quarantined: QuarantineEntry, now_ms: int) -> None:
         earlier = range(CRASHES_TO_QUARANTINE - 1)
         self.suspects_by_content[quarantined.content] = Suspect(
             quarantined.content,
--- a/lynxchute/relay/chooser.py
+++ b/lynxchute/relay/chooser.py
@@ -162,10 +162,10 @@
 
     async def _choose_now(self, exchange: Exchange) -> Choice | None:
         now = self._clock()
-        neighbours = list(self._candidates(exchange, now))
-        if neighbours and all(e.backpressure.is_backing_off(now) for e in neighbours):
-            raise self._backing_off_refusal(exchange, neighbours, now)
-        eligible = [e for e in neighbours if e.upstream.id not in exchange.tried]
+        considered = list(self._candidates(exchange, now))
+        if considered and all(e.backpressure.is_backing_off(now) for e in considered):
+            raise self._backing_off_refusal(exchange, considered, now)
+        eligible = [e for e in considered if e.upstream.id not in exchange.tried]
         eligible = [e for e in eligible if not e.backpressure.is_backing_off(now)]
         if not eligible and exchange.limited_rate is not None:
             raise self._throttled_refusal(exchange, exchange.limited_rate, now)
@@ -224,10 +224,10 @@
         title = (
             "All upstreams that serve this have turned this router away for a while."
         )
-        wait = min(
+        delay = min(
             max(remaining, MIN_RETRY_AFTER), exchange.retry_after(now, Reason.BACKOFF)
         )
-        return exchange.refuse(Reason.BACKOFF, title, now, retry_after=wait)
+        return exchange.refuse(Reason.BACKOFF, title, now, retry_after=delay)
 
     def _no_capacity_refusal(
         self, exchange: Exchange, candidates: Sequence[UpstreamEntry]
@@ -249,8 +249,8 @@
         )
         # The next request fits after 1 / rate seconds. At a rate of 0 the delay is
         # unknown.
-        wait = max(1.0 / rate, MIN_RETRY_AFTER) if rate > 0 else None
-        return exchange.refuse(Reason.LIMITED, title, now, retry_after=wait)
+        delay = max(1.0 / rate, MIN_RETRY_AFTER) if rate > 0 else None
+        return exchange.refuse(Reason.LIMITED, title, now, retry_after=delay)
 
     def _cold_refusal(
         self, exchange: Exchange, candidates: Sequence[UpstreamEntry]
@@ -262,12 +262,12 @@
         title = "All upstreams that serve this have just started. Send it again soon."
         # If the scheduling router knows them as cold and this router does not, the
         # remaining time is unknown.
-        wait = (
+        delay = (
             min(max(remaining, MIN_RETRY_AFTER), default_delay)
             if remaining > 0
             else default_delay
         )
-        return exchange.refuse(Reason.COLD, title, now, retry_after=wait)
+        return exchange.refuse(Reason.COLD, title, now, retry_after=delay)
 
     def _is_reachable(self, entry: UpstreamEntry) -> bool:
         return not self._reachability.is_unreachable(entry.upstream.data_centre)
--- a/lynxchute/relay/events.py
+++ b/lynxchute/relay/events.py
@@ -106,8 +106,8 @@
         complete, self.rest = data[:boundary], data[boundary:]
         count = complete.count(SEPARATOR)
         if count == 1:
-            only = _event_id(complete)
-            return Events(complete, 1, only, only)
+            event_id = _event_id(complete)
+            return Events(complete, 1, event_id, event_id)
         events = complete[: -len(SEPARATOR)].split(SEPARATOR)
         return Events(complete, count, _event_id(events[0]), _event_id(events[-1]))
 
--- a/lynxchute/relay/exchange.py
+++ b/lynxchute/relay/exchange.py
@@ -19,13 +19,14 @@
 # after at most a third of that time; a tenth leaves time for the retried request
 # itself.
 RETRY_SHARE = 0.1
-# Number of route ranks per account rank. Upstreams support ten ranks in total.
+# Number of ranks for routes within each account rank. Upstreams support ten ranks in
+# total.
 ROUTE_RANKS = 3
 # Rank of requests without an account, and of accounts without a configured rank.
 DEFAULT_ACCOUNT_RANK = 1
 # A caller abandons a stream that pauses for longer than the largest of two seconds,
-# four times its latency objective and eight times its longest allowed pause. Nothing is
-# started that would arrive in the last tenth of that time.
+# four times its latency objective and eight times its longest allowed pause. A run is
+# started only if its first event is expected within nine tenths of that time.
 MIN_CALLER_WAIT = 2.0
 CALLER_WAIT_SHARE = 0.9
 MIN_RETRY_AFTER = 0.05
@@ -34,7 +35,7 @@
 # lasts three to nine seconds, and callers have few attempts. A retry after one second
 # is already late and still meets the outage. In a minute with three such outages,
 # callers that were refused again after a retry lost 134 and 122 (of a total value of
-# about 1,500) with the delays above, and 80 with these.
+# about 1,500) with RETRY_SHARE and MAX_RETRY_AFTER, and 80 with these values.
 BUDGET_RETRY_SHARE = 0.3
 BUDGET_MAX_RETRY_AFTER = 4.0
 
--- a/lynxchute/relay/guarded_load.py
+++ b/lynxchute/relay/guarded_load.py
@@ -13,8 +13,8 @@
 
 # Minimum seconds between two log lines about shed load.
 LOG_SECONDS = 1.0
-# Total event loop delay of one request, in seconds, from which on the router may take
-# its own lag for slow engines.
+# Total event loop delay of one request, in seconds, from which on the router may
+# mistake its own lag for slow engines.
 LAG_SECONDS = 0.1
 # Seconds for which the router counts as lagging after such a delay was last seen.
 LAG_HOLD_SECONDS = 2.0
--- a/lynxchute/relay/hedging.py
+++ b/lynxchute/relay/hedging.py
@@ -61,10 +61,10 @@
 class Hedger:
     """Races two sends of a call and returns the first successful response.
 
-    For calls whose callers wait only tenths of a second, and need the response within
-    the latency objective, while an upstream becomes slow or stops responding. Hedges
-    must never add to an overload, so they are limited by the retry budget, by the
-    route's number of attempts and by the number of busy upstreams.
+    This is for calls whose callers wait only tenths of a second, and need the response
+    within the latency objective, while an upstream becomes slow or stops responding.
+    Hedges must never add to an overload, so they are limited by the retry budget, by
+    the route's number of attempts and by the number of busy upstreams.
 
     Parameters
     ----------
@@ -165,10 +165,10 @@
             # that may be lag of this router, so twice the delay is allowed until the
             # byte is sent.
             is_sent = exchange.sends > sends
-            due = exchange.sent_at + delay if is_sent else started_at + 2 * delay
-            if now >= due:
+            hedge_at = exchange.sent_at + delay if is_sent else started_at + 2 * delay
+            if now >= hedge_at:
                 return
-            left = due - now
+            left = hedge_at - now
 
     def _hedge_delay(self, exchange: Exchange, entry: UpstreamEntry) -> float | None:
         """Return the seconds after which a call is hedged, or None for never."""
--- a/lynxchute/relay/load.py
+++ b/lynxchute/relay/load.py
@@ -16,8 +16,8 @@
 # Link delay in seconds from which on connections are shed as well. Below it, only calls
 # with the shortest latency objectives are late.
 SHED_DELAY = 0.2
-# Seconds of shedding after the link was last overloaded. The balancer takes two seconds
-# to notice, and a caller's many connections return all at once.
+# Seconds for which load is shed after the link was last overloaded. The balancer takes
+# two seconds to notice, and a caller's many connections return all at once.
 SHED_SECONDS = 8.0
 
 
@@ -29,10 +29,10 @@
 # most 0.02; a target of 0.4 sheds too much load: 0.95.
 SHED_USE = 0.7
 TARGET_USE = 0.55
-# Link delay in seconds from which on no connection is accepted. Its requests would
-# queue behind the bodies that fill the link, while the caller can reach another router
-# at once. With one account that overloads a VM, 55 of 1,000 requests of a day were
-# refused at 0.3 s, and 8 with this value (22 VMs, links of 5 Mbit/s).
+# Link delay in seconds from which on no connection is accepted. The requests of a new
+# one would queue behind the bodies that fill the link, while the caller can reach
+# another router at once. With one account that overloads a VM, 55 of 1,000 requests of
+# a day were refused at 0.3 s, and 8 with this value (22 VMs, links of 5 Mbit/s).
 FULL_DELAY = 0.15
 
 
--- a/lynxchute/relay/relay.py
+++ b/lynxchute/relay/relay.py
@@ -141,8 +141,8 @@
         try:
             if exchange.route.kind is RequestKind.AT_MOST_ONCE:
                 # The outcome of such a call matters even after its caller has
-                # disconnected. The rest of a stream does not, and the engine is needed
-                # by others.
+                # disconnected. The rest of a stream does not matter then, and other
+                # requests need the engine.
                 exchange.respond.survives_disconnect = True
             await self._send(exchange)
         finally:
@@ -181,7 +181,8 @@
             except Refusal:
                 if buffered.body is None:
                     raise
-                # Without a second response, the error response is the best one.
+                # The retry was refused; forward the error response of the previous
+                # send.
                 await self._forward_buffered(exchange, answer, buffered)
                 return
         await self._stream(exchange, answer)
--- a/lynxchute/relay/sender.py
+++ b/lynxchute/relay/sender.py
@@ -32,9 +32,9 @@
 # Connecting within a region takes a few milliseconds. A lost SYN is retransmitted only
 # after a second, so trying another upstream is faster.
 CONNECT_TIMEOUT = 0.3
-# A keep-alive connection that was idle for longer may have been closed by the upstream.
-# A request sent on it may fail with an unknown outcome, so only requests that are safe
-# to repeat use such a connection.
+# A keep-alive connection that was idle for more than this many seconds may have been
+# closed by the upstream. A request sent on it may fail with an unknown outcome, so only
+# requests that are safe to repeat use such a connection.
 FRESH_WITHIN = 0.25
 SERVER_ERROR = 500
 UPSTREAM_TIMEOUTS = Timeouts(
@@ -174,7 +174,7 @@
     def release(self, answer: UpstreamResponse, outcome: SendOutcome) -> None:
         """Record that an upstream no longer works on a request."""
         answer.entry.open_sends.discard(answer.send)
-        outcome = _outcome_of(answer.send, outcome)
+        outcome = _attributed_outcome(answer.send, outcome)
         is_whole = outcome in (SendOutcome.SERVED, SendOutcome.FAILED)
         self._containment.record_end(answer.send, is_whole=is_whole)
         self._record_outcome(answer.entry, answer.cost, outcome)
@@ -184,8 +184,8 @@
 
     def record_first_event(self, answer: UpstreamResponse) -> None:
         """Record the first event of a stream."""
-        own = self._clients.meter.own_delay()
-        took_ms = max(self._clock() - answer.sent_at - own, 0.0) * 1000.0
+        own_delay = self._clients.meter.own_delay()
+        took_ms = max(self._clock() - answer.sent_at - own_delay, 0.0) * 1000.0
         upstream_id = answer.entry.upstream.id
         self._generations.record_first_event(
             answer.run_id, upstream_id, took_ms=took_ms
@@ -242,7 +242,7 @@
             response = await self._send_request(exchange, choice, send)
         except ExchangeError as error:
             entry.open_sends.discard(send)
-            outcome = _outcome_of(
+            outcome = _attributed_outcome(
                 send, SendOutcome.BROKEN if error.sent else SendOutcome.UNREACHED
             )
             if outcome is SendOutcome.BROKEN:
@@ -269,7 +269,7 @@
         self._reachability.record_response(entry.upstream.data_centre)
         response_kind = self._dialect.response_kind(response.status, response.headers)
         if response_kind is not ResponseKind.MOVED:
-            # Another process that reuses the address reports its own state only.
+            # A different process that now has the address reports only its own state.
             self._backpressure.record(
                 exchange.call.request_id,
                 entry,
@@ -468,6 +468,6 @@
         self._metrics.sends.inc(outcome.value)
 
 
-def _outcome_of(send: OpenSend, outcome: SendOutcome) -> SendOutcome:
+def _attributed_outcome(send: OpenSend, outcome: SendOutcome) -> SendOutcome:
     """Return the outcome to attribute to the upstream of a send."""
     return SendOutcome.ABANDONED if send.is_withdrawn else outcome
--- a/lynxchute/relay/statement_reader.py
+++ b/lynxchute/relay/statement_reader.py
@@ -49,10 +49,10 @@
         is_served
             Whether the request ran, according to the response.
         """
-        statement = self._dialect.statement(response.status, response.headers)
+        declared = self._dialect.statement(response.status, response.headers)
         has_changed = self._directory.record_declaration(
             entry,
-            statement,
+            declared,
             asked_at=sent_at,
             now=self._clock(),
             is_served=is_served,
@@ -63,8 +63,8 @@
             "upstream backpressure changed",
             request_id=request_id,
             upstream=entry.upstream.id,
-            limit=statement.limit,
-            backoff_s=statement.backoff,
-            is_leaving=statement.is_leaving,
-            unreadable=", ".join(statement.unreadable),
+            limit=declared.limit,
+            backoff_s=declared.backoff,
+            is_leaving=declared.is_leaving,
+            unreadable=", ".join(declared.unreadable),
         )
--- a/lynxchute/spending/balance.py
+++ b/lynxchute/spending/balance.py
@@ -22,7 +22,7 @@
 # A home whose tokens last for fewer seconds of its demand than this asks the other
 # routers for more. A network partition of a data centre lasts about six seconds.
 REFILL_BELOW_SECONDS = 6.0
-# Seconds of demand that it asks for.
+# Seconds of its demand that such a home's tokens should last after the refill.
 REFILL_SECONDS = 8.0
 
 
@@ -143,15 +143,15 @@
         self._transfers.remove(transfer)
         recipient = transfer.recipient or self._recipient_of(transfer)
         if recipient is None:
-            # This router is the home itself, or there is none: spend it here.
+            # This router is the home itself, or there is none: keep the tokens here.
             self._ledger.transfer_in(
                 transfer.gift_id, transfer.account, transfer.tokens
             )
             return
         member = self._members.by_vm.get(recipient.vm)
         if member is None or member.incarnation != recipient.incarnation:
-            # A process that has ended since may have received the tokens; sending
-            # them to another router could count them twice.
+            # The recipient's process has ended and may have received the tokens;
+            # sending them to another router could count them twice.
             log_event(
                 "leftover tokens lost",
                 account=transfer.account,
--- a/lynxchute/spending/final_use.py
+++ b/lynxchute/spending/final_use.py
@@ -22,14 +22,15 @@
 
 # Timeout in seconds for messages sent to many routers at once.
 BROADCAST_SECONDS = 0.3
-# Minimum milliseconds between the previous process's last write and the start of this
-# one for which other routers are asked. A router that reports its final use serves for
-# another 2.5 s after its last write. A killed process reports nothing and is mostly
-# restarted sooner, so asking would only delay the start: by up to `BROADCAST_SECONDS`
-# each with 194 routers restarting after a loss of power.
+# Other routers are asked only if the previous process's last write was at least this
+# many milliseconds before this process started. A router that reports its final use
+# serves for another 2.5 s after its last write. A killed process reports nothing and is
+# mostly restarted sooner, so asking would only delay the start: by up to
+# `BROADCAST_SECONDS` each with 194 routers restarting after a loss of power.
 MIN_SILENCE_MS = 2_500
-# Number of routers that are asked in the own data centre and in each other one. All
-# routers were sent the final use, and a third of them may have restarted since.
+# Number of routers that are asked in the own data centre and in each other one. A few
+# suffice: the final use was sent to all routers, of which a third may have restarted
+# since and lost it.
 LOCAL_VMS_ASKED = 6
 REMOTE_VMS_ASKED = 2
 
@@ -105,13 +106,13 @@
     def _vms_to_ask(self) -> list[str]:
         """Return a few VMs of each data centre to ask, more of the own one."""
         own = self._members.own
-        left_by_place: dict[str, int] = {own.data_centre: LOCAL_VMS_ASKED}
+        left_by_data_centre: dict[str, int] = {own.data_centre: LOCAL_VMS_ASKED}
         found = []
         for vm in ranked(own.vm, self._other_vms()):
-            place = self._members.by_vm[vm].data_centre
-            left = left_by_place.setdefault(place, REMOTE_VMS_ASKED)
+            data_centre = self._members.by_vm[vm].data_centre
+            left = left_by_data_centre.setdefault(data_centre, REMOTE_VMS_ASKED)
             if left:
-                left_by_place[place] = left - 1
+                left_by_data_centre[data_centre] = left - 1
                 found.append(vm)
         return found
 
--- a/lynxchute/spending/keeper.py
+++ b/lynxchute/spending/keeper.py
@@ -179,7 +179,8 @@
             When to give up, in seconds on the steady clock.
         """
         while not self.ledger.is_open:
-            # Until then, the previous process's shares may still be taken over.
+            # Before the ledger is open, this process may still be taking over the
+            # previous one's shares.
             if not await self._wait_for_outcome(until):
                 return False
         share = self.ledger.share(account)
--- a/lynxchute/spending/lenders.py
+++ b/lynxchute/spending/lenders.py
@@ -18,16 +18,16 @@
 # A router borrows for this many seconds of its demand in advance, so that not every
 # request needs a loan.
 AHEAD_SECONDS = 2.0
-# Lenders that are asked concurrently. After a crash of all routers, ten or more may
-# hold tokens of one budget, and each takes up to 0.25 s to release them. When they were
-# asked one after the other, only three or four were reached in the time that a request
-# has, and 78 of 100 requests that were refused although unused tokens existed had not
-# asked every holder.
+# Number of lenders that are asked concurrently. After a crash of all routers, ten or
+# more may hold tokens of one budget, and each takes up to 0.25 s to release them. When
+# they were asked one after the other, only three or four were reached in the time that
+# a request has, and 78 of 100 requests that were refused although unused tokens existed
+# had not asked every holder.
 LENDERS_AT_ONCE = 6
 # Seconds after a loan for a local reserve until the borrower is assumed to have used
 # the tokens or sent them on.
 RESERVE_LOAN_SECONDS = 20.0
-# Routers that are asked in turn for tokens for the local reserve.
+# Maximum number of routers asked, one after another, for tokens for the local reserve.
 MAX_ASKED = 4
 
 
@@ -197,19 +197,19 @@
         """
         known = self._ledger.totals_by_account.get(account)
         own = self._members.own
-        near: list[str] = []
-        far: list[str] = []
+        local: list[str] = []
+        remote: list[str] = []
         for vm in known.totals.granted_by_vm if known is not None else ():
             member = self._members.by_vm.get(vm)
             if vm == own.vm or member is None:
                 continue
             if not self._members.is_reachable(vm):
                 continue
-            near_by = member.data_centre == own.data_centre
-            (near if near_by else far).append(vm)
+            is_local = member.data_centre == own.data_centre
+            (local if is_local else remote).append(vm)
         homes = self._members.remote_homes(account)
         return [
-            *dict.fromkeys([*near, *far, *homes, *self._reserve_borrowers(account)])
+            *dict.fromkeys([*local, *remote, *homes, *self._reserve_borrowers(account)])
         ]
 
     def _reserve_borrowers(self, account: str) -> list[str]:
--- a/lynxchute/spending/reservations.py
+++ b/lynxchute/spending/reservations.py
@@ -51,20 +51,20 @@
 LEND_COVER_SECONDS = 0.1
 # Random bytes that distinguish reservations of requests that share an id.
 NONCE_BYTES = 4
-# Maximum seconds from its arrival at the account's home that a request waits in an
-# outage for the limit line there to grow, including the time spent on asking lenders.
-# It is less than the time that the sending router waits for a reply, and a third of
-# what most callers allow for the first event. In a minute with two outages it serves 2
-# to 11 of 1,700 to 2,900 requests that would otherwise be refused.
+# Seconds after its arrival at the account's home until which a request waits in an
+# outage for the limit line there to grow; asking lenders takes part of this time. It is
+# less than the time that the sending router waits for a reply, and a third of what most
+# callers allow for the first event. In a minute with two outages the wait serves 2 to
+# 11 of 1,700 to 2,900 requests that would otherwise be refused.
 LINE_SECONDS = 0.42
 # Seconds by which a limit line may lag behind its predicted growth, because only a
 # lower bound of the store's clock is known.
 LINE_MARGIN_SECONDS = 0.005
-# Event loop iterations after which a closed caller connection has been noticed: one
-# reads the close, one cancels the request. Without them, a request that need not wait
-# for tokens would be sent for a caller that has gone.
+# Event loop iterations that a request waits so that a closed caller connection is
+# noticed: one reads the close, one cancels the request. Without them, a request that
+# need not wait for tokens would be sent for a caller that has gone.
 LOOP_ITERATIONS_FOR_CLOSE = 2
-# Homes that are tried in turn for one request.
+# Maximum number of homes tried, one after another, for one request.
 MAX_HOMES = 3
 
 
@@ -220,8 +220,10 @@
             self._ledger_sync.record_use()
         return problem
 
-    async def _wait_for_line(self, request: ReserveRequest, until: float) -> bool:
-        """Reserve once the limit line covers the request; return whether it did.
+    async def _reserve_when_covered(
+        self, request: ReserveRequest, until: float
+    ) -> bool:
+        """Reserve once the limit line covers a request; return whether it is reserved.
 
         Returns False at once if the line will not cover the request in time.
         """
@@ -253,7 +255,7 @@
             await self._ledger_sync.wait_until_covered(account, request.tokens, until)
         if self._try_reserve(request) is None:
             return ReserveReply(ReserveOutcome.RESERVED, "borrowed")
-        if await self._wait_for_line(request, started + LINE_SECONDS):
+        if await self._reserve_when_covered(request, started + LINE_SECONDS):
             return ReserveReply(ReserveOutcome.RESERVED, "waited for the line")
         unanswered = self._grants_of_unanswered(account, gathered)
         unused = self._ledger.unused(account) + gathered.unused_elsewhere
--- a/lynxchute/spending/standing.py
+++ b/lynxchute/spending/standing.py
@@ -38,7 +38,7 @@
 
 
 class LocalReserve:
-    """Tokens for callers who arrive here, of accounts whose home is another router.
+    """Holds tokens for callers here whose account's home is another router.
 
     Parameters
     ----------
