--- a/lynxchute/relay/passing.py
+++ b/lynxchute/relay/passing.py
@@ -60,7 +60,7 @@
         ------
         EventsOutOfOrder
             If the events do not directly follow the previous ones.
-        CallerLeft
+        CallerDisconnected
             If the caller has disconnected.
         """
         exchange, answer = self._exchange, self._answer
